--- a/crates/client/src/client.rs
+++ b/crates/client/src/client.rs
@@ -412,13 +412,13 @@
         let headers = client.headers(pool, &self.query, left);
         let within = left.min(Duration::from_secs(2));
         let repeatable = self.query.effect == Effect::Repeatable;
-        let connection = if repeatable { pool.get(within).await } else { pool.fresh(within).await };
+        let connection = if repeatable { pool.get(within).await } else { pool.connect(within).await };
         let mut connection =
             connection.map_err(|e| Stopped::new(Stop::NotWritten, format!("no connection: {e}")))?;
         let posted = connection.call("POST", STATEMENT, &headers, self.query.sql.as_bytes()).await;
         let message = match posted {
             Ok(message) => message,
-            Err(e) if !connection.wrote => return Err(Stopped::new(Stop::NotWritten, e.to_string())),
+            Err(e) if !connection.has_written => return Err(Stopped::new(Stop::NotWritten, e.to_string())),
             Err(e) => return Err(Stopped::new(Stop::PostUnanswered, e.to_string())),
         };
         match message.status() {
@@ -489,7 +489,7 @@
                     *which = (*which + 1) % client.pools.len();
                     choice.join(*which);
                 }
-                if let Ok(fresh) = client.pools[*which].fresh(Duration::from_secs(1)).await {
+                if let Ok(fresh) = client.pools[*which].connect(Duration::from_secs(1)).await {
                     **connection = fresh;
                     break;
                 }
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -143,7 +143,7 @@
     headers.push("Content-Type", "text/plain; charset=utf-8");
     launch.context.write(&mut headers);
     let within = host.config.host.connect_within;
-    let connection = if launch.fresh { pool.fresh(within).await } else { pool.get(within).await };
+    let connection = if launch.fresh { pool.connect(within).await } else { pool.get(within).await };
     let mut connection =
         connection.map_err(|e| Broken(Outcome::ConnectFailed, format!("no connection: {e}")))?;
     // The last look: connecting may have taken long, and this process may have stood still.
@@ -153,7 +153,7 @@
     let answer = connection.call("POST", STATEMENT, &headers, launch.text.as_bytes()).await;
     let message = match answer {
         Ok(message) => message,
-        Err(e) if !connection.wrote => {
+        Err(e) if !connection.has_written => {
             return Err(Broken(Outcome::ConnectFailed, format!("nothing was sent: {e}")))
         }
         Err(e) => return Err(broke(&e)),
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -106,7 +106,7 @@
             return;
         }
         loop {
-            if !connection.is_within()
+            if !connection.has_partial_message()
                 && timeout(spans.idle_connection, connection.wait_readable()).await.is_none()
             {
                 return;
--- a/crates/lab/src/client.rs
+++ b/crates/lab/src/client.rs
@@ -298,7 +298,7 @@
 async fn anywhere(all: &[Rc<Pool>], target: &str) -> Result<Message, NetError> {
     let from = rand::random_range(0..all.len().max(1));
     for pool in all.iter().cycle().skip(from).take(all.len()) {
-        let Ok(mut connection) = pool.fresh(Duration::from_millis(500)).await else { continue };
+        let Ok(mut connection) = pool.connect(Duration::from_millis(500)).await else { continue };
         let head = headers(pool.address());
         let asked = connection.call("GET", target, &head, b"");
         if let Some(Ok(message)) = timeout(POLL, asked).await {
@@ -334,7 +334,7 @@
         let at = pools.iter().position(|p| p.address() == pool.address()).unwrap_or(0);
         let step = rand::random_range(1..pools.len().max(2));
         *pool = pools[(at + step) % pools.len()].clone();
-        ready = match pool.fresh(Duration::from_millis(500)).await {
+        ready = match pool.connect(Duration::from_millis(500)).await {
             Ok(fresh) => {
                 *connection = fresh;
                 true
--- a/crates/lab/src/cluster/forged.rs
+++ b/crates/lab/src/cluster/forged.rs
@@ -88,7 +88,7 @@
 
 async fn call(pool: &Rc<Pool>, method: &str, target: &str) -> Option<Message> {
     let asked = async {
-        let mut connection = pool.fresh(Duration::from_millis(500)).await.ok()?;
+        let mut connection = pool.connect(Duration::from_millis(500)).await.ok()?;
         let mut head = Headers::default();
         head.push("Host", pool.address().to_string());
         connection.call(method, target, &head, b"").await.ok()
@@ -147,7 +147,7 @@
         head.push("Host", pool.address().to_string());
         ask.context.write(&mut head);
         let posted = async {
-            let mut connection = pool.fresh(Duration::from_millis(500)).await.ok()?;
+            let mut connection = pool.connect(Duration::from_millis(500)).await.ok()?;
             connection.call("POST", STATEMENT, &head, ask.sql.as_bytes()).await.ok()
         };
         let Some(mut message) = timeout(SOON, posted).await.flatten().filter(|m| m.status() == 200) else {
--- a/crates/net/src/duplex.rs
+++ b/crates/net/src/duplex.rs
@@ -10,12 +10,13 @@
 use event_listener::Event;
 use futures_lite::future;
 
-use crate::SocketFault;
+use crate::SocketErrorKind;
 
 /// Bytes that [`Duplex::finish`] reads and discards at most: a peer that goes on sending is cut off beyond it.
 const DISCARD_BYTES: usize = 256 << 10;
 
-/// A socket whose writes never wait. What the kernel does not take at once is kept and written by [`Duplex::drain`].
+/// A socket whose writes never wait: bytes that the kernel does not take at once are buffered until
+/// [`Duplex::run_writer`] writes them.
 ///
 /// It ends in one of two ways. [`Duplex::close`] followed by [`Duplex::finish`] is the orderly one: what is kept is
 /// still sent, and bytes of the peer that cross the close are discarded, so that no reset overtakes the last answer.
@@ -72,7 +73,7 @@
                     rest = &rest[n..];
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-                Err(e) if SocketFault::of(&e).is_transient() => break,
+                Err(e) if SocketErrorKind::of(&e).is_transient() => break,
                 Err(_) => {
                     drop(kept);
                     self.abort();
@@ -94,7 +95,7 @@
     }
 
     /// Bytes that the peer has not taken yet, and when it last took some or all had been taken.
-    pub fn kept(&self) -> (usize, Instant) {
+    pub fn unsent(&self) -> (usize, Instant) {
         (self.kept.borrow().len(), self.moved.get())
     }
 
@@ -132,7 +133,7 @@
     }
 
     /// Writes what is kept whenever the peer takes more. Ends only with an error.
-    pub async fn drain(&self) -> io::Error {
+    pub async fn run_writer(&self) -> io::Error {
         loop {
             let more = self.more.listen();
             if self.kept.borrow().is_empty() {
@@ -163,7 +164,7 @@
     }
 
     /// Nothing is to be read and the peer has not closed: a quiet connection that can be used.
-    pub fn is_quiet(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         let peeked = crate::peek(self.socket.get_ref());
         !self.is_closed() && peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
@@ -171,7 +172,7 @@
     /// The peer has not closed or reset it, as far as can be seen.
     pub fn is_alive(&self) -> bool {
         let peeked = crate::peek(self.socket.get_ref());
-        !self.is_closed() && peeked.map_or_else(|e| SocketFault::of(&e).is_transient(), |n| n > 0)
+        !self.is_closed() && peeked.map_or_else(|e| SocketErrorKind::of(&e).is_transient(), |n| n > 0)
     }
 
     /// Begins an orderly end: nothing more is read, nothing more is accepted for sending, and the peer sees the end of
@@ -201,7 +202,7 @@
     pub async fn finish(&self, within: Duration) {
         self.close();
         let orderly = async {
-            while self.kept().0 > 0 {
+            while self.unsent().0 > 0 {
                 self.write_kept().await?;
             }
             self.socket.get_ref().shutdown(Shutdown::Write)?;
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -7,7 +7,7 @@
 mod alarm;
 mod clock;
 mod duplex;
-mod fault;
+mod error_kind;
 mod signals;
 pub mod timer;
 
@@ -22,7 +22,7 @@
 use async_io::Async;
 pub use clock::Clock;
 pub use duplex::Duplex;
-pub use fault::SocketFault;
+pub use error_kind::SocketErrorKind;
 use futures_lite::{future, AsyncWriteExt};
 pub use signals::next_signal;
 pub use timer::{sleep, sleep_until};
@@ -81,8 +81,8 @@
 /// Whether a call on a socket that is as good as before may be made again, now: it waits while this machine is short of
 /// something.
 pub(crate) async fn may_repeat(error: &io::Error) -> bool {
-    let fault = SocketFault::of(error);
-    if fault == SocketFault::Shortage {
+    let fault = SocketErrorKind::of(error);
+    if fault == SocketErrorKind::ResourceShortage {
         sleep(SHORTAGE_PAUSE).await;
     }
     fault.is_transient()
@@ -106,7 +106,7 @@
     /// It has been seen that there is something to read.
     ready: Cell<bool>,
     /// Bytes of a message have been written since the last one was read whole.
-    pub wrote: bool,
+    pub has_written: bool,
 }
 
 impl Connection {
@@ -126,11 +126,11 @@
 
     fn new(socket: Async<TcpStream>, side: Side, limits: Limits) -> Self {
         socket.get_ref().set_nodelay(true).ok();
-        Connection { socket, reader: Reader::new(side, limits), ready: Cell::new(false), wrote: false }
+        Connection { socket, reader: Reader::new(side, limits), ready: Cell::new(false), has_written: false }
     }
 
     /// A message has begun to come in and is not whole yet.
-    pub fn is_within(&self) -> bool {
+    pub fn has_partial_message(&self) -> bool {
         self.reader.is_within()
     }
 
@@ -141,7 +141,7 @@
     pub async fn read(&mut self) -> Result<Option<Message>, NetError> {
         loop {
             if let Some(message) = self.reader.next().map_err(NetError::Http)? {
-                self.wrote = false;
+                self.has_written = false;
                 return Ok(Some(message));
             }
             if self.reader.expects_continue() {
@@ -182,7 +182,7 @@
     pub fn is_closed(&self) -> bool {
         match peek(self.socket.get_ref()) {
             Ok(read) => read == 0,
-            Err(e) => !SocketFault::of(&e).is_transient(),
+            Err(e) => !SocketErrorKind::of(&e).is_transient(),
         }
     }
 
@@ -197,7 +197,7 @@
             if n == 0 {
                 return Err(io::ErrorKind::WriteZero.into());
             }
-            self.wrote = true;
+            self.has_written = true;
             rest = &rest[n..];
         }
         Ok(())
@@ -206,7 +206,7 @@
     /// Sends a request and reads its response.
     ///
     /// # Errors
-    /// See [`NetError`]; `self.wrote` tells whether any byte had gone out.
+    /// See [`NetError`]; `self.has_written` tells whether any byte had gone out.
     pub async fn call(
         &mut self,
         method: &str,
@@ -214,12 +214,12 @@
         headers: &Headers,
         body: &[u8],
     ) -> Result<Message, NetError> {
-        self.wrote = false;
+        self.has_written = false;
         let mut out = Vec::with_capacity(512 + body.len());
         http::write_request(&mut out, method, target, headers, body);
         self.write(&out).await?;
         let response = self.read().await;
-        self.wrote |= response.is_err();
+        self.has_written |= response.is_err();
         response?.ok_or_else(|| NetError::Io(io::ErrorKind::UnexpectedEof.into()))
     }
 }
@@ -257,7 +257,7 @@
                 None => break,
             }
         }
-        self.fresh(connect_within).await
+        self.connect(connect_within).await
     }
 
     /// A connection that has not been used before: one that has may be dead without our knowing, and then it can't be
@@ -265,7 +265,7 @@
     ///
     /// # Errors
     /// The socket's, or a time-out.
-    pub async fn fresh(&self, connect_within: Duration) -> Result<Connection, NetError> {
+    pub async fn connect(&self, connect_within: Duration) -> Result<Connection, NetError> {
         match timeout(connect_within, Connection::connect(self.address, self.limits)).await {
             Some(connection) => Ok(connection?),
             None => Err(NetError::TimedOut),
--- a/crates/net/tests/duplex.rs
+++ b/crates/net/tests/duplex.rs
@@ -24,7 +24,7 @@
 fn arrives(duplex: &Duplex, peer: &mut TcpStream, bytes: &[u8]) {
     peer.write_all(bytes).unwrap();
     let since = Instant::now();
-    while duplex.is_quiet() {
+    while duplex.is_idle() {
         assert!(since.elapsed() < SOON, "the bytes do not arrive");
         std::thread::yield_now();
     }
@@ -43,9 +43,9 @@
     let mut sent = 0;
     while duplex.send(&[7; 10_000]) {
         sent += 10_000;
-        assert!(duplex.kept().0 <= 100_000 && sent < 1 << 30, "{sent} sent, {} kept", duplex.kept().0);
+        assert!(duplex.unsent().0 <= 100_000 && sent < 1 << 30, "{sent} sent, {} kept", duplex.unsent().0);
     }
-    assert!(sent > 100_000 && duplex.is_closed() && duplex.kept().0 == 0);
+    assert!(sent > 100_000 && duplex.is_closed() && duplex.unsent().0 == 0);
     assert!(!duplex.send(b"more") && !duplex.is_alive());
     drop(peer);
 }
@@ -106,7 +106,7 @@
     const ANSWER: usize = 6 << 20;
     let (duplex, mut peer) = connected(KEPT);
     assert!(duplex.send(&vec![7; ANSWER]));
-    assert!(duplex.kept().0 > 0, "the system takes it all: nothing is shown");
+    assert!(duplex.unsent().0 > 0, "the system takes it all: nothing is shown");
     duplex.close();
     let answered = std::thread::spawn(move || {
         let mut got = Vec::new();
@@ -120,7 +120,7 @@
 fn a_peer_that_never_reads_or_never_closes_is_waited_for_in_bounded_time() {
     const WITHIN: Duration = Duration::from_millis(50);
     let (unread, _silent) = connected(KEPT);
-    assert!(unread.send(&vec![7; 6 << 20]) && unread.kept().0 > 0);
+    assert!(unread.send(&vec![7; 6 << 20]) && unread.unsent().0 > 0);
     let (unclosed, _resting) = connected(KEPT);
     for duplex in [&unread, &unclosed] {
         let since = Instant::now();
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -161,7 +161,7 @@
     /// Closes it if it has been silent, idle or unread for too long.
     pub fn close_if_overdue(&self, host: &Host, now: Instant) {
         let over = |since: Instant, span: Duration| now.saturating_duration_since(since) > span;
-        let (kept, moved) = self.duplex.kept();
+        let (kept, moved) = self.duplex.unsent();
         if kept > 0 && over(moved, UNREAD) {
             return self.cut_off();
         }
@@ -177,21 +177,21 @@
         }
         if stalled {
             self.close(EndReason::StoppedWithinFrame);
-        } else if idle && self.duplex.is_quiet() {
+        } else if idle && self.duplex.is_idle() {
             self.close(idle_reason);
         }
     }
 
     /// No request is open, none is coming in and no answer is unread; nothing has arrived that was not read yet.
     pub fn is_idle(&self, host: &Host) -> bool {
-        self.seems_idle(host) && self.duplex.is_quiet()
+        self.seems_idle(host) && self.duplex.is_idle()
     }
 
     /// It is idle as far as can be told without asking the system what has arrived on its socket.
     pub fn seems_idle(&self, host: &Host) -> bool {
         !self.duplex.is_closed()
             && self.frame_since.get().is_none()
-            && self.duplex.kept().0 == 0
+            && self.duplex.unsent().0 == 0
             && host.look(|core| core.open_of(self.id)) == 0
     }
 
--- a/crates/platform/src/engine.rs
+++ b/crates/platform/src/engine.rs
@@ -123,12 +123,12 @@
 
     /// Bytes wait here for its engine to take them.
     fn keeps(&self) -> bool {
-        self.duplex.borrow().as_ref().is_some_and(|d| d.kept().0 > 0)
+        self.duplex.borrow().as_ref().is_some_and(|d| d.unsent().0 > 0)
     }
 
     /// Nothing is on its way on it in either direction, as far as can be seen, and no message has been cut off on it.
     fn is_quiet(&self) -> bool {
-        let quiet = self.duplex.borrow().as_ref().is_some_and(|d| d.is_quiet());
+        let quiet = self.duplex.borrow().as_ref().is_some_and(|d| d.is_idle());
         quiet && !self.keeps() && !self.link.borrow().is_within()
     }
 
@@ -550,7 +550,7 @@
     }
     host.engines.serve(&host, &engine);
     future::or(read(&host, &engine, &line, &duplex), async {
-        duplex.drain().await;
+        duplex.run_writer().await;
         // What came in before the connection broke is still to be read; the reader finds the end behind it.
         future::pending().await
     })
--- a/crates/platform/src/engine/dial.rs
+++ b/crates/platform/src/engine/dial.rs
@@ -8,7 +8,7 @@
 use async_io::Async;
 use event_listener::Event;
 use futures_lite::future;
-use violetward_net::SocketFault;
+use violetward_net::SocketErrorKind;
 
 use super::{run, Engine, Line, DIALS};
 use crate::host::Host;
@@ -101,24 +101,24 @@
                 Ok(socket) => return Ok(socket),
                 Err(error) => error,
             };
-            let fault = SocketFault::of(&error);
-            short.set(fault == SocketFault::Shortage);
+            let fault = SocketErrorKind::of(&error);
+            short.set(fault == SocketErrorKind::ResourceShortage);
             match fault {
                 // Once for each dial: what gets free may be taken by somebody else every time.
-                SocketFault::Shortage => made_room = made_room || host.engines.make_room(),
+                SocketErrorKind::ResourceShortage => made_room = made_room || host.engines.make_room(),
                 // It says nothing of the engine's process: there may be a way in a moment.
-                SocketFault::Passing | SocketFault::Unreachable => {}
+                SocketErrorKind::Retry | SocketErrorKind::Unreachable => {}
                 // Broken while it came up: somebody is there, and nothing has been asked yet.
-                SocketFault::Broken if dials < DIALS => dials += 1,
-                SocketFault::Broken | SocketFault::Refused => {
+                SocketErrorKind::Broken if dials < DIALS => dials += 1,
+                SocketErrorKind::Broken | SocketErrorKind::Refused => {
                     tracing::debug!(engine = %format_args!("{:x}", engine.id.0), %error, dials, "no connection");
-                    if fault == SocketFault::Refused {
+                    if fault == SocketErrorKind::Refused {
                         engine.refused.set(Some(Instant::now()));
                     }
                     return Err(Missed::Failed);
                 }
             }
-            if fault != SocketFault::Broken {
+            if fault != SocketErrorKind::Broken {
                 violetward_net::sleep(DIAL_PAUSE).await;
             }
         }
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -7,7 +7,7 @@
 
 use async_io::Async;
 use futures_lite::future;
-use violetward_net::SocketFault;
+use violetward_net::SocketErrorKind;
 
 use crate::client::{Client, EndReason};
 use crate::core::{ClientId, Verdict};
@@ -88,7 +88,7 @@
     if host.quotas[0].allows(host.clock.now()) {
         tracing::warn!(%error, "a connection could not be taken");
     }
-    if SocketFault::of(error) == SocketFault::Shortage {
+    if SocketErrorKind::of(error) == SocketErrorKind::ResourceShortage {
         evict_idle_client(host);
     }
 }
@@ -117,7 +117,7 @@
     };
     while let Some(place) = least_missed(&candidates) {
         let client = candidates.swap_remove(place);
-        if client.duplex.is_quiet() {
+        if client.duplex.is_idle() {
             client.close(EndReason::MadeRoom);
             // Its task ends with the next turn; it is not counted any more.
             host.clients.borrow_mut().remove(&client.id);
@@ -136,7 +136,7 @@
 /// Serves a connection until either side ends it, then closes it.
 async fn serve(host: Rc<Host>, client: Rc<Client>) {
     let writing = async {
-        client.duplex.drain().await;
+        client.duplex.run_writer().await;
     };
     future::or(read_requests(&host, &client), writing).await;
     host.clients.borrow_mut().remove(&client.id);
@@ -179,7 +179,7 @@
 
 /// Bytes of answers that clients have not taken yet.
 pub fn unread_bytes(host: &Host) -> usize {
-    host.clients.borrow().values().map(|client| client.duplex.kept().0).sum()
+    host.clients.borrow().values().map(|client| client.duplex.unsent().0).sum()
 }
 
 /// Writes the final answer to a client's request. Clients that do not read share one bound: past it the one that has
@@ -188,9 +188,9 @@
     let client = host.clients.borrow().get(&id).cloned();
     let Some(client) = client else { return };
     client.answer(seqid, verdict);
-    if client.duplex.kept().0 > 0 && unread_bytes(host) > host.config.limits.held_bytes() {
+    if client.duplex.unsent().0 > 0 && unread_bytes(host) > host.config.limits.held_bytes() {
         let clients = host.clients.borrow();
-        let fullest = clients.values().max_by_key(|client| client.duplex.kept().0);
+        let fullest = clients.values().max_by_key(|client| client.duplex.unsent().0);
         fullest.into_iter().for_each(|client| client.cut_off());
     }
 }
--- a/crates/platform/src/resolver.rs
+++ b/crates/platform/src/resolver.rs
@@ -12,7 +12,7 @@
 use event_listener::Event;
 use futures_lite::future;
 use violetward_dns::serial::is_newer;
-use violetward_net::SocketFault;
+use violetward_net::SocketErrorKind;
 use violetward_settings::Names;
 
 use crate::host::Host;
@@ -213,7 +213,7 @@
                         self.fault = why;
                     }
                 },
-                Err(error) if SocketFault::of(&error) == SocketFault::Passing => {}
+                Err(error) if SocketErrorKind::of(&error) == SocketErrorKind::Retry => {}
                 Err(error) => {
                     self.fault = error.to_string();
                     self.open.remove(place);
