--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -74,7 +74,7 @@
                     (_, None) => return Err(format!("Endpoints: no list has number {buffer}")),
                 };
                 if let Some(instance) = self.instances.get_mut(&i) {
-                    let nodes = lines.iter().map(|l| (wire::engine(&l.node), l.node.clone()));
+                    let nodes = lines.iter().map(|l| (wire::engine_id(&l.node), l.node.clone()));
                     instance.nodes.extend(nodes);
                 }
                 wire::engines(kind, lines)
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -4,8 +4,8 @@
 
 use serde::{Deserialize, Serialize};
 use violetward as vw;
-pub use violetward_settings::engine;
-use violetward_settings::{load, BootInfo};
+pub use violetward_settings::engine_id;
+use violetward_settings::{load_from_stats, BootInfo};
 
 #[derive(Deserialize)]
 pub struct Batch {
@@ -199,7 +199,7 @@
         ListKind::Lost => vw::ListKind::Lost,
     };
     let entry = |line: &Line| vw::EngineEntry {
-        engine: engine(&line.node),
+        engine: engine_id(&line.node),
         came_up: line.came_up_us,
         weight: line.power_hint,
         kind: vw::KindId(line.model),
@@ -242,9 +242,11 @@
         }),
         News::Lapsed { job } => vw::Event::Lapsed(request(&job)?),
         News::Streaming { job } => vw::Event::Streaming(request(&job)?),
-        News::HealthResult { node, reason, server_stats } => {
-            vw::Event::Probed { engine: engine(&node), ok: reason == "ok", load: load(&server_stats) }
-        }
+        News::HealthResult { node, reason, server_stats } => vw::Event::Probed {
+            engine: engine_id(&node),
+            ok: reason == "ok",
+            load: load_from_stats(&server_stats),
+        },
         News::NoteFrom { neighbour, data } => vw::Event::Heard { from: vw::PeerId(neighbour), text: data },
         News::Answer { job, send_no, reason, time_taken_us, complete, stats, server_stats } => {
             vw::Event::Answer(vw::Answer {
@@ -255,7 +257,7 @@
                 complete,
                 work: (stats > 0).then_some((stats / 4096).saturating_mul(1000)),
                 memory_mb: (stats > 0).then_some((stats % 4096 * 4) as f64),
-                load: load(&server_stats),
+                load: load_from_stats(&server_stats),
             })
         }
         News::Elapsed { handle } => vw::Event::Elapsed(handle),
--- a/crates/gateway/tests/platform.rs
+++ b/crates/gateway/tests/platform.rs
@@ -10,7 +10,7 @@
 use program::{file, logged, resolver, signal, start, start_with_log, SOON};
 use rustix::process::Signal;
 use violetward_standin::platform::{Fault, ListFault, Listed, PlatformEngine, PlatformResolver};
-use violetward_thrift::{Cursor, Frames, Kind, Writer};
+use violetward_thrift::{Cursor, FrameDecoder, MessageType, Writer};
 
 const SETTINGS: &str = r#"{"NInstances":1,"MachineTypes":["std"],"Zones":["east"],"QuantumUs":5000,
  "Classes":[{"Name":"look","AimUs":600000,"HardLimitUs":3000000,"Worth":1.0,"Effect":"repeatable"}],
@@ -23,24 +23,24 @@
 
 fn send(socket: &mut TcpStream, n: i32) {
     let id = format!("{n:016x}");
-    let mut writer = Writer::message("dispatch", Kind::Call, n);
+    let mut writer = Writer::message("dispatch", MessageType::Call, n);
     let fields =
         [("id", id.as_str()), ("class", "look"), ("wait", "2500"), ("cost", "20"), ("heap_mb", "64")];
-    writer.texts(1, fields.into_iter());
-    writer.bytes(2, b"select 1 from a_1.b");
-    writer.stop();
-    socket.write_all(&writer.frame()).unwrap();
+    writer.string_map(1, fields.into_iter());
+    writer.binary(2, b"select 1 from a_1.b");
+    writer.end_struct();
+    socket.write_all(&writer.into_frame()).unwrap();
 }
 
 /// Whether a request is served.
 fn ask(socket: &mut TcpStream, n: i32) -> bool {
     send(socket, n);
-    let (mut frames, mut bytes) = (Frames::new(1 << 20), [0; 4096]);
+    let (mut frames, mut bytes) = (FrameDecoder::new(1 << 20), [0; 4096]);
     loop {
-        if let Some(frame) = frames.next().unwrap() {
+        if let Some(frame) = frames.next_frame().unwrap() {
             let mut cursor = Cursor::new(&frame);
-            assert_eq!(cursor.message().unwrap().seqid, n);
-            return cursor.field().unwrap() == Some((Cursor::STRUCT, 0));
+            assert_eq!(cursor.message_header().unwrap().seqid, n);
+            return cursor.field_header().unwrap() == Some((Cursor::STRUCT, 0));
         }
         let read = socket.read(&mut bytes).unwrap();
         assert!(read > 0, "closed under a request");
--- a/crates/gateway/tests/platform_waits.rs
+++ b/crates/gateway/tests/platform_waits.rs
@@ -15,7 +15,7 @@
 
 use program::{file, resolver, start};
 use violetward_standin::platform::{Fault, PlatformEngine};
-use violetward_thrift::{Frames, Kind, Writer};
+use violetward_thrift::{FrameDecoder, MessageType, Writer};
 
 const SETTINGS: &str = r#"{"NInstances":1,"MachineTypes":["std"],"Zones":["east"],"QuantumUs":5000,
  "Classes":[{"Name":"load","AimUs":1600000,"HardLimitUs":6000000,"WindowUs":6000000,"Worth":1.0,"Effect":"by_key",
@@ -44,11 +44,11 @@
         if self.is_retry {
             fields.push(("retry", "1"));
         }
-        let mut writer = Writer::message("dispatch", Kind::Call, 1);
-        writer.texts(1, fields.into_iter());
-        writer.bytes(2, b"select 1 from a_1.b");
-        writer.stop();
-        writer.frame()
+        let mut writer = Writer::message("dispatch", MessageType::Call, 1);
+        writer.string_map(1, fields.into_iter());
+        writer.binary(2, b"select 1 from a_1.b");
+        writer.end_struct();
+        writer.into_frame()
     }
 
     /// Holds the request back, then writes it; whether its final answer comes before it is lost.
@@ -58,9 +58,9 @@
         std::thread::sleep(HELD_BACK);
         let mut socket = TcpStream::connect(("127.0.0.1", port)).unwrap();
         socket.write_all(&frame).unwrap();
-        let (mut frames, mut bytes) = (Frames::new(1 << 20), [0; 4096]);
+        let (mut frames, mut bytes) = (FrameDecoder::new(1 << 20), [0; 4096]);
         let lost_at = worded + self.wait + TOLERANCE;
-        while frames.next().unwrap().is_none() {
+        while frames.next_frame().unwrap().is_none() {
             let left = lost_at.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return false;
--- a/crates/lab/src/soak/client.rs
+++ b/crates/lab/src/soak/client.rs
@@ -8,7 +8,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 use violetward_standin::platform::page;
-use violetward_thrift::{Cursor, Frames, Kind, Writer};
+use violetward_thrift::{Cursor, FrameDecoder, MessageType, Writer};
 
 use super::check::{CROSSING, TOLERANCE};
 use super::record::{Event, Written};
@@ -63,7 +63,7 @@
     rng: StdRng,
     gateway: usize,
     socket: TcpStream,
-    frames: Frames,
+    frames: FrameDecoder,
     seqid: i32,
     /// What has no answer yet, by number: its id, and when it was written and counts as lost.
     open: BTreeMap<i32, (u64, Instant, Instant)>,
@@ -83,7 +83,7 @@
             std::thread::sleep(Duration::from_millis(20));
             continue;
         };
-        let (frames, open) = (Frames::new(1 << 20), BTreeMap::new());
+        let (frames, open) = (FrameDecoder::new(1 << 20), BTreeMap::new());
         let mut client =
             Client { world, rng, gateway, socket, frames, seqid: 0, open, answered: BTreeMap::new() };
         while !world.is_over() && client.act() {}
@@ -182,11 +182,11 @@
         if class == 1 {
             fields.extend([("key", &*key), ("once", &*once)]);
         }
-        let mut writer = Writer::message("dispatch", Kind::Call, self.seqid);
-        writer.texts(1, fields.into_iter());
-        writer.bytes(2, b"select 1 from a_1.b");
-        writer.stop();
-        writer.frame()
+        let mut writer = Writer::message("dispatch", MessageType::Call, self.seqid);
+        writer.string_map(1, fields.into_iter());
+        writer.binary(2, b"select 1 from a_1.b");
+        writer.end_struct();
+        writer.into_frame()
     }
 
     fn write_slowly(&mut self, frame: &[u8]) -> std::io::Result<()> {
@@ -221,7 +221,7 @@
                     ) => {}
                 Err(_) => return self.note_end(),
             }
-            while let Ok(Some(frame)) = self.frames.next() {
+            while let Ok(Some(frame)) = self.frames.next_frame() {
                 self.take(&frame);
             }
         }
@@ -230,7 +230,7 @@
 
     fn take(&mut self, frame: &[u8]) {
         let mut cursor = Cursor::new(frame);
-        let Ok(head) = cursor.message() else { return };
+        let Ok(head) = cursor.message_header() else { return };
         let id = match self.open.remove(&head.seqid) {
             Some((id, _, _)) => id,
             None => match self.answered.get(&head.seqid) {
@@ -240,10 +240,11 @@
             },
         };
         self.answered.insert(head.seqid, id);
-        let served = head.kind == Kind::Reply && matches!(cursor.field(), Ok(Some((Cursor::STRUCT, 0))));
+        let served = head.message_type == MessageType::Reply
+            && matches!(cursor.field_header(), Ok(Some((Cursor::STRUCT, 0))));
         let right = !served || {
             let text = format!("{id:016x}");
-            cursor.field().is_ok() && cursor.text().is_ok_and(|body| body == page(&text, 0))
+            cursor.field_header().is_ok() && cursor.string().is_ok_and(|body| body == page(&text, 0))
         };
         self.world.records.note(Event::Answered { id, served, right });
     }
@@ -273,10 +274,10 @@
 
     fn take_back(&mut self) -> bool {
         let Some((&seqid, &(id, _, _))) = self.open.iter().next_back() else { return true };
-        let mut writer = Writer::message("cancelRequest", Kind::Oneway, 0);
+        let mut writer = Writer::message("cancelRequest", MessageType::Oneway, 0);
         writer.i32(1, seqid);
-        writer.stop();
-        let written = self.socket.write_all(&writer.frame()).is_ok();
+        writer.end_struct();
+        let written = self.socket.write_all(&writer.into_frame()).is_ok();
         self.open.remove(&seqid);
         self.world.records.note(Event::Left { id });
         written
--- a/crates/lab/src/soak/engine.rs
+++ b/crates/lab/src/soak/engine.rs
@@ -7,7 +7,7 @@
 
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use violetward_resp::{write, Limits, Reader};
+use violetward_resp::{write_array, Limits, Reader};
 use violetward_standin::platform::{page, Listed};
 
 use super::record::{Event, Records};
@@ -121,7 +121,8 @@
 
 impl Connection {
     fn serve(mut self) {
-        let mut reader = Reader::new(Limits { string: 1 << 20, total: 1 << 21, strings: 16 });
+        let mut reader =
+            Reader::new(Limits { max_string_bytes: 1 << 20, max_total_bytes: 1 << 21, max_strings: 16 });
         let mut bytes = [0; 16 << 10];
         loop {
             match self.socket.read(&mut bytes) {
@@ -129,7 +130,7 @@
                 Ok(read) => reader.feed(&bytes[..read]),
             }
             let came = Instant::now();
-            while let Ok(Some(command)) = reader.next() {
+            while let Ok(Some(command)) = reader.next_array() {
                 let words: Vec<String> =
                     command.iter().map(|w| String::from_utf8_lossy(w).into_owned()).collect();
                 if !self.obey(came, &words) {
@@ -166,7 +167,7 @@
             3 => false,
             4 => {
                 let mut answer = Vec::new();
-                write(&mut answer, &good.map(str::as_bytes));
+                write_array(&mut answer, &good.map(str::as_bytes));
                 self.socket.write_all(&answer[..answer.len() / 2]).ok();
                 false
             }
@@ -189,7 +190,7 @@
 
     fn say(&mut self, words: [&str; 4], times: usize) -> bool {
         let mut answer = Vec::new();
-        write(&mut answer, &words.map(str::as_bytes));
+        write_array(&mut answer, &words.map(str::as_bytes));
         self.socket.write_all(&answer.repeat(times)).is_ok()
     }
 }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -6,7 +6,7 @@
 
 use async_io::Async;
 use violetward_net::Duplex;
-use violetward_thrift::{Frames, Head, Kind, Writer};
+use violetward_thrift::{FrameDecoder, MessageHeader, MessageType, Writer};
 
 use crate::core::{ClientId, Verdict};
 use crate::host::Host;
@@ -49,7 +49,7 @@
     /// Its socket.
     pub duplex: Duplex,
     /// Frames that come in.
-    pub frames: RefCell<Frames>,
+    pub frames: RefCell<FrameDecoder>,
     opened: Instant,
     /// Since when a frame has been coming in.
     frame_since: Cell<Option<Instant>>,
@@ -61,20 +61,20 @@
 
 /// Writes a result of the method `dispatch` or `alive`.
 fn write_result(writer: &mut Writer, body: &[u8], good: bool) {
-    writer.begin(0);
-    writer.bytes(1, body);
-    writer.texts(2, std::iter::empty());
+    writer.begin_struct(0);
+    writer.binary(1, body);
+    writer.string_map(2, std::iter::empty());
     writer.bool(3, good);
-    writer.stop();
-    writer.stop();
+    writer.end_struct();
+    writer.end_struct();
 }
 
 /// Writes a declared exception: the field of the result that holds it, and its fields.
 fn write_thrown(writer: &mut Writer, number: i16, fields: &[(&str, &str)]) {
-    writer.begin(number);
-    writer.texts(1, fields.iter().copied());
-    writer.stop();
-    writer.stop();
+    writer.begin_struct(number);
+    writer.string_map(1, fields.iter().copied());
+    writer.end_struct();
+    writer.end_struct();
 }
 
 impl Client {
@@ -83,7 +83,7 @@
         Client {
             id,
             duplex: Duplex::new(socket, UNREAD_BYTES),
-            frames: RefCell::new(Frames::new(frame_bytes)),
+            frames: RefCell::new(FrameDecoder::new(frame_bytes)),
             opened: Instant::now(),
             frame_since: Cell::new(None),
             last_used: Cell::new(None),
@@ -112,7 +112,7 @@
     /// Writes the final answer to a request.
     pub fn answer(&self, seqid: i32, verdict: &Verdict) {
         tracing::debug!(client = self.id.0, seqid, what = verdict.name(), "answer");
-        let mut writer = Writer::message("dispatch", Kind::Reply, seqid);
+        let mut writer = Writer::message("dispatch", MessageType::Reply, seqid);
         match verdict {
             Verdict::Served(result) => write_result(&mut writer, result, true),
             Verdict::Refused(0) => write_thrown(&mut writer, 1, &[]),
@@ -122,27 +122,27 @@
             Verdict::Failed => write_thrown(&mut writer, 2, &[]),
         }
         self.last_used.set(Some(Instant::now()));
-        self.duplex.send(&writer.frame());
+        self.duplex.send(&writer.into_frame());
     }
 
     /// Writes the answer to `alive`.
     pub fn answer_alive(&self, seqid: i32, good: bool) {
-        let mut writer = Writer::message("alive", Kind::Reply, seqid);
+        let mut writer = Writer::message("alive", MessageType::Reply, seqid);
         write_result(&mut writer, b"", good);
-        self.duplex.send(&writer.frame());
+        self.duplex.send(&writer.into_frame());
     }
 
     /// Answers a message with an application exception.
-    pub fn answer_exception(&self, head: &Head, code: i32, why: &str) {
+    pub fn answer_exception(&self, head: &MessageHeader, code: i32, why: &str) {
         // Nobody waits for an answer to what is no call.
-        if head.kind == Kind::Oneway {
+        if head.message_type == MessageType::Oneway {
             return;
         }
-        let mut writer = Writer::message(&head.name, Kind::Exception, head.seqid);
-        writer.bytes(1, why.as_bytes());
+        let mut writer = Writer::message(&head.method, MessageType::Exception, head.seqid);
+        writer.binary(1, why.as_bytes());
         writer.i32(2, code);
-        writer.stop();
-        self.duplex.send(&writer.frame());
+        writer.end_struct();
+        self.duplex.send(&writer.into_frame());
     }
 
     /// A frame has come in whole.
@@ -154,7 +154,7 @@
 
     /// All that came with a read has been looked at: a frame may still be coming in.
     pub fn note_read(&self) {
-        let incomplete = self.frames.borrow().is_within();
+        let incomplete = self.frames.borrow().has_partial_frame();
         self.frame_since.set(incomplete.then(|| self.frame_since.get().unwrap_or_else(Instant::now)));
     }
 
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -84,7 +84,7 @@
     let resolver = address("dns", &file.dns)?;
     // A seed is random digits; whatever its form, it feeds the generator.
     let seed =
-        u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| violetward_settings::engine(&file.seed).0);
+        u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| violetward_settings::engine_id(&file.seed).0);
     if file.limits.sockets < LEAST_SOCKETS {
         return Err(format!("limits.sockets: {} are fewer than {LEAST_SOCKETS}", file.limits.sockets));
     }
--- a/crates/platform/src/engine.rs
+++ b/crates/platform/src/engine.rs
@@ -457,7 +457,7 @@
     /// without requests, and all of engines that have left.
     pub fn sweep(&self, now: Instant) {
         // Ours close first: a request that crosses the engine's close may or may not have run.
-        let idle = Duration::from_micros(self.terms.idle) * 2 / 3;
+        let idle = Duration::from_micros(self.terms.idle_timeout) * 2 / 3;
         let mut engines = self.engines.borrow_mut();
         for engine in engines.values() {
             for line in engine.lines.borrow().iter().filter(|l| l.is_up() && l.load() == 0) {
--- a/crates/platform/src/link.rs
+++ b/crates/platform/src/link.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 use violetward::{Load, Micros, Outcome, RequestId};
-use violetward_resp::{write, Limits, Reader};
+use violetward_resp::{write_array, Limits, Reader};
 
 use crate::core::{AttemptId, Ending, Launch};
 
@@ -71,7 +71,7 @@
     /// A fresh connection.
     pub fn new() -> Self {
         // A page and its fields fit; anything longer is no answer of an engine.
-        let limits = Limits { strings: 8, string: 16 << 10, total: 24 << 10 };
+        let limits = Limits { max_strings: 8, max_string_bytes: 16 << 10, max_total_bytes: 24 << 10 };
         Link {
             reader: Reader::new(limits),
             asked: HashMap::new(),
@@ -95,7 +95,7 @@
 
     /// A message has begun to come in and is not whole: what is asked now would be answered behind its end, if that comes.
     pub fn is_within(&self) -> bool {
-        !self.reader.is_between()
+        !self.reader.is_at_array_boundary()
     }
 
     /// Asks for an attempt; `patience` is how long it will be waited for, in milliseconds.
@@ -109,7 +109,7 @@
             fields += &format!(",mb={}", launch.memory_mb.ceil());
         }
         fields += &format!(",nice={}", launch.rank);
-        write(out, &[b"fetch", id.as_bytes(), fields.as_bytes(), &launch.body]);
+        write_array(out, &[b"fetch", id.as_bytes(), fields.as_bytes(), &launch.body]);
         self.asked.insert(id, Asked { attempt: launch.attempt, gather: None });
     }
 
@@ -120,7 +120,7 @@
             return false;
         }
         let gathers = self.asked.remove(&id).is_some_and(|a| a.gather.is_some());
-        write(out, &[if gathers { b"done" } else { b"abort" }, id.as_bytes()]);
+        write_array(out, &[if gathers { b"done" } else { b"abort" }, id.as_bytes()]);
         self.retire(attempt.0);
         true
     }
@@ -129,7 +129,7 @@
     pub fn renice(&mut self, attempt: AttemptId, rank: u8, out: &mut Vec<u8>) {
         let id = id_text(attempt);
         if self.asked.get(&id).is_some_and(|a| a.attempt == attempt && a.gather.is_none()) {
-            write(out, &[b"renice", id.as_bytes(), rank.to_string().as_bytes()]);
+            write_array(out, &[b"renice", id.as_bytes(), rank.to_string().as_bytes()]);
         }
     }
 
@@ -137,7 +137,7 @@
     pub fn probe(&mut self, out: &mut Vec<u8>) -> String {
         self.tags += 1;
         let tag = format!("t{}", self.tags);
-        write(out, &[b"stats", tag.as_bytes()]);
+        write_array(out, &[b"stats", tag.as_bytes()]);
         self.probes.insert(tag.clone());
         tag
     }
@@ -162,7 +162,7 @@
     /// Says why the connection can't be used any more; what is open on it has to be ended with [`Link::broken`].
     pub fn feed(&mut self, bytes: &[u8], out: &mut Vec<u8>, told: &mut Vec<Told>) -> Result<(), String> {
         self.reader.feed(bytes);
-        while let Some(answer) = self.reader.next().map_err(|e| e.to_string())? {
+        while let Some(answer) = self.reader.next_array().map_err(|e| e.to_string())? {
             let [id, word, fields, body] = &answer[..] else {
                 return Err(format!("an answer of {} parts", answer.len()));
             };
@@ -216,7 +216,7 @@
                 };
                 asked.gather = Some(Gather { pages, came: BTreeMap::new(), bytes: 0, ending });
                 for page in 1..pages {
-                    write(out, &[b"more", id.as_bytes(), page.to_string().as_bytes()]);
+                    write_array(out, &[b"more", id.as_bytes(), page.to_string().as_bytes()]);
                 }
                 None
             }
@@ -255,7 +255,7 @@
         }
         gather.came.insert(page, body.to_vec());
         if gather.came.len() == gather.pages {
-            write(out, &[b"done", id.as_bytes()]);
+            write_array(out, &[b"done", id.as_bytes()]);
             let asked = self.asked.remove(id);
             if let Some(Asked { attempt, gather: Some(gather) }) = asked {
                 let mut result = Vec::with_capacity(gather.bytes);
@@ -329,6 +329,6 @@
                 values.insert(name.to_owned(), value);
             }
         }
-        violetward_settings::load(&values)
+        violetward_settings::load_from_stats(&values)
     }
 }
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -102,7 +102,7 @@
             found.ok_or_else(|| format!("{}: the {what} {name:?} is not known", self.name))
         };
         let entry = EngineEntry {
-            engine: violetward_settings::engine(self.name),
+            engine: violetward_settings::engine_id(self.name),
             came_up: self.started_ms.saturating_mul(1000),
             weight: self.weight,
             kind: KindId(place(&names.kinds, "kind", self.kind)?),
--- a/crates/platform/src/requests.rs
+++ b/crates/platform/src/requests.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use violetward::Micros;
-use violetward_thrift::{Cursor, Head, Kind, ThriftError};
+use violetward_thrift::{Cursor, MessageHeader, MessageType, ThriftError};
 
 use crate::call::{self, Call};
 use crate::client::Client;
@@ -57,11 +57,11 @@
 fn read_frames(host: &Rc<Host>, client: &Rc<Client>) -> Result<Read, Violation> {
     let mut read = Read::default();
     while !client.duplex.is_closed() {
-        let frame = client.frames.borrow_mut().next();
+        let frame = client.frames.borrow_mut().next_frame();
         match frame {
             Ok(Some(frame)) => handle_frame(host, client, &frame, &mut read)?,
             Ok(None) => break,
-            Err(ThriftError::Negative) => return Err(Violation("a frame of negative length")),
+            Err(ThriftError::NegativeLength) => return Err(Violation("a frame of negative length")),
             Err(_) => return Err(Violation("a frame that is too long")),
         }
     }
@@ -76,17 +76,21 @@
 ) -> Result<(), Violation> {
     client.note_frame();
     let mut cursor = Cursor::new(frame);
-    let head = cursor.message().map_err(|_| Violation("a message that can't be read"))?;
-    match head.name.as_str() {
-        _ if matches!(head.kind, Kind::Reply | Kind::Exception) => {
+    let head = cursor.message_header().map_err(|_| Violation("a message that can't be read"))?;
+    match head.method.as_str() {
+        _ if matches!(head.message_type, MessageType::Reply | MessageType::Exception) => {
             client.answer_exception(&head, INVALID_MESSAGE_TYPE, "not a call");
         }
-        "dispatch" if head.kind == Kind::Call => read_dispatch(host, client, &head, cursor, read)?,
+        "dispatch" if head.message_type == MessageType::Call => {
+            read_dispatch(host, client, &head, cursor, read)?
+        }
         "cancelRequest" => match read_cancelled_number(cursor) {
             Ok(seqid) => note_cancelled(host, client, seqid, read),
             Err(e) => client.answer_exception(&head, PROTOCOL_ERROR, &e.to_string()),
         },
-        "alive" if head.kind == Kind::Call => client.answer_alive(head.seqid, !host.is_stopping()),
+        "alive" if head.message_type == MessageType::Call => {
+            client.answer_alive(head.seqid, !host.is_stopping())
+        }
         _ => client.answer_exception(&head, UNKNOWN_METHOD, "no such method"),
     }
     Ok(())
@@ -112,13 +116,13 @@
 /// The number that a `cancelRequest` names.
 fn read_cancelled_number(mut cursor: Cursor<'_>) -> Result<i32, ThriftError> {
     let mut seqid = None;
-    while let Some((kind, field)) = cursor.field()? {
+    while let Some((kind, field)) = cursor.field_header()? {
         match (kind, field) {
             (Cursor::I32, 1) => seqid = Some(cursor.i32()?),
             _ => cursor.skip(kind)?,
         }
     }
-    seqid.ok_or(ThriftError::Short)
+    seqid.ok_or(ThriftError::Truncated)
 }
 
 type Arguments<'a> = (Vec<(&'a str, &'a str)>, &'a [u8]);
@@ -126,24 +130,24 @@
 /// The fields and the statement of a `dispatch`.
 fn read_arguments<'a>(mut cursor: Cursor<'a>) -> Result<Arguments<'a>, ThriftError> {
     let (mut fields, mut body) = (None, None);
-    while let Some((kind, field)) = cursor.field()? {
+    while let Some((kind, field)) = cursor.field_header()? {
         match (kind, field) {
-            (Cursor::MAP, 1) => fields = Some(cursor.texts()?),
-            (Cursor::STRING, 2) => body = Some(cursor.bytes()?),
-            (_, 1 | 2) => return Err(ThriftError::Type),
+            (Cursor::MAP, 1) => fields = Some(cursor.string_map()?),
+            (Cursor::STRING, 2) => body = Some(cursor.binary()?),
+            (_, 1 | 2) => return Err(ThriftError::UnexpectedType),
             _ => cursor.skip(kind)?,
         }
     }
     if !cursor.rest().is_empty() {
-        return Err(ThriftError::Short);
+        return Err(ThriftError::Truncated);
     }
-    fields.zip(body).ok_or(ThriftError::Short)
+    fields.zip(body).ok_or(ThriftError::Truncated)
 }
 
 fn read_dispatch(
     host: &Rc<Host>,
     client: &Rc<Client>,
-    head: &Head,
+    head: &MessageHeader,
     cursor: Cursor<'_>,
     read: &mut Read,
 ) -> Result<(), Violation> {
@@ -194,7 +198,8 @@
             Taken::Full => client.answer(seqid, &Verdict::Refused(0)),
             Taken::OwnId => return Err(Violation("the id of an open request again")),
             Taken::OthersId => {
-                let head = Head { name: "dispatch".into(), kind: Kind::Call, seqid };
+                let head =
+                    MessageHeader { method: "dispatch".into(), message_type: MessageType::Call, seqid };
                 client.answer_exception(&head, PROTOCOL_ERROR, "id: in use");
             }
         }
--- a/crates/platform/tests/bed/scripted.rs
+++ b/crates/platform/tests/bed/scripted.rs
@@ -16,9 +16,9 @@
 use violetward_platform::resolver::Resolver;
 use violetward_platform::service;
 use violetward_platform::shutdown;
-use violetward_resp::{write, Limits, Reader};
+use violetward_resp::{write_array, Limits, Reader};
 use violetward_standin::platform::{hold_listener, page, release_listener, reset, Listed, PlatformResolver};
-use violetward_thrift::{Cursor, Frames, Kind, Writer};
+use violetward_thrift::{Cursor, FrameDecoder, MessageType, Writer};
 
 /// How long anything may take that has to happen; nothing that goes right waits for it.
 pub const SOON: Duration = Duration::from_secs(20);
@@ -197,12 +197,13 @@
 /// An answer's bytes.
 pub fn answer(words: [&str; 4]) -> Vec<u8> {
     let mut bytes = Vec::new();
-    write(&mut bytes, &words.map(str::as_bytes));
+    write_array(&mut bytes, &words.map(str::as_bytes));
     bytes
 }
 
 fn read_commands(number: usize, connection: &Connection, tell: &Sender<Seen>) {
-    let mut reader = Reader::new(Limits { string: 1 << 20, total: 1 << 21, strings: 16 });
+    let mut reader =
+        Reader::new(Limits { max_string_bytes: 1 << 20, max_total_bytes: 1 << 21, max_strings: 16 });
     let mut bytes = [0; 16 << 10];
     loop {
         match connection.reader.load(Ordering::Relaxed) {
@@ -218,7 +219,7 @@
             Err(e) if e.kind() == std::io::ErrorKind::WouldBlock => continue,
             _ => break,
         }
-        while let Some(command) = reader.next().unwrap() {
+        while let Some(command) = reader.next_array().unwrap() {
             let words = command.iter().map(|w| String::from_utf8_lossy(w).into_owned()).collect();
             tell.send(Seen::Command(number, words)).ok();
         }
@@ -398,7 +399,7 @@
 /// A client of a gateway.
 pub struct Client {
     socket: TcpStream,
-    frames: Frames,
+    frames: FrameDecoder,
     seqid: i32,
 }
 
@@ -410,7 +411,7 @@
     /// A client on a connection that is there.
     pub fn over(socket: TcpStream) -> Client {
         socket.set_read_timeout(Some(SOON)).unwrap();
-        Client { socket, frames: Frames::new(1 << 20), seqid: 0 }
+        Client { socket, frames: FrameDecoder::new(1 << 20), seqid: 0 }
     }
 
     /// Sends a request and does not wait; its number.
@@ -431,19 +432,19 @@
         self.seqid += 1;
         let wait = wait.to_string();
         let fields = [("id", id), ("class", class), ("wait", &wait), ("cost", "20.0"), ("heap_mb", "64")];
-        let mut writer = Writer::message("dispatch", Kind::Call, self.seqid);
-        writer.texts(1, fields.into_iter());
-        writer.bytes(2, b"pages 1");
-        writer.stop();
-        writer.frame()
+        let mut writer = Writer::message("dispatch", MessageType::Call, self.seqid);
+        writer.string_map(1, fields.into_iter());
+        writer.binary(2, b"pages 1");
+        writer.end_struct();
+        writer.into_frame()
     }
 
     /// A call of a method that does not exist; it is answered by an exception.
     pub fn unknown_method(&mut self) -> Vec<u8> {
         self.seqid += 1;
-        let mut writer = Writer::message("drop", Kind::Call, self.seqid);
-        writer.stop();
-        writer.frame()
+        let mut writer = Writer::message("drop", MessageType::Call, self.seqid);
+        writer.end_struct();
+        writer.into_frame()
     }
 
     /// Its socket, for bytes that a client would not send.
@@ -460,10 +461,10 @@
 
     /// Takes a request back.
     pub fn cancel(&mut self, seqid: i32) {
-        let mut writer = Writer::message("cancelRequest", Kind::Oneway, 0);
+        let mut writer = Writer::message("cancelRequest", MessageType::Oneway, 0);
         writer.i32(1, seqid);
-        writer.stop();
-        self.socket.write_all(&writer.frame()).unwrap();
+        writer.end_struct();
+        self.socket.write_all(&writer.into_frame()).unwrap();
     }
 
     /// Returns once the gateway has taken the connection and looked at all that was sent on it.
@@ -484,7 +485,7 @@
     pub fn read(&mut self) -> (i32, Got) {
         let mut bytes = [0; 8 << 10];
         let frame = loop {
-            if let Some(frame) = self.frames.next().unwrap() {
+            if let Some(frame) = self.frames.next_frame().unwrap() {
                 break frame;
             }
             match self.socket.read(&mut bytes) {
@@ -495,14 +496,14 @@
             }
         };
         let mut cursor = Cursor::new(&frame);
-        let head = cursor.message().unwrap();
-        if head.kind == Kind::Exception {
+        let head = cursor.message_header().unwrap();
+        if head.message_type == MessageType::Exception {
             return (head.seqid, Got::Exception);
         }
-        let got = match cursor.field().unwrap() {
+        let got = match cursor.field_header().unwrap() {
             Some((Cursor::STRUCT, 0)) => {
-                assert_eq!(cursor.field().unwrap(), Some((Cursor::STRING, 1)));
-                Got::Served(cursor.text().unwrap().to_owned())
+                assert_eq!(cursor.field_header().unwrap(), Some((Cursor::STRING, 1)));
+                Got::Served(cursor.string().unwrap().to_owned())
             }
             Some((Cursor::STRUCT, 1)) => Got::Refused,
             Some((Cursor::STRUCT, 2)) => Got::Failed,
--- a/crates/platform/tests/core_orders.rs
+++ b/crates/platform/tests/core_orders.rs
@@ -69,7 +69,7 @@
     }
 
     fn id(&self) -> EngineId {
-        violetward_settings::engine(&self.name)
+        violetward_settings::engine_id(&self.name)
     }
 }
 
--- a/crates/platform/tests/leaving.rs
+++ b/crates/platform/tests/leaving.rs
@@ -12,7 +12,7 @@
 use violetward_platform::resolver::Resolver;
 use violetward_platform::service;
 use violetward_standin::platform::{Listed, PlatformEngine, PlatformResolver};
-use violetward_thrift::{Frames, Kind, Writer};
+use violetward_thrift::{FrameDecoder, MessageType, Writer};
 
 /// A gateway on loopback before one engine; it ends with the process.
 struct Bed {
@@ -44,45 +44,45 @@
 
 struct Client {
     socket: TcpStream,
-    frames: Frames,
+    frames: FrameDecoder,
 }
 
 impl Client {
     fn new(bed: &Bed) -> Client {
         let socket = TcpStream::connect(bed.address).unwrap();
         socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-        Client { socket, frames: Frames::new(1 << 20) }
+        Client { socket, frames: FrameDecoder::new(1 << 20) }
     }
 
     fn dispatch(&mut self, seqid: i32, id: &str) {
         let fields = [("id", id), ("class", "look"), ("wait", "2900"), ("cost", "20.0"), ("heap_mb", "64")];
-        let mut writer = Writer::message("dispatch", Kind::Call, seqid);
-        writer.texts(1, fields.into_iter());
-        writer.bytes(2, b"pages 1");
-        writer.stop();
-        self.socket.write_all(&writer.frame()).unwrap();
+        let mut writer = Writer::message("dispatch", MessageType::Call, seqid);
+        writer.string_map(1, fields.into_iter());
+        writer.binary(2, b"pages 1");
+        writer.end_struct();
+        self.socket.write_all(&writer.into_frame()).unwrap();
     }
 
     fn cancel(&mut self, seqid: i32) {
-        let mut writer = Writer::message("cancelRequest", Kind::Oneway, 0);
+        let mut writer = Writer::message("cancelRequest", MessageType::Oneway, 0);
         writer.i32(1, seqid);
-        writer.stop();
-        self.socket.write_all(&writer.frame()).unwrap();
+        writer.end_struct();
+        self.socket.write_all(&writer.into_frame()).unwrap();
     }
 
     /// All that was sent before has been taken once this is answered.
     fn alive(&mut self, seqid: i32) {
-        let mut writer = Writer::message("alive", Kind::Call, seqid);
+        let mut writer = Writer::message("alive", MessageType::Call, seqid);
         writer.bool(1, false);
-        writer.stop();
-        self.socket.write_all(&writer.frame()).unwrap();
+        writer.end_struct();
+        self.socket.write_all(&writer.into_frame()).unwrap();
         self.read();
     }
 
     fn read(&mut self) -> Vec<u8> {
         let mut bytes = [0; 8 << 10];
         loop {
-            if let Some(frame) = self.frames.next().unwrap() {
+            if let Some(frame) = self.frames.next_frame().unwrap() {
                 return frame;
             }
             let read = self.socket.read(&mut bytes).unwrap();
--- a/crates/platform/tests/link.rs
+++ b/crates/platform/tests/link.rs
@@ -3,7 +3,7 @@
 use violetward::{EngineId, Outcome, RequestId};
 use violetward_platform::core::{AttemptId, Ending, Launch};
 use violetward_platform::link::{Link, Told};
-use violetward_resp::write;
+use violetward_resp::write_array;
 
 const ID: &str = "9b1f03aa5c7e2d41";
 
@@ -32,7 +32,7 @@
 
 fn command(words: &[&[u8]]) -> Vec<u8> {
     let mut bytes = Vec::new();
-    write(&mut bytes, words);
+    write_array(&mut bytes, words);
     bytes
 }
 
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -202,7 +202,7 @@
 
 #[test]
 fn classes_go_only_to_the_kinds_and_zones_that_are_open_to_them() {
-    let engine = |kind: usize, zone: usize| violetward_settings::engine(&format!("e-{kind}{zone}"));
+    let engine = |kind: usize, zone: usize| violetward_settings::engine_id(&format!("e-{kind}{zone}"));
     let cases = [
         (json!([1]), Value::Null, vec![engine(1, 0), engine(1, 1)]),
         (Value::Null, json!([1]), vec![engine(0, 1), engine(1, 1)]),
@@ -239,7 +239,7 @@
     });
     let config = config.expect("good settings");
     let connections = config.connections.clone();
-    assert_eq!((connections.streams, connections.idle, connections.open_cap), (1, 0, 0));
+    assert_eq!((connections.streams, connections.idle_timeout, connections.open_cap), (1, 0, 0));
     assert_eq!((connections.connect_timeout, connections.probe_timeout), (250_000, 250_000));
     let mut bench = Bench::new(config);
     // No longest wait is told: the client's own counts.
@@ -404,8 +404,9 @@
     bench.core.written(bench.now, first.attempt);
     bench.end(first.attempt, Outcome::Broken);
     let second = bench.launches().pop().expect("another attempt");
-    let zone =
-        |engine| (0..2).find(|z| (0..2).any(|k| violetward_settings::engine(&format!("e-{k}{z}")) == engine));
+    let zone = |engine| {
+        (0..2).find(|z| (0..2).any(|k| violetward_settings::engine_id(&format!("e-{k}{z}")) == engine))
+    };
     assert_eq!(zone(first.engine), zone(second.engine));
     // What may have run is not refused: an engine of the other zone would run the client's next try again.
     bench.core.written(bench.now, second.attempt);
--- a/crates/platform/tests/sockets.rs
+++ b/crates/platform/tests/sockets.rs
@@ -12,7 +12,7 @@
 use violetward_platform::resolver::Resolver;
 use violetward_platform::service;
 use violetward_standin::platform::{page, Fault, ListFault, Listed, PlatformEngine, PlatformResolver};
-use violetward_thrift::{Cursor, Frames, Kind, Writer};
+use violetward_thrift::{Cursor, FrameDecoder, MessageType, Writer};
 
 struct Bed {
     address: SocketAddr,
@@ -60,7 +60,7 @@
 
 struct Client {
     socket: TcpStream,
-    frames: Frames,
+    frames: FrameDecoder,
     seqid: i32,
 }
 
@@ -78,18 +78,18 @@
         vec![("id", id), ("class", class), ("wait", "2500"), ("cost", "20.0"), ("heap_mb", "64")];
     fields.retain(|(name, _)| !more.iter().any(|(n, _)| n == name));
     fields.extend(more.iter().filter(|(_, value)| *value != "absent"));
-    let mut writer = Writer::message("dispatch", Kind::Call, seqid);
-    writer.texts(1, fields.iter().copied());
-    writer.bytes(2, body.as_bytes());
-    writer.stop();
-    writer.frame()
+    let mut writer = Writer::message("dispatch", MessageType::Call, seqid);
+    writer.string_map(1, fields.iter().copied());
+    writer.binary(2, body.as_bytes());
+    writer.end_struct();
+    writer.into_frame()
 }
 
 fn take_back(seqid: i32) -> Vec<u8> {
-    let mut writer = Writer::message("cancelRequest", Kind::Oneway, 0);
+    let mut writer = Writer::message("cancelRequest", MessageType::Oneway, 0);
     writer.i32(1, seqid);
-    writer.stop();
-    writer.frame()
+    writer.end_struct();
+    writer.into_frame()
 }
 
 fn id(n: u64) -> String {
@@ -100,7 +100,7 @@
     fn new(bed: &Bed) -> Client {
         let socket = TcpStream::connect(bed.address).unwrap();
         socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-        Client { socket, frames: Frames::new(1 << 20), seqid: 0 }
+        Client { socket, frames: FrameDecoder::new(1 << 20), seqid: 0 }
     }
 
     fn send(&mut self, bytes: &[u8]) {
@@ -112,7 +112,7 @@
     fn read(&mut self) -> (i32, Got) {
         let mut bytes = [0; 8 << 10];
         let frame = loop {
-            if let Some(frame) = self.frames.next().unwrap() {
+            if let Some(frame) = self.frames.next_frame().unwrap() {
                 break frame;
             }
             match self.socket.read(&mut bytes) {
@@ -123,14 +123,14 @@
             }
         };
         let mut cursor = Cursor::new(&frame);
-        let head = cursor.message().unwrap();
-        if head.kind == Kind::Exception {
+        let head = cursor.message_header().unwrap();
+        if head.message_type == MessageType::Exception {
             return (head.seqid, Got::Exception);
         }
-        let got = match cursor.field().unwrap() {
+        let got = match cursor.field_header().unwrap() {
             Some((Cursor::STRUCT, 0)) => {
-                assert_eq!(cursor.field().unwrap(), Some((Cursor::STRING, 1)));
-                Got::Served(cursor.text().unwrap().to_owned())
+                assert_eq!(cursor.field_header().unwrap(), Some((Cursor::STRING, 1)));
+                Got::Served(cursor.string().unwrap().to_owned())
             }
             Some((Cursor::STRUCT, 1)) => Got::Refused,
             Some((Cursor::STRUCT, 2)) => Got::Failed,
@@ -341,9 +341,9 @@
     let bed = bed(1);
     let huge = |size: u32| size.to_be_bytes().to_vec();
     let deep = {
-        let mut writer = Writer::message("dispatch", Kind::Call, 1);
-        (0..100).for_each(|_| writer.begin(9));
-        writer.frame()
+        let mut writer = Writer::message("dispatch", MessageType::Call, 1);
+        (0..100).for_each(|_| writer.begin_struct(9));
+        writer.into_frame()
     };
     let lying = [
         &[0, 0, 0, 30, 0x80, 1, 0, 1, 0, 0, 0, 8][..],
@@ -398,7 +398,7 @@
     .chain([
         ("nesting", deep),
         ("a count that lies", lying),
-        ("a method", Writer::message("drop", Kind::Call, 1).frame()),
+        ("a method", Writer::message("drop", MessageType::Call, 1).into_frame()),
     ])
     .collect();
     let (good_address, stop) = (bed.address, std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false)));
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -4,16 +4,16 @@
 //! before anything is kept for it: a bulk string that is said to have gigabytes costs its connection at once.
 //!
 //! ```
-//! use violetward_resp::{write, Limits, Reader};
+//! use violetward_resp::{write_array, Limits, Reader};
 //!
 //! let mut bytes = Vec::new();
-//! write(&mut bytes, &[b"alive", b"t1"]);
+//! write_array(&mut bytes, &[b"alive", b"t1"]);
 //! assert_eq!(bytes, b"*2\r\n$5\r\nalive\r\n$2\r\nt1\r\n");
 //! let mut reader = Reader::new(Limits::default());
 //! reader.feed(&bytes[..9]);
-//! assert_eq!(reader.next(), Ok(None));
+//! assert_eq!(reader.next_array(), Ok(None));
 //! reader.feed(&bytes[9..]);
-//! assert_eq!(reader.next(), Ok(Some(vec![b"alive".to_vec(), b"t1".to_vec()])));
+//! assert_eq!(reader.next_array(), Ok(Some(vec![b"alive".to_vec(), b"t1".to_vec()])));
 //! ```
 
 use std::fmt;
@@ -22,16 +22,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Strings of an array.
-    pub strings: usize,
+    pub max_strings: usize,
     /// Bytes of a string.
-    pub string: usize,
+    pub max_string_bytes: usize,
     /// Bytes of an array's strings together.
-    pub total: usize,
+    pub max_total_bytes: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { strings: 16, string: 64 << 10, total: 96 << 10 }
+        Limits { max_strings: 16, max_string_bytes: 64 << 10, max_total_bytes: 96 << 10 }
     }
 }
 
@@ -39,25 +39,25 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RespError {
     /// Something else than an array or a bulk string.
-    Kind,
+    UnexpectedType,
     /// A length that is no number, or is negative.
-    Length,
+    InvalidLength,
     /// A line for a length that does not end.
-    Line,
+    UnterminatedLine,
     /// More than the bounds allow.
     TooLarge,
     /// A string that does not end where its length says.
-    End,
+    MissingTerminator,
 }
 
 impl fmt::Display for RespError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            RespError::Kind => "neither an array nor a bulk string",
-            RespError::Length => "a length that is no number or negative",
-            RespError::Line => "a line that does not end",
+            RespError::UnexpectedType => "neither an array nor a bulk string",
+            RespError::InvalidLength => "a length that is no number or negative",
+            RespError::UnterminatedLine => "a line that does not end",
             RespError::TooLarge => "more than is allowed",
-            RespError::End => "a string that does not end where its length says",
+            RespError::MissingTerminator => "a string that does not end where its length says",
         })
     }
 }
@@ -86,7 +86,7 @@
         Reader { limits, bytes: Vec::new(), at: 0, begun: None, held: 0, broken: None }
     }
 
-    /// Takes what has come in. To keep memory bounded, call [`Reader::next`] until it gives nothing before the next.
+    /// Takes what has come in. To keep memory bounded, call [`Reader::next_array`] until it gives nothing before the next.
     pub fn feed(&mut self, bytes: &[u8]) {
         if self.broken.is_none() {
             self.bytes.extend_from_slice(bytes);
@@ -94,7 +94,7 @@
     }
 
     /// Nothing has come in that is not part of an array already given.
-    pub fn is_between(&self) -> bool {
+    pub fn is_at_array_boundary(&self) -> bool {
         self.begun.is_none() && self.at == self.bytes.len()
     }
 
@@ -102,8 +102,7 @@
     ///
     /// # Errors
     /// See [`RespError`]; the same again from then on.
-    #[allow(clippy::should_implement_trait)]
-    pub fn next(&mut self) -> Result<Option<Vec<Vec<u8>>>, RespError> {
+    pub fn next_array(&mut self) -> Result<Option<Vec<Vec<u8>>>, RespError> {
         if let Some(error) = self.broken {
             return Err(error);
         }
@@ -127,7 +126,7 @@
         loop {
             let Some((strings, wanted)) = &mut self.begun else {
                 let Some((count, after)) = length(&self.bytes[self.at..], b'*')? else { return Ok(None) };
-                if count > self.limits.strings {
+                if count > self.limits.max_strings {
                     return Err(RespError::TooLarge);
                 }
                 self.at += after;
@@ -139,12 +138,12 @@
             };
             let rest = &self.bytes[self.at..];
             let Some((size, start)) = length(rest, b'$')? else { return Ok(None) };
-            if size > self.limits.string || self.held + size > self.limits.total {
+            if size > self.limits.max_string_bytes || self.held + size > self.limits.max_total_bytes {
                 return Err(RespError::TooLarge);
             }
             let end = start + size;
             if rest.get(end).is_some_and(|&b| b != b'\r') || rest.get(end + 1).is_some_and(|&b| b != b'\n') {
-                return Err(RespError::End);
+                return Err(RespError::MissingTerminator);
             }
             if rest.len() < end + 2 {
                 return Ok(None);
@@ -163,30 +162,30 @@
 fn length(bytes: &[u8], mark: u8) -> Result<Option<(usize, usize)>, RespError> {
     match bytes.first() {
         None => return Ok(None),
-        Some(&first) if first != mark => return Err(RespError::Kind),
+        Some(&first) if first != mark => return Err(RespError::UnexpectedType),
         Some(_) => {}
     }
     let line = &bytes[..bytes.len().min(LINE)];
     let Some(end) = line.iter().position(|&b| b == b'\r') else {
         let digits = line[1..].iter().all(u8::is_ascii_digit);
         return match (digits, line.len() < LINE) {
-            (false, _) => Err(RespError::Length),
-            (true, false) => Err(RespError::Line),
+            (false, _) => Err(RespError::InvalidLength),
+            (true, false) => Err(RespError::UnterminatedLine),
             (true, true) => Ok(None),
         };
     };
     let digits = &line[1..end];
     let number = std::str::from_utf8(digits).ok().filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
-    let number = number.and_then(|d| d.parse().ok()).ok_or(RespError::Length)?;
+    let number = number.and_then(|d| d.parse().ok()).ok_or(RespError::InvalidLength)?;
     match bytes.get(end + 1) {
         None => Ok(None),
         Some(b'\n') => Ok(Some((number, end + 2))),
-        Some(_) => Err(RespError::Line),
+        Some(_) => Err(RespError::UnterminatedLine),
     }
 }
 
 /// Writes an array of bulk strings behind what `out` holds.
-pub fn write(out: &mut Vec<u8>, strings: &[&[u8]]) {
+pub fn write_array(out: &mut Vec<u8>, strings: &[&[u8]]) {
     let number = |out: &mut Vec<u8>, mark: u8, n: usize| {
         out.push(mark);
         out.extend_from_slice(n.to_string().as_bytes());
--- a/crates/resp/tests/reader.rs
+++ b/crates/resp/tests/reader.rs
@@ -1,11 +1,11 @@
 //! Arrays come whole whatever the portions; what is no array costs the connection, and little memory before that.
 
 use proptest::prelude::*;
-use violetward_resp::{write, Limits, Reader, RespError};
+use violetward_resp::{write_array, Limits, Reader, RespError};
 
 fn read_all(reader: &mut Reader) -> Result<Vec<Vec<Vec<u8>>>, RespError> {
     let mut all = Vec::new();
-    while let Some(array) = reader.next()? {
+    while let Some(array) = reader.next_array()? {
         all.push(array);
     }
     Ok(all)
@@ -22,7 +22,7 @@
     ) {
         let mut bytes = Vec::new();
         for array in &arrays {
-            write(&mut bytes, &array.iter().map(Vec::as_slice).collect::<Vec<_>>());
+            write_array(&mut bytes, &array.iter().map(Vec::as_slice).collect::<Vec<_>>());
         }
         let mut reader = Reader::new(Limits::default());
         let (mut got, mut rest, mut turn) = (Vec::new(), &bytes[..], 0);
@@ -33,16 +33,16 @@
             (rest, turn) = (&rest[size..], turn + 1);
         }
         prop_assert_eq!(got, arrays);
-        prop_assert!(reader.is_between());
+        prop_assert!(reader.is_at_array_boundary());
     }
 
     #[test]
     fn arbitrary_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-        let mut reader = Reader::new(Limits { strings: 3, string: 50, total: 60 });
+        let mut reader = Reader::new(Limits { max_strings: 3, max_string_bytes: 50, max_total_bytes: 60 });
         for portion in bytes.chunks(7) {
             reader.feed(portion);
             if read_all(&mut reader).is_err() {
-                prop_assert!(reader.next().is_err(), "a broken stream stays broken");
+                prop_assert!(reader.next_array().is_err(), "a broken stream stays broken");
                 break;
             }
         }
@@ -52,16 +52,16 @@
 #[test]
 fn what_is_no_array_is_told_as_soon_as_it_shows() {
     let cases: [(&[u8], RespError); 10] = [
-        (b"+OK\r\n", RespError::Kind),
-        (b"*1\r\n+x", RespError::Kind),
-        (b"*-1\r\n", RespError::Length),
-        (b"*1\r\n$-1\r\n", RespError::Length),
-        (b"*\r\n", RespError::Length),
-        (b"*11111111111111111111", RespError::Line),
+        (b"+OK\r\n", RespError::UnexpectedType),
+        (b"*1\r\n+x", RespError::UnexpectedType),
+        (b"*-1\r\n", RespError::InvalidLength),
+        (b"*1\r\n$-1\r\n", RespError::InvalidLength),
+        (b"*\r\n", RespError::InvalidLength),
+        (b"*11111111111111111111", RespError::UnterminatedLine),
         (b"*1\r\n$3000000000\r\n", RespError::TooLarge),
         (b"*17\r\n", RespError::TooLarge),
-        (b"*1\r\n$2\r\nabc", RespError::End),
-        (b"*1\rx", RespError::Line),
+        (b"*1\r\n$2\r\nabc", RespError::MissingTerminator),
+        (b"*1\rx", RespError::UnterminatedLine),
     ];
     for (bytes, error) in cases {
         let mut reader = Reader::new(Limits::default());
@@ -72,9 +72,9 @@
 
 #[test]
 fn strings_together_are_bounded() {
-    let mut reader = Reader::new(Limits { strings: 4, string: 10, total: 15 });
+    let mut reader = Reader::new(Limits { max_strings: 4, max_string_bytes: 10, max_total_bytes: 15 });
     let mut bytes = Vec::new();
-    write(&mut bytes, &[b"0123456789", b"0123456789"]);
+    write_array(&mut bytes, &[b"0123456789", b"0123456789"]);
     reader.feed(&bytes);
     assert_eq!(read_all(&mut reader), Err(RespError::TooLarge));
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -184,7 +184,7 @@
     /// Attempts that one connection carries at a time; at least 1.
     pub streams: usize,
     /// Engines close a connection that has been idle for so long; 0 if not told.
-    pub idle: vw::Micros,
+    pub idle_timeout: vw::Micros,
     /// A connection that is not up within this span has failed.
     pub connect_timeout: vw::Micros,
     /// A probe without an answer within this span has failed.
@@ -192,11 +192,11 @@
     /// Requests that may be open at a time; 0 if not told.
     pub open_cap: usize,
     /// How long after the client's deadline a final answer still counts.
-    pub grace: vw::Micros,
+    pub answer_grace: vw::Micros,
 }
 
 /// An engine's address or name as a number that is the same at every gateway.
-pub fn engine(node: &str) -> vw::EngineId {
+pub fn engine_id(node: &str) -> vw::EngineId {
     let packed =
         node.parse::<SocketAddrV4>().map(|a| u64::from(u32::from(*a.ip())) << 16 | u64::from(a.port()));
     let hashed = || {
@@ -207,7 +207,7 @@
 }
 
 /// An engine's load report, value by name; what it lacks stays unknown.
-pub fn load(stats: &BTreeMap<String, f64>) -> vw::Load {
+pub fn load_from_stats(stats: &BTreeMap<String, f64>) -> vw::Load {
     let get = |name: &str| stats.get(name).copied();
     vw::Load { in_flight: get("concurrent"), cores: get("load_share"), memory: get("x0"), disks: get("x1") }
 }
@@ -230,11 +230,11 @@
         let connect_timeout = or(limits.connect_timeout_us, CONNECT_TIMEOUT);
         Connections {
             streams: limits.streams_per_conn.max(1),
-            idle: limits.conn_idle_us,
+            idle_timeout: limits.conn_idle_us,
             connect_timeout,
             probe_timeout: or(limits.probe_timeout_us, connect_timeout),
             open_cap: limits.open_cap,
-            grace: self.contract.grace_to_answer_us,
+            answer_grace: self.contract.grace_to_answer_us,
         }
     }
 
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -11,7 +11,7 @@
 use violetward_dns::message::{Entry, Message, Rcode};
 use violetward_dns::name::Name;
 use violetward_dns::record::{Data, Soa, Type, IN};
-use violetward_resp::{write, Limits, Reader};
+use violetward_resp::{write_array, Limits, Reader};
 
 /// What goes wrong with the next request that an engine is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -212,7 +212,8 @@
     }
 
     fn serve(&self, mut socket: TcpStream) {
-        let mut reader = Reader::new(Limits { string: 1 << 20, total: 1 << 21, strings: 16 });
+        let mut reader =
+            Reader::new(Limits { max_string_bytes: 1 << 20, max_total_bytes: 1 << 21, max_strings: 16 });
         let mut bytes = [0; 16 << 10];
         let mut fetched = 0;
         loop {
@@ -222,7 +223,7 @@
             };
             reader.feed(&bytes[..read]);
             loop {
-                let command = match reader.next() {
+                let command = match reader.next_array() {
                     Ok(Some(command)) => command,
                     Ok(None) => break,
                     // It closes on what it can't read.
@@ -245,7 +246,7 @@
 
     fn answer(&self, words: &[String]) -> (Vec<u8>, bool) {
         let mut out = Vec::new();
-        let mut say = |parts: [&str; 4]| write(&mut out, &parts.map(str::as_bytes));
+        let mut say = |parts: [&str; 4]| write_array(&mut out, &parts.map(str::as_bytes));
         match &words.iter().map(String::as_str).collect::<Vec<_>>()[..] {
             ["fetch", id, _, body] => {
                 let fault = lock(&self.state).faults.pop_front();
@@ -266,12 +267,12 @@
         let fields = format!("batches={pages},cpu=20.5,used=64.0,l=util:0.25");
         let good = |body: &[u8]| {
             let mut out = Vec::new();
-            write(&mut out, &[id.as_bytes(), b"ok", fields.as_bytes(), body]);
+            write_array(&mut out, &[id.as_bytes(), b"ok", fields.as_bytes(), body]);
             out
         };
         let word = |word: &str, fields: &str| {
             let mut out = Vec::new();
-            write(&mut out, &[id.as_bytes(), word.as_bytes(), fields.as_bytes(), b""]);
+            write_array(&mut out, &[id.as_bytes(), word.as_bytes(), fields.as_bytes(), b""]);
             out
         };
         let whole = good(page(id, 0).as_bytes());
@@ -294,7 +295,7 @@
             Some(Fault::Twice) => ([whole.clone(), whole].concat(), true),
             Some(Fault::StrangerAhead) => {
                 let mut out = Vec::new();
-                write(&mut out, &[b"0123456789abcdef", b"ok", fields.as_bytes(), b"x\ty\tz\n"]);
+                write_array(&mut out, &[b"0123456789abcdef", b"ok", fields.as_bytes(), b"x\ty\tz\n"]);
                 (([out, whole]).concat(), true)
             }
             Some(Fault::Refused) => (word("refused", "-"), true),
