--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,29 +1,32 @@
-//! The clock of a gateway.
+//! The clock of a gateway process.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// u64econds since the Unix epoch that never go back: times that engine lists tell are on the same clock.
+/// A monotonic clock that counts microseconds since the Unix epoch, so that its times compare with those in
+/// engine lists.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
-    base: u64,
+    /// System time at `start`, in microseconds since the Unix epoch.
+    start_micros: u64,
 }
 
 impl Clock {
-    /// A clock that goes on from the system's time of now.
+    /// A clock that starts at the current system time and ignores later changes of it.
     pub fn new() -> Self {
-        let base = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
-        Clock { start: Instant::now(), base }
+        let start_micros =
+            SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as u64;
+        Clock { start: Instant::now(), start_micros }
     }
 
-    /// The time.
+    /// Microseconds since the Unix epoch.
     pub fn now(&self) -> u64 {
-        self.base + self.start.elapsed().as_micros() as u64
+        self.start_micros + self.start.elapsed().as_micros() as u64
     }
 
-    /// The instant at which it shows a time.
+    /// The instant at which this clock reaches `at`; the clock's start for earlier times.
     pub fn instant(&self, at: u64) -> Instant {
-        self.start + Duration::from_micros(at.saturating_sub(self.base))
+        self.start + Duration::from_micros(at.saturating_sub(self.start_micros))
     }
 }
 
--- a/crates/net/src/duplex.rs
+++ b/crates/net/src/duplex.rs
@@ -1,4 +1,5 @@
-//! A socket that is read and written at the same time, with a bounded buffer for what the peer is slow to take.
+//! A socket that is read and written concurrently, with a bounded buffer for bytes that the peer is slow to
+//! read.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -12,100 +13,104 @@
 
 use crate::SocketErrorKind;
 
-/// Bytes that [`Duplex::finish`] reads and discards at most: a peer that goes on sending is cut off beyond it.
-const DISCARD_BYTES: usize = 256 << 10;
+/// Bytes that [`Duplex::finish`] discards at most. A peer that sends more is disconnected.
+const MAX_DISCARDED_BYTES: usize = 256 << 10;
 
-/// A socket whose writes never wait: bytes that the kernel does not take at once are buffered until
+/// A socket whose writes never wait: bytes that the kernel does not accept at once are buffered until
 /// [`Duplex::run_writer`] writes them.
 ///
-/// It ends in one of two ways. [`Duplex::close`] followed by [`Duplex::finish`] is the orderly one: what is kept is
-/// still sent, and bytes of the peer that cross the close are discarded, so that no reset overtakes the last answer.
-/// [`Duplex::abort`] gives the connection up at once. After either one [`Duplex::read`] yields nothing any more, even
-/// if the kernel still holds bytes: what a peer sends to a closed connection is never acted upon.
+/// [`Duplex::close`] followed by [`Duplex::finish`] shuts the connection down in order: buffered bytes are
+/// still sent, and bytes that the peer sends meanwhile are discarded, so that no reset overtakes the last
+/// answer. [`Duplex::abort`] drops the connection at once. After either, [`Duplex::read`] returns no more
+/// data even if the kernel still holds some: nothing that a peer sends to a closed connection is acted upon.
 #[derive(Debug)]
 pub struct Duplex {
     socket: Async<TcpStream>,
-    kept: RefCell<VecDeque<u8>>,
-    most: usize,
-    more: Event,
+    unsent: RefCell<VecDeque<u8>>,
+    max_unsent_bytes: usize,
+    /// Notified when bytes have been added to `unsent`.
+    unsent_added: Event,
     state: Cell<State>,
-    /// Told when the state is no longer [`State::Open`].
-    ended: Event,
-    moved: Cell<Instant>,
+    /// Notified when the state changes from [`State::Open`].
+    closed: Event,
+    /// When the kernel last accepted bytes.
+    last_write: Cell<Instant>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     Open,
-    /// Nothing more is read or accepted for sending; what is kept is still sent.
+    /// Nothing more is read or accepted for sending; the unsent bytes are still sent.
     Closing,
-    /// Given up: what was kept is lost.
+    /// Both directions are shut down; the unsent bytes have been dropped.
     Aborted,
 }
 
 impl Duplex {
-    /// Wraps a socket; up to `most` bytes are kept for a peer that does not read.
-    pub fn new(socket: Async<TcpStream>, most: usize) -> Self {
+    /// Wraps a socket. Up to `max_unsent_bytes` are buffered for a peer that does not read.
+    pub fn new(socket: Async<TcpStream>, max_unsent_bytes: usize) -> Self {
         socket.get_ref().set_nodelay(true).ok();
         Duplex {
             socket,
-            kept: RefCell::default(),
-            most,
-            more: Event::new(),
+            unsent: RefCell::default(),
+            max_unsent_bytes,
+            unsent_added: Event::new(),
             state: Cell::new(State::Open),
-            ended: Event::new(),
-            moved: Cell::new(Instant::now()),
+            closed: Event::new(),
+            last_write: Cell::new(Instant::now()),
         }
     }
 
-    /// Writes bytes, or keeps them; false if the connection is of no further use. It is given up then, and none of the
-    /// bytes were written unless the peer did not take them all.
+    /// Writes bytes to the socket and buffers the rest. Returns false if the connection is closed or has to
+    /// be aborted because the socket failed or the buffer is full; a part of the bytes may have been sent in
+    /// the latter cases.
     pub fn send(&self, bytes: &[u8]) -> bool {
         if self.is_closed() {
             return false;
         }
-        let mut kept = self.kept.borrow_mut();
+        let mut unsent = self.unsent.borrow_mut();
         let mut rest = bytes;
-        while kept.is_empty() && !rest.is_empty() {
+        while unsent.is_empty() && !rest.is_empty() {
             match (&mut self.socket.get_ref()).write(rest) {
-                Ok(n) => {
-                    self.moved.set(Instant::now());
-                    rest = &rest[n..];
+                Ok(written) => {
+                    self.last_write.set(Instant::now());
+                    rest = &rest[written..];
                 }
                 Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
                 Err(e) if SocketErrorKind::of(&e).is_transient() => break,
                 Err(_) => {
-                    drop(kept);
+                    drop(unsent);
                     self.abort();
                     return false;
                 }
             }
         }
-        if kept.len() + rest.len() > self.most {
-            // Guards the memory against peers that ask and do not read.
-            drop(kept);
+        if unsent.len() + rest.len() > self.max_unsent_bytes {
+            // Bounds the memory used for peers that send requests but do not read the answers.
+            drop(unsent);
             self.abort();
             return false;
         }
         if !rest.is_empty() {
-            kept.extend(rest);
-            self.more.notify(1);
+            unsent.extend(rest);
+            self.unsent_added.notify(1);
         }
         true
     }
 
-    /// Bytes that the peer has not taken yet, and when it last took some or all had been taken.
+    /// The number of buffered bytes, and when bytes were last written to the socket (or when it was wrapped).
     pub fn unsent(&self) -> (usize, Instant) {
-        (self.kept.borrow().len(), self.moved.get())
+        (self.unsent.borrow().len(), self.last_write.get())
     }
 
-    /// Reads once and passes what came to `take`; 0 at the end of the stream, and once this side has ended it.
+    /// Reads once and passes the bytes to `consume`. Returns 0 at the end of the stream and once this side
+    /// has closed or aborted the connection.
     ///
     /// # Errors
-    /// The socket's.
-    pub async fn read(&self, mut take: impl FnMut(&[u8])) -> io::Result<usize> {
+    /// If the socket fails.
+    pub async fn read(&self, mut consume: impl FnMut(&[u8])) -> io::Result<usize> {
         loop {
-            let ended = self.ended.listen();
+            let closed = self.closed.listen();
             if self.is_closed() {
                 return Ok(0);
             }
@@ -113,123 +118,125 @@
                 self.socket.readable().await?;
                 Ok(true)
             };
-            let ended = async {
-                ended.await;
+            let closed = async {
+                closed.await;
                 Ok::<_, io::Error>(false)
             };
-            if !future::or(ended, readable).await? || self.is_closed() {
+            if !future::or(closed, readable).await? || self.is_closed() {
                 return Ok(0);
             }
-            let read = crate::with_scratch(|scratch| {
-                let read = (&mut self.socket.get_ref()).read(scratch)?;
-                take(&scratch[..read]);
+            let read = crate::with_read_buffer(|buffer| {
+                let read = (&mut self.socket.get_ref()).read(buffer)?;
+                consume(&buffer[..read]);
                 Ok(read)
             });
             match read {
-                Err(e) if crate::may_repeat(&e).await => {}
-                done => return done,
+                Err(e) if crate::should_retry(&e).await => {}
+                result => return result,
             }
         }
     }
 
-    /// Writes what is kept whenever the peer takes more. Ends only with an error.
+    /// Writes the buffered bytes whenever the socket accepts more. Returns only when the socket fails.
     pub async fn run_writer(&self) -> io::Error {
         loop {
-            let more = self.more.listen();
-            if self.kept.borrow().is_empty() {
-                more.await;
-            } else if let Err(e) = self.write_kept().await {
+            let unsent_added = self.unsent_added.listen();
+            if self.unsent.borrow().is_empty() {
+                unsent_added.await;
+            } else if let Err(e) = self.write_unsent().await {
                 return e;
             }
         }
     }
 
-    /// Writes some of what is kept, as soon as the peer takes it.
-    async fn write_kept(&self) -> io::Result<()> {
+    /// Waits until the socket is writable, then writes some of the buffered bytes.
+    async fn write_unsent(&self) -> io::Result<()> {
         self.socket.writable().await?;
-        let written = (&mut self.socket.get_ref()).write(self.kept.borrow().as_slices().0);
-        match written {
-            Ok(n) => {
-                self.moved.set(Instant::now());
-                let mut kept = self.kept.borrow_mut();
-                kept.drain(..n);
-                if kept.is_empty() {
-                    *kept = VecDeque::new();
+        let result = (&mut self.socket.get_ref()).write(self.unsent.borrow().as_slices().0);
+        match result {
+            Ok(written) => {
+                self.last_write.set(Instant::now());
+                let mut unsent = self.unsent.borrow_mut();
+                unsent.drain(..written);
+                if unsent.is_empty() {
+                    *unsent = VecDeque::new();
                 }
                 Ok(())
             }
-            Err(e) if crate::may_repeat(&e).await => Ok(()),
+            Err(e) if crate::should_retry(&e).await => Ok(()),
             Err(e) => Err(e),
         }
     }
 
-    /// Nothing is to be read and the peer has not closed: a quiet connection that can be used.
+    /// Whether the connection is open at both ends and no received data is left to read.
     pub fn is_idle(&self) -> bool {
         let peeked = crate::peek(self.socket.get_ref());
         !self.is_closed() && peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// The peer has not closed or reset it, as far as can be seen.
+    /// Whether the connection is open and the next read would return neither the end of the stream nor an
+    /// error.
     pub fn is_alive(&self) -> bool {
         let peeked = crate::peek(self.socket.get_ref());
         !self.is_closed() && peeked.map_or_else(|e| SocketErrorKind::of(&e).is_transient(), |n| n > 0)
     }
 
-    /// Begins an orderly end: nothing more is read, nothing more is accepted for sending, and the peer sees the end of
-    /// the stream behind what was sent. [`Duplex::finish`] completes it.
+    /// Begins an orderly shutdown: nothing more is read or accepted for sending, and the peer sees the end of
+    /// the stream after the last buffered byte. [`Duplex::finish`] completes it.
     pub fn close(&self) {
         if self.is_closed() {
             return;
         }
         self.state.set(State::Closing);
-        self.ended.notify(usize::MAX);
-        if self.kept.borrow().is_empty() {
+        self.closed.notify(usize::MAX);
+        if self.unsent.borrow().is_empty() {
             self.socket.get_ref().shutdown(Shutdown::Write).ok();
         }
     }
 
-    /// Gives the connection up: what the peer has not taken is lost.
+    /// Shuts both directions down at once and drops the buffered bytes.
     pub fn abort(&self) {
         self.state.set(State::Aborted);
-        self.kept.take();
-        self.ended.notify(usize::MAX);
+        self.unsent.take();
+        self.closed.notify(usize::MAX);
         self.socket.get_ref().shutdown(Shutdown::Both).ok();
     }
 
-    /// Completes an orderly end within a time: sends what is kept, ends the stream, then discards what the peer still
-    /// sends until the peer has closed too. Closing a socket over unread bytes would reset the connection, and the reset
-    /// could overtake what was sent last. Nothing is waited for after [`Duplex::abort`].
-    pub async fn finish(&self, within: Duration) {
+    /// Completes an orderly shutdown within a time limit: sends the buffered bytes, ends the stream, then
+    /// discards what the peer sends until the peer closes too. Closing a socket with unread bytes would reset
+    /// the connection, and the reset could overtake the bytes sent last. Returns at once after
+    /// [`Duplex::abort`].
+    pub async fn finish(&self, limit: Duration) {
         self.close();
-        let orderly = async {
+        let shutdown = async {
             while self.unsent().0 > 0 {
-                self.write_kept().await?;
+                self.write_unsent().await?;
             }
             self.socket.get_ref().shutdown(Shutdown::Write)?;
             self.discard().await
         };
         if self.state.get() == State::Closing {
-            // The peer may be gone already; then there is nothing left to be orderly about.
-            let _: Option<io::Result<()>> = crate::timeout(within, orderly).await;
+            // An error means that the peer is gone already: nothing is left to send or to wait for.
+            let _: Option<io::Result<()>> = crate::timeout(limit, shutdown).await;
         }
     }
 
-    /// Reads and drops what comes, until the peer's end or a bound of bytes.
+    /// Reads and discards data until the peer closes or [`MAX_DISCARDED_BYTES`] have been discarded.
     async fn discard(&self) -> io::Result<()> {
         let mut discarded = 0;
-        while discarded < DISCARD_BYTES {
-            match crate::with_scratch(|scratch| (&mut self.socket.get_ref()).read(scratch)) {
+        while discarded < MAX_DISCARDED_BYTES {
+            match crate::with_read_buffer(|buffer| (&mut self.socket.get_ref()).read(buffer)) {
                 Ok(0) => return Ok(()),
-                Ok(n) => discarded += n,
+                Ok(read) => discarded += read,
                 Err(e) if e.kind() == io::ErrorKind::WouldBlock => self.socket.readable().await?,
-                Err(e) if crate::may_repeat(&e).await => {}
+                Err(e) if crate::should_retry(&e).await => {}
                 Err(e) => return Err(e),
             }
         }
         Ok(())
     }
 
-    /// It has been ended from this side.
+    /// Whether this side has closed or aborted the connection.
     pub fn is_closed(&self) -> bool {
         self.state.get() != State::Open
     }
--- a/crates/net/src/error_kind.rs
+++ b/crates/net/src/error_kind.rs
@@ -1,38 +1,40 @@
-//! What the error of a call on a socket says: the one place where error numbers are looked at.
+//! Classification of socket errors. No other module interprets error numbers.
 
 use std::io::{self, ErrorKind};
 
 use rustix::io::Errno;
 
-/// What the error of a call on a socket says, for whoever made the call.
+/// What a failed socket call means for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SocketErrorKind {
-    /// The call was interrupted, or there is nothing yet. The same call again is good.
+    /// The call was interrupted or would have blocked; it can be repeated.
     Retry,
-    /// This machine is short of something: descriptors, memory, buffers, ports. It says nothing of the peer; the same call
-    /// is good once there is room.
+    /// The local machine has run out of descriptors, memory, buffers or ports. The peer is not at fault; the
+    /// call can be repeated once the resource is available.
     ResourceShortage,
-    /// There is no way to the peer now. In connecting nothing was sent; a connection that was up is broken.
+    /// There is no route to the peer at present. Nothing was sent if the call was a connect; an established
+    /// connection is broken.
     Unreachable,
-    /// The peer's machine takes no such connection. In connecting nothing was sent; a connection that was up is broken.
+    /// The peer's machine refused the connection. Nothing was sent if the call was a connect; an established
+    /// connection is broken.
     Refused,
-    /// The connection broke: what was sent on it may have been read.
+    /// The connection is broken. The peer may have read what was sent on it.
     Broken,
 }
 
 impl SocketErrorKind {
-    /// What an error says.
+    /// Classifies the error of a socket call.
     pub fn of(error: &io::Error) -> Self {
         match error.kind() {
             ErrorKind::Interrupted | ErrorKind::WouldBlock => SocketErrorKind::Retry,
             ErrorKind::OutOfMemory | ErrorKind::AddrNotAvailable => SocketErrorKind::ResourceShortage,
             ErrorKind::ConnectionRefused => SocketErrorKind::Refused,
-            _ => Errno::from_io_error(error).map_or(SocketErrorKind::Broken, SocketErrorKind::of_number),
+            _ => Errno::from_io_error(error).map_or(SocketErrorKind::Broken, SocketErrorKind::of_errno),
         }
     }
 
-    fn of_number(number: Errno) -> Self {
-        match number {
+    fn of_errno(errno: Errno) -> Self {
+        match errno {
             Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM => SocketErrorKind::ResourceShortage,
             Errno::NETUNREACH | Errno::NETDOWN | Errno::HOSTUNREACH | Errno::HOSTDOWN => {
                 SocketErrorKind::Unreachable
@@ -41,7 +43,7 @@
         }
     }
 
-    /// The socket is as good as before, and the call may be made again.
+    /// Whether the socket is still usable and the call can be repeated.
     pub fn is_transient(self) -> bool {
         matches!(self, SocketErrorKind::Retry | SocketErrorKind::ResourceShortage)
     }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,8 +1,9 @@
-//! Moves messages over TCP sockets on async-io. It decides nothing.
+//! Sends and receives messages over TCP sockets on async-io. It holds no policy.
 //!
-//! [`Duplex`] is a socket that is read and written at once, whatever its protocol. [`Connection`] joins a socket with the sans-I/O reader of `violetward-statement`; [`Pool`] keeps idle client
-//! connections to one address; [`sleep_until`] and [`timeout`] are the only timers, and cost next to nothing to set
-//! (see [`timer`] and `violetward-wheel`).
+//! [`Duplex`] is a socket of any protocol that is read and written concurrently. [`Connection`] is an HTTP
+//! connection: a socket with the sans-I/O reader of `violetward-statement`. [`Pool`] holds idle client
+//! connections to one address. [`sleep`], [`sleep_until`] and [`timeout`] run on a timing wheel, so that
+//! setting a timer is cheap (see [`timer`] and `violetward-wheel`).
 
 mod alarm;
 mod clock;
@@ -28,14 +29,14 @@
 pub use timer::{sleep, sleep_until};
 use violetward_statement::http::{self, Headers, HttpError, Limits, Message, Reader, Side};
 
-/// What went wrong on a connection.
+/// An error on a connection.
 #[derive(Debug)]
 pub enum NetError {
-    /// The socket failed, or the peer closed in the middle of a message.
+    /// The socket failed, or the peer closed the connection instead of sending a response.
     Io(io::Error),
-    /// The peer sent something that is no message.
+    /// The peer sent a malformed, oversized or truncated message.
     Http(HttpError),
-    /// It took longer than allowed.
+    /// The operation did not complete within its time limit.
     TimedOut,
 }
 
@@ -57,68 +58,70 @@
     }
 }
 
-/// The result of `work`, or `None` once `span` has passed.
-pub async fn timeout<T>(span: Duration, work: impl Future<Output = T>) -> Option<T> {
-    future::or(async { Some(work.await) }, async {
-        sleep(span).await;
+/// Runs `operation` for at most `limit`; `None` if it has not completed by then.
+pub async fn timeout<T>(limit: Duration, operation: impl Future<Output = T>) -> Option<T> {
+    future::or(async { Some(operation.await) }, async {
+        sleep(limit).await;
         None
     })
     .await
 }
 
+const READ_BUFFER_BYTES: usize = 64 << 10;
+
 thread_local! {
-    static SCRATCH: RefCell<Vec<u8>> = RefCell::new(vec![0; 64 << 10]);
+    static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; READ_BUFFER_BYTES]);
 }
 
-/// Reads through the one buffer that all connections of a thread share, so that an idle one holds none.
-pub(crate) fn with_scratch<T>(read: impl FnOnce(&mut [u8]) -> T) -> T {
-    SCRATCH.with_borrow_mut(|scratch| read(scratch))
+/// Lends the read buffer that all connections of a thread share, so that an idle connection holds no memory
+/// for one.
+pub(crate) fn with_read_buffer<T>(read: impl FnOnce(&mut [u8]) -> T) -> T {
+    READ_BUFFER.with_borrow_mut(|buffer| read(buffer))
 }
 
-/// How long a call waits that failed because this machine is short of something.
-const SHORTAGE_PAUSE: Duration = Duration::from_millis(5);
+/// Delay before a socket call is retried that failed for lack of a local resource.
+const RESOURCE_SHORTAGE_DELAY: Duration = Duration::from_millis(5);
 
-/// Whether a call on a socket that is as good as before may be made again, now: it waits while this machine is short of
-/// something.
-pub(crate) async fn may_repeat(error: &io::Error) -> bool {
-    let fault = SocketErrorKind::of(error);
-    if fault == SocketErrorKind::ResourceShortage {
-        sleep(SHORTAGE_PAUSE).await;
+/// Whether a failed socket call is to be retried. Returns after a delay if a local resource ran short.
+pub(crate) async fn should_retry(error: &io::Error) -> bool {
+    let kind = SocketErrorKind::of(error);
+    if kind == SocketErrorKind::ResourceShortage {
+        sleep(RESOURCE_SHORTAGE_DELAY).await;
     }
-    fault.is_transient()
+    kind.is_transient()
 }
 
-/// Looks at what has come on a socket without taking it.
+/// Checks for received data without consuming it; 0 at the end of the stream.
 pub(crate) fn peek(socket: &TcpStream) -> io::Result<usize> {
     loop {
         match socket.peek(&mut [0]) {
             Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            done => return done,
+            result => return result,
         }
     }
 }
 
-/// A socket with a reader of messages.
+/// An HTTP connection: a socket and the reader of its messages.
 #[derive(Debug)]
 pub struct Connection {
     socket: Async<TcpStream>,
     reader: Reader,
-    /// It has been seen that there is something to read.
-    ready: Cell<bool>,
-    /// Bytes of a message have been written since the last one was read whole.
+    /// The socket is known to be readable; the next read need not wait for it.
+    readable: Cell<bool>,
+    /// Bytes have been written since the last complete message was read.
     pub has_written: bool,
 }
 
 impl Connection {
-    /// The server's end of a socket.
+    /// The server side of an accepted socket.
     pub fn server(socket: Async<TcpStream>, limits: Limits) -> Self {
         Connection::new(socket, Side::Requests, limits)
     }
 
-    /// Connects as a client.
+    /// Connects to a server as its client.
     ///
     /// # Errors
-    /// The socket's.
+    /// If the socket cannot be connected.
     pub async fn connect(address: SocketAddr, limits: Limits) -> io::Result<Self> {
         let socket = Async::<TcpStream>::connect(address).await?;
         Ok(Connection::new(socket, Side::Responses, limits))
@@ -126,18 +129,23 @@
 
     fn new(socket: Async<TcpStream>, side: Side, limits: Limits) -> Self {
         socket.get_ref().set_nodelay(true).ok();
-        Connection { socket, reader: Reader::new(side, limits), ready: Cell::new(false), has_written: false }
+        Connection {
+            socket,
+            reader: Reader::new(side, limits),
+            readable: Cell::new(false),
+            has_written: false,
+        }
     }
 
-    /// A message has begun to come in and is not whole yet.
+    /// Whether part of a message has been received, but not all of it.
     pub fn has_partial_message(&self) -> bool {
         self.reader.is_within()
     }
 
-    /// The next message; `None` if the peer closed between two.
+    /// Reads the next message; `None` if the peer closed the connection between two messages.
     ///
     /// # Errors
-    /// See [`NetError`].
+    /// If the socket fails or the peer sends something else than a complete message.
     pub async fn read(&mut self) -> Result<Option<Message>, NetError> {
         loop {
             if let Some(message) = self.reader.next().map_err(NetError::Http)? {
@@ -153,32 +161,33 @@
         }
     }
 
-    /// Reads once; false at the end of the stream.
+    /// Reads once from the socket into the reader; false at the end of the stream.
     async fn fill(&mut self) -> io::Result<bool> {
         loop {
-            if !self.ready.take() {
+            if !self.readable.take() {
                 self.socket.readable().await?;
             }
-            let read: io::Result<usize> = with_scratch(|scratch| {
-                let read = (&mut self.socket.get_ref()).read(scratch)?;
-                self.reader.feed(&scratch[..read]);
+            let read: io::Result<usize> = with_read_buffer(|buffer| {
+                let read = (&mut self.socket.get_ref()).read(buffer)?;
+                self.reader.feed(&buffer[..read]);
                 Ok(read)
             });
             match read {
                 Ok(read) => return Ok(read > 0),
-                Err(e) if may_repeat(&e).await => {}
+                Err(e) if should_retry(&e).await => {}
                 Err(e) => return Err(e),
             }
         }
     }
 
-    /// Waits until the peer closes or sends; used to notice a client that leaves while it is kept waiting.
+    /// Waits until the peer sends data or closes the connection. Detects a client that disconnects while its
+    /// request is waiting.
     pub async fn wait_readable(&self) {
         self.socket.readable().await.ok();
-        self.ready.set(true);
+        self.readable.set(true);
     }
 
-    /// Whether the peer has closed and left nothing to read.
+    /// Whether the peer has closed the connection and no received data is left to read.
     pub fn is_closed(&self) -> bool {
         match peek(self.socket.get_ref()) {
             Ok(read) => read == 0,
@@ -186,19 +195,19 @@
         }
     }
 
-    /// Writes bytes.
+    /// Writes all of `bytes`.
     ///
     /// # Errors
-    /// The socket's.
+    /// If the socket fails; some of the bytes may have been sent then.
     pub async fn write(&mut self, bytes: &[u8]) -> io::Result<()> {
         let mut rest = bytes;
         while !rest.is_empty() {
-            let n = self.socket.write(rest).await?;
-            if n == 0 {
+            let written = self.socket.write(rest).await?;
+            if written == 0 {
                 return Err(io::ErrorKind::WriteZero.into());
             }
             self.has_written = true;
-            rest = &rest[n..];
+            rest = &rest[written..];
         }
         Ok(())
     }
@@ -206,7 +215,8 @@
     /// Sends a request and reads its response.
     ///
     /// # Errors
-    /// See [`NetError`]; `self.has_written` tells whether any byte had gone out.
+    /// If the request cannot be written or no complete response is read. `self.has_written` is false if no
+    /// byte of the request was sent.
     pub async fn call(
         &mut self,
         method: &str,
@@ -229,26 +239,30 @@
 pub struct Pool {
     address: SocketAddr,
     limits: Limits,
+    /// Connections with the time at which they became idle, the longest idle first.
     idle: RefCell<VecDeque<(Connection, Instant)>>,
-    keep: usize,
+    max_idle: usize,
 }
 
+/// Connections that have been idle for longer are closed.
+const POOL_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+
 impl Pool {
-    /// A pool that keeps up to `keep` idle connections.
-    pub fn new(address: SocketAddr, limits: Limits, keep: usize) -> Self {
-        Pool { address, limits, idle: RefCell::default(), keep }
+    /// A pool of up to `max_idle` idle connections.
+    pub fn new(address: SocketAddr, limits: Limits, max_idle: usize) -> Self {
+        Pool { address, limits, idle: RefCell::default(), max_idle }
     }
 
-    /// Where it connects to.
+    /// The address that the pool's connections go to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// An idle connection that the peer has not closed, or a new one.
+    /// Takes an idle connection that the peer has not closed, or opens a new one.
     ///
     /// # Errors
-    /// The socket's, or a time-out.
-    pub async fn get(&self, connect_within: Duration) -> Result<Connection, NetError> {
+    /// If a new connection cannot be opened within `connect_timeout`.
+    pub async fn get(&self, connect_timeout: Duration) -> Result<Connection, NetError> {
         loop {
             let idle = self.idle.borrow_mut().pop_back();
             match idle {
@@ -257,29 +271,30 @@
                 None => break,
             }
         }
-        self.connect(connect_within).await
+        self.connect(connect_timeout).await
     }
 
-    /// A connection that has not been used before: one that has may be dead without our knowing, and then it can't be
-    /// told whether what was written into it was read.
+    /// Opens a new connection, for a request that must not be repeated: a pooled connection may be broken
+    /// without a sign of it, and it would then be unknown whether the peer had read the request.
     ///
     /// # Errors
-    /// The socket's, or a time-out.
-    pub async fn connect(&self, connect_within: Duration) -> Result<Connection, NetError> {
-        match timeout(connect_within, Connection::connect(self.address, self.limits)).await {
+    /// If the connection cannot be opened within `connect_timeout`.
+    pub async fn connect(&self, connect_timeout: Duration) -> Result<Connection, NetError> {
+        match timeout(connect_timeout, Connection::connect(self.address, self.limits)).await {
             Some(connection) => Ok(connection?),
             None => Err(NetError::TimedOut),
         }
     }
 
-    /// Gives a connection back after a whole response that allows another.
+    /// Returns a connection to the pool. Its last response must have been read completely and allow another
+    /// request.
     pub fn put(&self, connection: Connection) {
         let mut idle = self.idle.borrow_mut();
         let now = Instant::now();
-        while idle.front().is_some_and(|(_, at)| now.duration_since(*at) > Duration::from_secs(30)) {
+        while idle.front().is_some_and(|(_, since)| now.duration_since(*since) > POOL_IDLE_TIMEOUT) {
             idle.pop_front();
         }
-        if idle.len() < self.keep {
+        if idle.len() < self.max_idle {
             idle.push_back((connection, now));
         }
     }
--- a/crates/net/src/signals.rs
+++ b/crates/net/src/signals.rs
@@ -1,9 +1,9 @@
-//! Signals to this process.
+//! Signals sent to this process.
 
 use async_signal::{Signal, Signals};
 use futures_lite::{future, StreamExt};
 
-/// The next signal. An error in reading one is no signal: it is passed over.
+/// Waits for the next signal. Errors in reading signals are ignored.
 pub async fn next_signal(signals: &mut Signals) -> Signal {
     loop {
         match signals.next().await {
--- a/crates/net/src/timer.rs
+++ b/crates/net/src/timer.rs
@@ -1,5 +1,6 @@
-//! Timers of the process: a wheel with ticks of a millisecond, and a thread that fires them. Setting one is a lock and
-//! a link; the reactor is not woken for it, as it is for each of its own timers.
+//! Timers of the process: a timing wheel with ticks of a millisecond and a thread that fires them. Setting a
+//! timer locks the wheel and links an entry; it does not wake the reactor, as each of async-io's own timers
+//! does.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -10,38 +11,40 @@
 
 use violetward_wheel::{Key, Wheel};
 
-struct Shared {
+struct State {
     wheel: Wheel<Waker>,
-    /// The tick at which the thread wakes by itself.
-    planned: u64,
+    /// The tick at which the timer thread wakes unless it is unparked; `u64::MAX` if it waits for a timer to
+    /// be set.
+    next_wake: u64,
 }
 
 struct Timers {
+    /// The instant of tick 0.
     start: Instant,
-    shared: Mutex<Shared>,
+    state: Mutex<State>,
     thread: Thread,
 }
 
 static TIMERS: LazyLock<Timers> = LazyLock::new(|| {
     let run = || {
-        // The thread that makes it needs it: it starts once it is there.
+        // `TIMERS` holds this thread's handle: the thread waits until it has been initialised.
         std::thread::park();
         TIMERS.run();
     };
     let spawned = std::thread::Builder::new().name("timers".into()).spawn(run);
-    let thread = spawned.expect("a thread can be started").thread().clone();
+    let thread = spawned.expect("the timer thread starts").thread().clone();
     thread.unpark();
-    let shared = Shared { wheel: Wheel::new(0), planned: u64::MAX };
-    Timers { start: Instant::now(), shared: Mutex::new(shared), thread }
+    let state = State { wheel: Wheel::new(0), next_wake: u64::MAX };
+    Timers { start: Instant::now(), state: Mutex::new(state), thread }
 });
 
 impl Timers {
-    fn lock(&self) -> MutexGuard<'_, Shared> {
-        self.shared.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// The first tick at or after an instant, so that no timer fires early.
     fn tick(&self, at: Instant) -> u64 {
-        // Rounded up: early is never.
         at.saturating_duration_since(self.start).as_micros().div_ceil(1000) as u64
     }
 
@@ -50,10 +53,10 @@
         loop {
             let now = self.start.elapsed().as_millis() as u64;
             let next = {
-                let mut shared = self.lock();
-                shared.wheel.advance(now, &mut fired);
-                let next = shared.wheel.next();
-                shared.planned = next.unwrap_or(u64::MAX);
+                let mut state = self.lock();
+                state.wheel.advance(now, &mut fired);
+                let next = state.wheel.next();
+                state.next_wake = next.unwrap_or(u64::MAX);
                 next
             };
             fired.drain(..).for_each(Waker::wake);
@@ -68,41 +71,44 @@
     }
 }
 
-/// Waits until an instant; see [`sleep_until`].
+/// The future of [`sleep`] and [`sleep_until`].
 #[derive(Debug)]
 pub struct Sleep {
-    at: Instant,
+    deadline: Instant,
     key: Option<Key>,
 }
 
-/// Waits until an instant, to the millisecond, never less.
-pub fn sleep_until(at: Instant) -> Sleep {
-    Sleep { at, key: None }
+/// Waits until an instant, rounded up to the next tick; never ends early.
+pub fn sleep_until(deadline: Instant) -> Sleep {
+    Sleep { deadline, key: None }
 }
 
-/// Waits for a span.
+/// Replaces a span that is too long to be added to an instant.
+const MAX_SLEEP: Duration = Duration::from_secs(1 << 30);
+
+/// Waits for a span of time.
 pub fn sleep(span: Duration) -> Sleep {
     let now = Instant::now();
-    sleep_until(now.checked_add(span).unwrap_or(now + Duration::from_secs(1 << 30)))
+    sleep_until(now.checked_add(span).unwrap_or(now + MAX_SLEEP))
 }
 
 impl Future for Sleep {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
-        if Instant::now() >= self.at {
+        if Instant::now() >= self.deadline {
             return Poll::Ready(());
         }
         let timers = &*TIMERS;
-        let tick = timers.tick(self.at);
-        let mut shared = timers.lock();
-        match self.key.and_then(|key| shared.wheel.get_mut(key)) {
+        let tick = timers.tick(self.deadline);
+        let mut state = timers.lock();
+        match self.key.and_then(|key| state.wheel.get_mut(key)) {
             Some(waker) => waker.clone_from(context.waker()),
             None => {
-                self.key = Some(shared.wheel.set(tick, context.waker().clone()));
-                if tick < shared.planned {
-                    shared.planned = tick;
-                    drop(shared);
+                self.key = Some(state.wheel.set(tick, context.waker().clone()));
+                if tick < state.next_wake {
+                    state.next_wake = tick;
+                    drop(state);
                     timers.thread.unpark();
                 }
             }
@@ -125,23 +131,23 @@
     use futures_lite::future;
 
     #[test]
-    fn sleeps_end_in_order_and_never_early() {
+    fn sleeps_end_in_order_and_not_early() {
         let start = Instant::now();
-        let span = Duration::from_millis;
+        let millis = Duration::from_millis;
         let first = future::block_on(future::or(
             async {
-                sleep(span(80)).await;
+                sleep(millis(80)).await;
                 2
             },
             async {
-                sleep(span(20)).await;
+                sleep(millis(20)).await;
                 1
             },
         ));
         assert_eq!(first, 1);
-        assert!(start.elapsed() >= span(20));
-        drop(sleep(span(10_000)));
-        future::block_on(sleep(span(5)));
-        assert!(start.elapsed() >= span(25));
+        assert!(start.elapsed() >= millis(20));
+        drop(sleep(millis(10_000)));
+        future::block_on(sleep(millis(5)));
+        assert!(start.elapsed() >= millis(25));
     }
 }
