--- a/crates/thrift/src/lib.rs
+++ b/crates/thrift/src/lib.rs
@@ -1,8 +1,9 @@
 //! Thrift messages in framed transport and the strict binary protocol, free of I/O.
 //!
-//! [`FrameDecoder`] cuts a stream of bytes into frames, [`Cursor`] reads the values of one, [`Writer`] writes them. Bounds
-//! are checked on what the peer announces before memory is taken for it: a frame by its length alone, a string, list
-//! or map by what is left of its frame, nesting by its depth.
+//! [`FrameDecoder`] splits a stream of bytes into frames, [`Cursor`] reads the values of a frame, and
+//! [`Writer`] writes them. Lengths that the peer announces are checked before memory is allocated for them:
+//! the length of a frame against the limit, and that of a string, list or map against what is left of the
+//! frame. Nesting is limited.
 //!
 //! ```
 //! use violetward_thrift::{Cursor, FrameDecoder, MessageType, Writer};
@@ -10,33 +11,33 @@
 //! let mut writer = Writer::message("alive", MessageType::Call, 7);
 //! writer.bool(1, true);
 //! writer.end_struct();
-//! let mut frames = FrameDecoder::new(1 << 10);
-//! frames.feed(&writer.into_frame());
-//! let frame = frames.next_frame().unwrap().unwrap();
+//! let mut decoder = FrameDecoder::new(1 << 10);
+//! decoder.feed(&writer.into_frame());
+//! let frame = decoder.next_frame().unwrap().unwrap();
 //! let mut cursor = Cursor::new(&frame);
-//! let head = cursor.message_header().unwrap();
-//! assert_eq!((head.method.as_str(), head.message_type, head.seqid), ("alive", MessageType::Call, 7));
+//! let header = cursor.message_header().unwrap();
+//! assert_eq!((header.method.as_str(), header.message_type, header.seqid), ("alive", MessageType::Call, 7));
 //! assert_eq!(cursor.field_header().unwrap(), Some((Cursor::BOOL, 1)));
 //! ```
 
 use std::fmt;
 
-/// Why bytes are no message.
+/// Why a message cannot be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ThriftError {
-    /// It ends in the middle, or a length in it points beyond its end.
+    /// The message ends within a value, or a length in it exceeds what is left of it.
     Truncated,
-    /// A frame that is longer than allowed.
+    /// A frame exceeds the length limit.
     TooLarge,
-    /// A length or count that is negative.
+    /// A length or count is negative.
     NegativeLength,
-    /// Not the strict binary protocol, or another version of it.
+    /// The message is not in version 1 of the strict binary protocol.
     UnsupportedVersion,
-    /// A type that does not exist, or not the one expected.
+    /// A type code is unknown or not the expected one.
     UnexpectedType,
-    /// Text that is not UTF-8.
+    /// A string is not valid UTF-8.
     InvalidUtf8,
-    /// Nested deeper than allowed.
+    /// Values are nested deeper than allowed.
     NestedTooDeep,
 }
 
@@ -56,79 +57,81 @@
 
 impl std::error::Error for ThriftError {}
 
-/// What a message is.
+/// The type of a message, with its number in the protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageType {
-    /// A call that gets an answer.
+    /// A call that expects a reply.
     Call = 1,
-    /// The answer to a call.
+    /// The reply to a call.
     Reply = 2,
-    /// The answer to a call that could not be taken.
+    /// The reply to a call that could not be handled.
     Exception = 3,
-    /// A call that gets none.
+    /// A call without a reply.
     Oneway = 4,
 }
 
-/// The head of a message.
+/// The header of a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MessageHeader {
-    /// The method.
+    /// The name of the method called.
     pub method: String,
-    /// What the message is.
+    /// The type of the message.
     pub message_type: MessageType,
-    /// The number that its answer bears too.
+    /// The sequence number, which the reply repeats.
     pub seqid: i32,
 }
 
-/// Cuts a stream into frames.
+/// Splits a stream of bytes into frames.
 #[derive(Debug)]
 pub struct FrameDecoder {
-    bytes: Vec<u8>,
-    at: usize,
-    most: usize,
+    buffer: Vec<u8>,
+    /// Bytes of the buffer that have been decoded.
+    consumed: usize,
+    max_frame_bytes: usize,
 }
 
 impl FrameDecoder {
-    /// A decoder of frames of up to `most` bytes.
-    pub fn new(most: usize) -> Self {
-        FrameDecoder { bytes: Vec::new(), at: 0, most }
+    /// A decoder of frames of up to `max_frame_bytes`.
+    pub fn new(max_frame_bytes: usize) -> Self {
+        FrameDecoder { buffer: Vec::new(), consumed: 0, max_frame_bytes }
     }
 
-    /// Takes what has come in. To keep memory bounded, call [`FrameDecoder::next_frame`] until it gives nothing before the next.
+    /// Adds received bytes. To bound the memory used, call [`FrameDecoder::next_frame`] until it returns
+    /// `None` before adding more.
     pub fn feed(&mut self, bytes: &[u8]) {
-        self.bytes.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// A frame has begun to come in and is not whole.
+    /// Whether part of a frame has been received that has not been returned.
     pub fn has_partial_frame(&self) -> bool {
-        self.at < self.bytes.len()
+        self.consumed < self.buffer.len()
     }
 
-    /// The next whole frame, without its length; `None` until more comes in.
+    /// The next complete frame, without its length; `None` until more bytes are received.
     ///
     /// # Errors
-    /// [`ThriftError::NegativeLength`] or [`ThriftError::TooLarge`] as soon as the length is there; the stream is of no
-    /// further use.
+    /// [`ThriftError::NegativeLength`] or [`ThriftError::TooLarge`] as soon as the length has been received.
+    /// The stream cannot be used any further.
     pub fn next_frame(&mut self) -> Result<Option<Vec<u8>>, ThriftError> {
-        let rest = &self.bytes[self.at..];
-        if let Some(&[a, b, c, d]) = rest.first_chunk::<4>() {
-            let size = i32::from_be_bytes([a, b, c, d]);
+        let rest = &self.buffer[self.consumed..];
+        if let Some(&length) = rest.first_chunk::<LENGTH_BYTES>() {
+            let size = i32::from_be_bytes(length);
             let size = usize::try_from(size).map_err(|_| ThriftError::NegativeLength)?;
-            if size > self.most {
+            if size > self.max_frame_bytes {
                 return Err(ThriftError::TooLarge);
             }
-            if let Some(frame) = rest.get(4..4 + size) {
+            if let Some(frame) = rest.get(LENGTH_BYTES..LENGTH_BYTES + size) {
                 let frame = frame.to_vec();
-                self.at += 4 + size;
+                self.consumed += LENGTH_BYTES + size;
                 return Ok(Some(frame));
             }
         }
-        // Only a part of a frame is left; an idle connection holds no buffer.
-        if self.at == self.bytes.len() {
-            (self.bytes, self.at) = (Vec::new(), 0);
-        } else if self.at > 0 {
-            self.bytes.drain(..self.at);
-            self.at = 0;
+        // Only part of a frame is left. The buffer of an idle connection is freed.
+        if self.consumed == self.buffer.len() {
+            (self.buffer, self.consumed) = (Vec::new(), 0);
+        } else if self.consumed > 0 {
+            self.buffer.drain(..self.consumed);
+            self.consumed = 0;
         }
         Ok(None)
     }
@@ -140,20 +143,36 @@
     rest: &'a [u8],
 }
 
-const STRICT: u32 = 0x8001_0000;
-/// Nesting that [`Cursor::skip`] follows. Guards the stack against values made to overflow it.
-const DEPTH: u32 = 16;
+/// The length ahead of each frame.
+const LENGTH_BYTES: usize = 4;
+/// The version bits of a message in version 1 of the strict binary protocol.
+const STRICT_VERSION_1: u32 = 0x8001_0000;
+const VERSION_MASK: u32 = 0xffff_ff00;
+/// Nesting that [`Cursor::skip`] accepts; deeper values could overflow the stack.
+const MAX_DEPTH: u32 = 16;
+/// The least size of a map entry of two strings: their lengths.
+const MIN_ENTRY_BYTES: usize = 8;
+
+// Type codes of values that are only skipped.
+const BYTE: u8 = 3;
+const DOUBLE: u8 = 4;
+const I16: u8 = 6;
+const I64: u8 = 10;
+const SET: u8 = 14;
+const LIST: u8 = 15;
+/// The type code that ends the fields of a struct.
+const STOP: u8 = 0;
 
 impl<'a> Cursor<'a> {
-    /// The type of a truth value.
+    /// The type code of a boolean.
     pub const BOOL: u8 = 2;
-    /// The type of a 32-bit number.
+    /// The type code of a 32-bit integer.
     pub const I32: u8 = 8;
-    /// The type of a string or of bytes.
+    /// The type code of a string or of binary data.
     pub const STRING: u8 = 11;
-    /// The type of a struct.
+    /// The type code of a struct.
     pub const STRUCT: u8 = 12;
-    /// The type of a map.
+    /// The type code of a map.
     pub const MAP: u8 = 13;
 
     /// A cursor at the start of a frame.
@@ -161,7 +180,7 @@
         Cursor { rest: frame }
     }
 
-    /// What has not been read yet.
+    /// The bytes of the frame that have not been read.
     pub fn rest(&self) -> &'a [u8] {
         self.rest
     }
@@ -179,53 +198,54 @@
         Ok(self.take(1)?[0])
     }
 
-    /// A 32-bit number.
+    /// Reads a 32-bit integer.
     ///
     /// # Errors
-    /// If the frame ends before.
+    /// If the frame ends within the value.
     pub fn i32(&mut self) -> Result<i32, ThriftError> {
         Ok(i32::from_be_bytes(self.take(4)?.try_into().expect("four bytes")))
     }
 
-    /// A truth value.
+    /// Reads a boolean.
     ///
     /// # Errors
-    /// If the frame ends before.
+    /// If the frame ends within the value.
     pub fn bool(&mut self) -> Result<bool, ThriftError> {
         Ok(self.byte()? != 0)
     }
 
-    fn size(&mut self) -> Result<usize, ThriftError> {
+    /// Reads a length or a count.
+    fn length(&mut self) -> Result<usize, ThriftError> {
         usize::try_from(self.i32()?).map_err(|_| ThriftError::NegativeLength)
     }
 
-    /// Bytes with their length.
+    /// Reads binary data and its length.
     ///
     /// # Errors
-    /// If the length is negative or beyond the frame's end.
+    /// If the length is negative or exceeds the frame.
     pub fn binary(&mut self) -> Result<&'a [u8], ThriftError> {
-        let size = self.size()?;
-        self.take(size)
+        let length = self.length()?;
+        self.take(length)
     }
 
-    /// Text with its length.
+    /// Reads a string and its length.
     ///
     /// # Errors
-    /// As for bytes, and if it is not UTF-8.
+    /// If the length is negative or exceeds the frame, or the string is not UTF-8.
     pub fn string(&mut self) -> Result<&'a str, ThriftError> {
         std::str::from_utf8(self.binary()?).map_err(|_| ThriftError::InvalidUtf8)
     }
 
-    /// The head of a message.
+    /// Reads the header of a message.
     ///
     /// # Errors
-    /// If it is not of the strict binary protocol.
+    /// If it is malformed or not of the strict binary protocol.
     pub fn message_header(&mut self) -> Result<MessageHeader, ThriftError> {
-        let word = self.i32()? as u32;
-        if word & 0xffff_ff00 != STRICT {
+        let version_and_type = self.i32()? as u32;
+        if version_and_type & VERSION_MASK != STRICT_VERSION_1 {
             return Err(ThriftError::UnsupportedVersion);
         }
-        let message_type = match word & 0xff {
+        let message_type = match version_and_type & !VERSION_MASK {
             1 => MessageType::Call,
             2 => MessageType::Reply,
             3 => MessageType::Exception,
@@ -236,26 +256,26 @@
         Ok(MessageHeader { method, message_type, seqid: self.i32()? })
     }
 
-    /// The type and number of a struct's next field; `None` at its end.
+    /// Reads the type code and the number of a struct's next field; `None` at the end of the struct.
     ///
     /// # Errors
-    /// If the frame ends before.
+    /// If the frame ends before the end of the struct.
     pub fn field_header(&mut self) -> Result<Option<(u8, i16)>, ThriftError> {
-        let kind = self.byte()?;
-        if kind == 0 {
+        let type_code = self.byte()?;
+        if type_code == STOP {
             return Ok(None);
         }
-        Ok(Some((kind, i16::from_be_bytes(self.take(2)?.try_into().expect("two bytes")))))
+        Ok(Some((type_code, i16::from_be_bytes(self.take(2)?.try_into().expect("two bytes")))))
     }
 
-    /// A map of texts, in the order in which it came.
+    /// Reads a map from strings to strings, in the order of its entries in the frame.
     ///
     /// # Errors
-    /// If it holds something else, or its count lies.
+    /// If the map is malformed or its keys or values are not strings.
     pub fn string_map(&mut self) -> Result<Vec<(&'a str, &'a str)>, ThriftError> {
-        let (key, value, count) = (self.byte()?, self.byte()?, self.size()?);
-        // Two lengths at least for each entry: a count that lies is seen before memory is taken for it.
-        if count > self.rest.len() / 8 {
+        let (key, value, count) = (self.byte()?, self.byte()?, self.length()?);
+        // Detects a false count before memory is allocated for it.
+        if count > self.rest.len() / MIN_ENTRY_BYTES {
             return Err(ThriftError::Truncated);
         }
         if count > 0 && (key, value) != (Self::STRING, Self::STRING) {
@@ -268,40 +288,40 @@
         Ok(entries)
     }
 
-    /// Passes over a value of a type.
+    /// Skips a value.
     ///
     /// # Errors
-    /// If it is no value of that type, or nested too deep.
-    pub fn skip(&mut self, kind: u8) -> Result<(), ThriftError> {
-        self.skip_within(kind, DEPTH)
+    /// If the type code is unknown, or the value is malformed or nested too deep.
+    pub fn skip(&mut self, type_code: u8) -> Result<(), ThriftError> {
+        self.skip_nested(type_code, MAX_DEPTH)
     }
 
-    fn skip_within(&mut self, kind: u8, depth: u32) -> Result<(), ThriftError> {
+    fn skip_nested(&mut self, type_code: u8, depth: u32) -> Result<(), ThriftError> {
         let depth = depth.checked_sub(1).ok_or(ThriftError::NestedTooDeep)?;
-        match kind {
-            2 | 3 => self.take(1).map(drop),
-            6 => self.take(2).map(drop),
-            8 => self.take(4).map(drop),
-            4 | 10 => self.take(8).map(drop),
+        match type_code {
+            Self::BOOL | BYTE => self.take(1).map(drop),
+            I16 => self.take(2).map(drop),
+            Self::I32 => self.take(4).map(drop),
+            DOUBLE | I64 => self.take(8).map(drop),
             Self::STRING => self.binary().map(drop),
             Self::STRUCT => {
-                while let Some((kind, _)) = self.field_header()? {
-                    self.skip_within(kind, depth)?;
+                while let Some((field_type, _)) = self.field_header()? {
+                    self.skip_nested(field_type, depth)?;
                 }
                 Ok(())
             }
             Self::MAP => {
-                let (key, value, count) = (self.byte()?, self.byte()?, self.size()?);
-                for _ in 0..self.count(count)? {
-                    self.skip_within(key, depth)?;
-                    self.skip_within(value, depth)?;
+                let (key, value, count) = (self.byte()?, self.byte()?, self.length()?);
+                for _ in 0..self.check_count(count)? {
+                    self.skip_nested(key, depth)?;
+                    self.skip_nested(value, depth)?;
                 }
                 Ok(())
             }
-            14 | 15 => {
-                let (inner, count) = (self.byte()?, self.size()?);
-                for _ in 0..self.count(count)? {
-                    self.skip_within(inner, depth)?;
+            SET | LIST => {
+                let (element, count) = (self.byte()?, self.length()?);
+                for _ in 0..self.check_count(count)? {
+                    self.skip_nested(element, depth)?;
                 }
                 Ok(())
             }
@@ -309,8 +329,8 @@
         }
     }
 
-    /// Every value has a byte at least: a count beyond what is left lies.
-    fn count(&self, count: usize) -> Result<usize, ThriftError> {
+    /// Rejects a count that exceeds the bytes left in the frame: every value takes at least one.
+    fn check_count(&self, count: usize) -> Result<usize, ThriftError> {
         if count > self.rest.len() {
             return Err(ThriftError::Truncated);
         }
@@ -318,83 +338,83 @@
     }
 }
 
-/// Writes a message.
+/// Writes a message as a frame.
 #[derive(Debug)]
 pub struct Writer {
     out: Vec<u8>,
 }
 
 impl Writer {
-    /// Begins a message; its struct of arguments or result follows.
+    /// Begins a message. The fields of its arguments or result follow, then [`Writer::end_struct`].
     pub fn message(method: &str, message_type: MessageType, seqid: i32) -> Self {
-        let mut writer = Writer { out: vec![0; 4] };
-        writer.i32_value((STRICT | message_type as u32) as i32);
-        writer.bytes_value(method.as_bytes());
+        let mut writer = Writer { out: vec![0; LENGTH_BYTES] };
+        writer.i32_value((STRICT_VERSION_1 | message_type as u32) as i32);
+        writer.binary_value(method.as_bytes());
         writer.i32_value(seqid);
         writer
     }
 
-    fn i32_value(&mut self, n: i32) {
-        self.out.extend_from_slice(&n.to_be_bytes());
+    fn i32_value(&mut self, value: i32) {
+        self.out.extend_from_slice(&value.to_be_bytes());
     }
 
-    fn bytes_value(&mut self, bytes: &[u8]) {
+    fn binary_value(&mut self, bytes: &[u8]) {
         self.i32_value(i32::try_from(bytes.len()).unwrap_or(i32::MAX));
         self.out.extend_from_slice(bytes);
     }
 
-    fn field_header(&mut self, kind: u8, number: i16) {
-        self.out.push(kind);
+    fn field_header(&mut self, type_code: u8, number: i16) {
+        self.out.push(type_code);
         self.out.extend_from_slice(&number.to_be_bytes());
     }
 
-    /// A field with a truth value.
+    /// Writes a boolean field.
     pub fn bool(&mut self, number: i16, value: bool) {
         self.field_header(Cursor::BOOL, number);
         self.out.push(u8::from(value));
     }
 
-    /// A field with a 32-bit number.
+    /// Writes a field of a 32-bit integer.
     pub fn i32(&mut self, number: i16, value: i32) {
         self.field_header(Cursor::I32, number);
         self.i32_value(value);
     }
 
-    /// A field with bytes or text.
+    /// Writes a field of a string or of binary data.
     pub fn binary(&mut self, number: i16, value: &[u8]) {
         self.field_header(Cursor::STRING, number);
-        self.bytes_value(value);
+        self.binary_value(value);
     }
 
-    /// A field with a map of texts.
-    pub fn string_map<'t>(
+    /// Writes a field of a map from strings to strings.
+    pub fn string_map<'e>(
         &mut self,
         number: i16,
-        entries: impl ExactSizeIterator<Item = (&'t str, &'t str)>,
+        entries: impl ExactSizeIterator<Item = (&'e str, &'e str)>,
     ) {
         self.field_header(Cursor::MAP, number);
         self.out.extend_from_slice(&[Cursor::STRING, Cursor::STRING]);
         self.i32_value(i32::try_from(entries.len()).unwrap_or(i32::MAX));
-        for (name, value) in entries {
-            self.bytes_value(name.as_bytes());
-            self.bytes_value(value.as_bytes());
+        for (key, value) in entries {
+            self.binary_value(key.as_bytes());
+            self.binary_value(value.as_bytes());
         }
     }
 
-    /// A field with a struct; its own fields follow, then [`Writer::end_struct`].
+    /// Begins a field of a struct. The struct's fields follow, then [`Writer::end_struct`].
     pub fn begin_struct(&mut self, number: i16) {
         self.field_header(Cursor::STRUCT, number);
     }
 
-    /// Ends the struct begun last; the message's own at last.
+    /// Ends the innermost struct that is open; the last call ends that of the message.
     pub fn end_struct(&mut self) {
-        self.out.push(0);
+        self.out.push(STOP);
     }
 
-    /// The message as a frame, its length ahead.
+    /// Returns the message as a frame that begins with its length.
     pub fn into_frame(mut self) -> Vec<u8> {
-        let size = u32::try_from(self.out.len() - 4).unwrap_or(u32::MAX);
-        self.out[..4].copy_from_slice(&size.to_be_bytes());
+        let size = u32::try_from(self.out.len() - LENGTH_BYTES).unwrap_or(u32::MAX);
+        self.out[..LENGTH_BYTES].copy_from_slice(&size.to_be_bytes());
         self.out
     }
 }
