--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -5,7 +5,7 @@
 
 use serde::Deserialize;
 use violetward::Settings;
-use violetward_settings::{BootInfo, Connections, Names};
+use violetward_settings::{BootInfo, ConnectionSettings, Names};
 
 use crate::list::Known;
 
@@ -53,7 +53,7 @@
     /// The names behind the settings' numbers.
     pub names: Names,
     /// What the settings say of connections.
-    pub connections: Connections,
+    pub connections: ConnectionSettings,
 }
 
 impl Config {
--- a/crates/platform/src/engine.rs
+++ b/crates/platform/src/engine.rs
@@ -16,7 +16,7 @@
 use futures_lite::future;
 use violetward::{EngineId, Listed, Load, Micros, Outcome};
 use violetward_net::Duplex;
-use violetward_settings::Connections;
+use violetward_settings::ConnectionSettings;
 
 use dial::{dial, reach, within, Missed};
 
@@ -214,13 +214,13 @@
     most: usize,
     /// How often fresh and used connections broke under a request of late, and when that was last seen.
     breaks: [Cell<(f64, Instant)>; 2],
-    terms: Connections,
+    terms: ConnectionSettings,
     engines: RefCell<HashMap<EngineId, Rc<Engine>>>,
 }
 
 impl Engines {
     /// None yet; up to `most` connections in all.
-    pub fn new(most: usize, terms: Connections) -> Self {
+    pub fn new(most: usize, terms: ConnectionSettings) -> Self {
         Engines {
             most,
             breaks: [0; 2].map(|_| Cell::new((0.0, Instant::now()))),
--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,7 +1,9 @@
-//! RESP arrays of bulk strings (the Redis serialization protocol, version 2), both ways, free of I/O.
+//! Decodes and encodes RESP arrays of bulk strings (the Redis serialization protocol, version 2), free of
+//! I/O.
 //!
-//! [`Reader`] takes bytes in any portions and gives whole arrays. Its bounds are checked on what the peer announces,
-//! before anything is kept for it: a bulk string that is said to have gigabytes costs its connection at once.
+//! [`Reader`] accepts bytes in chunks of any size and returns complete arrays. Announced lengths are checked
+//! against [`Limits`] before memory is allocated for them: a bulk string with an announced length of
+//! gigabytes is an error at once.
 //!
 //! ```
 //! use violetward_resp::{write_array, Limits, Reader};
@@ -18,14 +20,14 @@
 
 use std::fmt;
 
-/// Bounds of what a peer may send.
+/// Limits of the arrays that a peer may send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Strings of an array.
+    /// Strings in an array.
     pub max_strings: usize,
-    /// Bytes of a string.
+    /// Length of a string.
     pub max_string_bytes: usize,
-    /// Bytes of an array's strings together.
+    /// Length of all strings of an array together.
     pub max_total_bytes: usize,
 }
 
@@ -35,165 +37,181 @@
     }
 }
 
-/// Why bytes are no array of bulk strings. Nothing after them on the connection can be trusted.
+/// Why received bytes are not an array of bulk strings. The rest of the stream cannot be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RespError {
-    /// Something else than an array or a bulk string.
+    /// A value is of another type than an array or a bulk string.
     UnexpectedType,
-    /// A length that is no number, or is negative.
+    /// A length is negative or not a number.
     InvalidLength,
-    /// A line for a length that does not end.
+    /// The line of a length does not end in CR LF.
     UnterminatedLine,
-    /// More than the bounds allow.
+    /// An array exceeds the limits.
     TooLarge,
-    /// A string that does not end where its length says.
+    /// A string is not followed by CR LF.
     MissingTerminator,
 }
 
 impl fmt::Display for RespError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            RespError::UnexpectedType => "neither an array nor a bulk string",
-            RespError::InvalidLength => "a length that is no number or negative",
-            RespError::UnterminatedLine => "a line that does not end",
-            RespError::TooLarge => "more than is allowed",
-            RespError::MissingTerminator => "a string that does not end where its length says",
+            RespError::UnexpectedType => "expected an array of bulk strings, got another type",
+            RespError::InvalidLength => "a length is negative or not a number",
+            RespError::UnterminatedLine => "the line of a length does not end in CR LF",
+            RespError::TooLarge => "an array exceeds the size limits",
+            RespError::MissingTerminator => "a string is not followed by CR LF",
         })
     }
 }
 
 impl std::error::Error for RespError {}
 
-/// Bytes of the line that holds a length, its mark and end included. Guards against lines without end.
-const LINE: usize = 16;
+/// Longest line of a length, with its type byte and CR LF. Bounds the memory used for a line without an end.
+const MAX_LENGTH_LINE_BYTES: usize = 16;
 
-/// Reads arrays from a stream of bytes.
+/// Decodes arrays from a stream of bytes.
 #[derive(Debug)]
 pub struct Reader {
     limits: Limits,
-    bytes: Vec<u8>,
-    at: usize,
-    /// Strings of the array that has begun, and how many it has; `None` between two.
-    begun: Option<(Vec<Vec<u8>>, usize)>,
-    /// Bytes of the strings so far.
-    held: usize,
-    broken: Option<RespError>,
+    buffer: Vec<u8>,
+    /// Bytes of the buffer that have been decoded.
+    consumed: usize,
+    /// The array being decoded; `None` between two arrays.
+    partial: Option<PartialArray>,
+    /// The first error; the stream cannot be decoded any further.
+    error: Option<RespError>,
+}
+
+#[derive(Debug)]
+struct PartialArray {
+    strings: Vec<Vec<u8>>,
+    /// The announced number of strings.
+    count: usize,
+    /// Bytes of the strings decoded so far.
+    string_bytes: usize,
 }
 
 impl Reader {
-    /// A reader with bounds.
+    /// A reader of arrays within `limits`.
     pub fn new(limits: Limits) -> Self {
-        Reader { limits, bytes: Vec::new(), at: 0, begun: None, held: 0, broken: None }
+        Reader { limits, buffer: Vec::new(), consumed: 0, partial: None, error: None }
     }
 
-    /// Takes what has come in. To keep memory bounded, call [`Reader::next_array`] until it gives nothing before the next.
+    /// Adds received bytes. To bound the memory used, call [`Reader::next_array`] until it returns `None`
+    /// before adding more.
     pub fn feed(&mut self, bytes: &[u8]) {
-        if self.broken.is_none() {
-            self.bytes.extend_from_slice(bytes);
+        if self.error.is_none() {
+            self.buffer.extend_from_slice(bytes);
         }
     }
 
-    /// Nothing has come in that is not part of an array already given.
+    /// Whether all bytes received belong to arrays that have been returned.
     pub fn is_at_array_boundary(&self) -> bool {
-        self.begun.is_none() && self.at == self.bytes.len()
+        self.partial.is_none() && self.consumed == self.buffer.len()
     }
 
-    /// The next whole array; `None` until more comes in.
+    /// The next complete array; `None` until more bytes are received.
     ///
     /// # Errors
-    /// See [`RespError`]; the same again from then on.
+    /// If the stream is malformed or exceeds the limits; every later call returns the same error.
     pub fn next_array(&mut self) -> Result<Option<Vec<Vec<u8>>>, RespError> {
-        if let Some(error) = self.broken {
+        if let Some(error) = self.error {
             return Err(error);
         }
-        let result = self.step();
+        let result = self.decode();
         if let Err(error) = result {
-            (self.bytes, self.at, self.begun) = (Vec::new(), 0, None);
-            self.broken = Some(error);
+            (self.buffer, self.consumed, self.partial) = (Vec::new(), 0, None);
+            self.error = Some(error);
         } else if matches!(result, Ok(None)) {
-            // What is left is less than a string; an idle connection holds no buffer.
-            if self.at == self.bytes.len() {
-                (self.bytes, self.at) = (Vec::new(), 0);
-            } else if self.at > 0 {
-                self.bytes.drain(..self.at);
-                self.at = 0;
+            // Only part of a string is left. The buffer of an idle connection is freed.
+            if self.consumed == self.buffer.len() {
+                (self.buffer, self.consumed) = (Vec::new(), 0);
+            } else if self.consumed > 0 {
+                self.buffer.drain(..self.consumed);
+                self.consumed = 0;
             }
         }
         result
     }
 
-    fn step(&mut self) -> Result<Option<Vec<Vec<u8>>>, RespError> {
+    fn decode(&mut self) -> Result<Option<Vec<Vec<u8>>>, RespError> {
         loop {
-            let Some((strings, wanted)) = &mut self.begun else {
-                let Some((count, after)) = length(&self.bytes[self.at..], b'*')? else { return Ok(None) };
+            let Some(array) = &mut self.partial else {
+                let Some((count, line_end)) = decode_length(&self.buffer[self.consumed..], b'*')? else {
+                    return Ok(None);
+                };
                 if count > self.limits.max_strings {
                     return Err(RespError::TooLarge);
                 }
-                self.at += after;
+                self.consumed += line_end;
                 if count == 0 {
                     return Ok(Some(Vec::new()));
                 }
-                (self.begun, self.held) = (Some((Vec::with_capacity(count), count)), 0);
+                self.partial =
+                    Some(PartialArray { strings: Vec::with_capacity(count), count, string_bytes: 0 });
                 continue;
             };
-            let rest = &self.bytes[self.at..];
-            let Some((size, start)) = length(rest, b'$')? else { return Ok(None) };
-            if size > self.limits.max_string_bytes || self.held + size > self.limits.max_total_bytes {
+            let rest = &self.buffer[self.consumed..];
+            let Some((length, start)) = decode_length(rest, b'$')? else { return Ok(None) };
+            if length > self.limits.max_string_bytes
+                || array.string_bytes + length > self.limits.max_total_bytes
+            {
                 return Err(RespError::TooLarge);
             }
-            let end = start + size;
+            let end = start + length;
             if rest.get(end).is_some_and(|&b| b != b'\r') || rest.get(end + 1).is_some_and(|&b| b != b'\n') {
                 return Err(RespError::MissingTerminator);
             }
             if rest.len() < end + 2 {
                 return Ok(None);
             }
-            strings.push(rest[start..end].to_vec());
-            self.held += size;
-            self.at += end + 2;
-            if strings.len() == *wanted {
-                return Ok(self.begun.take().map(|(strings, _)| strings));
+            array.strings.push(rest[start..end].to_vec());
+            array.string_bytes += length;
+            self.consumed += end + 2;
+            if array.strings.len() == array.count {
+                return Ok(self.partial.take().map(|array| array.strings));
             }
         }
     }
 }
 
-/// The length in a line that begins with `mark`, and where the line ends; `None` if it has not come in whole.
-fn length(bytes: &[u8], mark: u8) -> Result<Option<(usize, usize)>, RespError> {
+/// Decodes the length in a line that begins with `type_byte`, and returns it with the length of the line;
+/// `None` if the line has not been received completely.
+fn decode_length(bytes: &[u8], type_byte: u8) -> Result<Option<(usize, usize)>, RespError> {
     match bytes.first() {
         None => return Ok(None),
-        Some(&first) if first != mark => return Err(RespError::UnexpectedType),
+        Some(&first) if first != type_byte => return Err(RespError::UnexpectedType),
         Some(_) => {}
     }
-    let line = &bytes[..bytes.len().min(LINE)];
+    let line = &bytes[..bytes.len().min(MAX_LENGTH_LINE_BYTES)];
     let Some(end) = line.iter().position(|&b| b == b'\r') else {
-        let digits = line[1..].iter().all(u8::is_ascii_digit);
-        return match (digits, line.len() < LINE) {
+        let all_digits = line[1..].iter().all(u8::is_ascii_digit);
+        return match (all_digits, line.len() < MAX_LENGTH_LINE_BYTES) {
             (false, _) => Err(RespError::InvalidLength),
             (true, false) => Err(RespError::UnterminatedLine),
             (true, true) => Ok(None),
         };
     };
     let digits = &line[1..end];
-    let number = std::str::from_utf8(digits).ok().filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
-    let number = number.and_then(|d| d.parse().ok()).ok_or(RespError::InvalidLength)?;
+    let digits = std::str::from_utf8(digits).ok().filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
+    let length = digits.and_then(|d| d.parse().ok()).ok_or(RespError::InvalidLength)?;
     match bytes.get(end + 1) {
         None => Ok(None),
-        Some(b'\n') => Ok(Some((number, end + 2))),
+        Some(b'\n') => Ok(Some((length, end + 2))),
         Some(_) => Err(RespError::UnterminatedLine),
     }
 }
 
-/// Writes an array of bulk strings behind what `out` holds.
+/// Appends an array of bulk strings to `out`.
 pub fn write_array(out: &mut Vec<u8>, strings: &[&[u8]]) {
-    let number = |out: &mut Vec<u8>, mark: u8, n: usize| {
-        out.push(mark);
-        out.extend_from_slice(n.to_string().as_bytes());
+    let write_length = |out: &mut Vec<u8>, type_byte: u8, length: usize| {
+        out.push(type_byte);
+        out.extend_from_slice(length.to_string().as_bytes());
         out.extend_from_slice(b"\r\n");
     };
-    number(out, b'*', strings.len());
+    write_length(out, b'*', strings.len());
     for string in strings {
-        number(out, b'$', string.len());
+        write_length(out, b'$', string.len());
         out.extend_from_slice(string);
         out.extend_from_slice(b"\r\n");
     }
--- a/crates/resp/tests/reader.rs
+++ b/crates/resp/tests/reader.rs
@@ -1,4 +1,5 @@
-//! Arrays come whole whatever the portions; what is no array costs the connection, and little memory before that.
+//! Arrays are decoded however the stream is split; malformed or oversized ones are errors as soon as they can
+//! be seen.
 
 use proptest::prelude::*;
 use violetward_resp::{write_array, Limits, Reader, RespError};
@@ -15,34 +16,34 @@
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn portions_do_not_matter(
+    fn arrays_are_decoded_from_any_chunks(
         arrays in proptest::collection::vec(
             proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..40), 0..6), 0..6),
-        sizes in proptest::collection::vec(1usize..30, 1..40),
+        chunk_sizes in proptest::collection::vec(1usize..30, 1..40),
     ) {
         let mut bytes = Vec::new();
         for array in &arrays {
             write_array(&mut bytes, &array.iter().map(Vec::as_slice).collect::<Vec<_>>());
         }
         let mut reader = Reader::new(Limits::default());
-        let (mut got, mut rest, mut turn) = (Vec::new(), &bytes[..], 0);
+        let (mut received, mut rest, mut chunk) = (Vec::new(), &bytes[..], 0);
         while !rest.is_empty() {
-            let size = sizes[turn % sizes.len()].min(rest.len());
+            let size = chunk_sizes[chunk % chunk_sizes.len()].min(rest.len());
             reader.feed(&rest[..size]);
-            got.extend(read_all(&mut reader).unwrap());
-            (rest, turn) = (&rest[size..], turn + 1);
+            received.extend(read_all(&mut reader).unwrap());
+            (rest, chunk) = (&rest[size..], chunk + 1);
         }
-        prop_assert_eq!(got, arrays);
+        prop_assert_eq!(received, arrays);
         prop_assert!(reader.is_at_array_boundary());
     }
 
     #[test]
     fn arbitrary_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let mut reader = Reader::new(Limits { max_strings: 3, max_string_bytes: 50, max_total_bytes: 60 });
-        for portion in bytes.chunks(7) {
-            reader.feed(portion);
+        for chunk in bytes.chunks(7) {
+            reader.feed(chunk);
             if read_all(&mut reader).is_err() {
-                prop_assert!(reader.next_array().is_err(), "a broken stream stays broken");
+                prop_assert!(reader.next_array().is_err(), "an error is returned again by every later call");
                 break;
             }
         }
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn what_is_no_array_is_told_as_soon_as_it_shows() {
+fn malformed_bytes_are_rejected_as_early_as_possible() {
     let cases: [(&[u8], RespError); 10] = [
         (b"+OK\r\n", RespError::UnexpectedType),
         (b"*1\r\n+x", RespError::UnexpectedType),
@@ -71,7 +72,7 @@
 }
 
 #[test]
-fn strings_together_are_bounded() {
+fn the_total_length_of_an_array_is_limited() {
     let mut reader = Reader::new(Limits { max_strings: 4, max_string_bytes: 10, max_total_bytes: 15 });
     let mut bytes = Vec::new();
     write_array(&mut bytes, &[b"0123456789", b"0123456789"]);
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,11 +1,11 @@
-//! The settings that a gateway gets at its start, as the interface has them: read from their JSON by the simulator's
-//! adapter and by the program in service alike, so that both mean the same.
+//! The settings that a gateway receives at its start, as JSON. The simulator's adapter and the gateway
+//! program both decode them with this crate, so that they have the same meaning in both.
 //!
 //! ```
 //! let text = r#"{"NInstances": 3, "Contract": {}, "Limits": {"AttemptsCap": 3},
 //!     "Classes": [{"Name": "look", "AimUs": 1500000, "HardLimitUs": 7500000, "Effect": "repeatable"}]}"#;
-//! let info: violetward_settings::BootInfo = serde_json::from_str(text).unwrap();
-//! let settings = info.settings().unwrap();
+//! let boot_info: violetward_settings::BootInfo = serde_json::from_str(text).unwrap();
+//! let settings = boot_info.settings().unwrap();
 //! assert_eq!((settings.gateways, settings.classes[0].aim), (3, 1_500_000));
 //! ```
 
@@ -15,10 +15,11 @@
 use serde::Deserialize;
 use violetward as vw;
 
-/// Where the settings do not tell how long a connection may take to come up.
-const CONNECT_TIMEOUT: vw::Micros = 250_000;
+/// Used where the settings give no connect time-out.
+const DEFAULT_CONNECT_TIMEOUT_US: vw::Micros = 250_000;
 
-/// The settings as their JSON has them.
+/// The settings as decoded from JSON. Fields are named after their keys; [`BootInfo::settings`] and
+/// [`BootInfo::connections`] translate them.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct BootInfo {
@@ -165,7 +166,7 @@
     retry_after: bool,
 }
 
-/// The names behind the numbers of the interface, in the order of those numbers.
+/// Names of classes, kinds of machine, zones and tenants. The decision module refers to each by its index.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Names {
     /// Classes of requests.
@@ -174,46 +175,50 @@
     pub kinds: Vec<String>,
     /// Zones.
     pub zones: Vec<String>,
-    /// Tenants; none where the settings define none.
+    /// Tenants; empty if the settings define none.
     pub tenants: Vec<String>,
 }
 
-/// What the settings say of connections to engines, and of answers.
+/// Settings of the connections to engines and of answers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Connections {
-    /// Attempts that one connection carries at a time; at least 1.
+pub struct ConnectionSettings {
+    /// Concurrent attempts on one connection; at least 1.
     pub streams: usize,
-    /// Engines close a connection that has been idle for so long; 0 if not told.
+    /// How long a connection may be idle before its engine closes it; 0 if unknown.
     pub idle_timeout: vw::Micros,
-    /// A connection that is not up within this span has failed.
+    /// A connection attempt that takes longer has failed.
     pub connect_timeout: vw::Micros,
-    /// A probe without an answer within this span has failed.
+    /// A probe that is not answered within this span has failed.
     pub probe_timeout: vw::Micros,
-    /// Requests that may be open at a time; 0 if not told.
+    /// Concurrently open requests at most; 0 if the settings give no limit.
     pub open_cap: usize,
-    /// How long after the client's deadline a final answer still counts.
+    /// How long after the client's deadline a final answer is still accepted.
     pub answer_grace: vw::Micros,
 }
 
-/// An engine's address or name as a number that is the same at every gateway.
-pub fn engine_id(node: &str) -> vw::EngineId {
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x100_0000_01b3;
+
+/// The identifier of an engine, which is the same at every gateway: its packed IPv4 address and port, or the
+/// FNV-1a hash of its name with the highest bit set, which no packed address has.
+pub fn engine_id(name: &str) -> vw::EngineId {
     let packed =
-        node.parse::<SocketAddrV4>().map(|a| u64::from(u32::from(*a.ip())) << 16 | u64::from(a.port()));
+        name.parse::<SocketAddrV4>().map(|a| u64::from(u32::from(*a.ip())) << 16 | u64::from(a.port()));
     let hashed = || {
-        let step = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3);
-        node.bytes().fold(0xcbf2_9ce4_8422_2325, step) | 1 << 63
+        let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+        name.bytes().fold(FNV_OFFSET_BASIS, step) | 1 << 63
     };
     vw::EngineId(packed.unwrap_or_else(|_| hashed()))
 }
 
-/// An engine's load report, value by name; what it lacks stays unknown.
+/// Converts an engine's load report, values by name. Values that it does not contain are unknown.
 pub fn load_from_stats(stats: &BTreeMap<String, f64>) -> vw::Load {
     let get = |name: &str| stats.get(name).copied();
     vw::Load { in_flight: get("concurrent"), cores: get("load_share"), memory: get("x0"), disks: get("x1") }
 }
 
 impl BootInfo {
-    /// The names behind numbers.
+    /// The names of classes, kinds, zones and tenants.
     pub fn names(&self) -> Names {
         Names {
             classes: self.classes.iter().map(|class| class.name.clone()).collect(),
@@ -223,16 +228,16 @@
         }
     }
 
-    /// What is said of connections.
-    pub fn connections(&self) -> Connections {
+    /// The settings of connections to engines.
+    pub fn connections(&self) -> ConnectionSettings {
         let limits = &self.limits;
-        let or = |told: u64, other: u64| if told > 0 { told } else { other };
-        let connect_timeout = or(limits.connect_timeout_us, CONNECT_TIMEOUT);
-        Connections {
+        let value_or = |value: u64, default: u64| if value > 0 { value } else { default };
+        let connect_timeout = value_or(limits.connect_timeout_us, DEFAULT_CONNECT_TIMEOUT_US);
+        ConnectionSettings {
             streams: limits.streams_per_conn.max(1),
             idle_timeout: limits.conn_idle_us,
             connect_timeout,
-            probe_timeout: or(limits.probe_timeout_us, connect_timeout),
+            probe_timeout: value_or(limits.probe_timeout_us, connect_timeout),
             open_cap: limits.open_cap,
             answer_grace: self.contract.grace_to_answer_us,
         }
@@ -241,14 +246,14 @@
     /// The settings of the decision module.
     ///
     /// # Errors
-    /// Names an effect that is not known.
+    /// If the effect of a class is unknown; the message names it.
     pub fn settings(&self) -> Result<vw::Settings, String> {
         let family = &self.family_info;
         let (contract, limits) = (&self.contract, &self.limits);
-        let cores = family.size_cores.iter().enumerate();
-        let memory = |i: usize| family.memory_by_kind_mb.get(i).copied().unwrap_or(0.0);
-        let classes = self.classes.iter().enumerate().map(|(i, class)| class.settings(i, family));
-        let budget = |per_request: f64| vw::AttemptBudget {
+        let kind_cores = family.size_cores.iter().enumerate();
+        let memory_mb = |kind: usize| family.memory_by_kind_mb.get(kind).copied().unwrap_or(0.0);
+        let classes = self.classes.iter().enumerate().map(|(index, class)| class.settings(index, family));
+        let attempt_budget = |per_request: f64| vw::AttemptBudget {
             free: contract.extra_free.unwrap_or(0.0),
             per_request,
             window: contract.look_back_us.unwrap_or(0),
@@ -257,8 +262,12 @@
             me: vw::PeerId(self.me),
             gateways: self.n_instances,
             classes: classes.collect::<Result<_, _>>()?,
-            kinds: cores.map(|(i, &cores)| vw::Kind { cores, memory_mb: memory(i) }).collect(),
-            tenants: self.tenants.iter().map(|t| vw::Tenant { quota_per_s: t.quota_per_s }).collect(),
+            kinds: kind_cores.map(|(kind, &cores)| vw::Kind { cores, memory_mb: memory_mb(kind) }).collect(),
+            tenants: self
+                .tenants
+                .iter()
+                .map(|tenant| vw::Tenant { quota_per_s: tenant.quota_per_s })
+                .collect(),
             over_share_worth: self.over_share_worth.unwrap_or(1.0),
             grants: family.grants_count,
             priorities: family.lanes_count,
@@ -275,7 +284,7 @@
             fall_multiple: contract.fall_multiple,
             fall_span: contract.tip_after_us,
             key_rest: contract.turn_gap_us,
-            budget: contract.extra_per_request.or(contract.extra_free.map(|_| 0.0)).map(budget),
+            budget: contract.extra_per_request.or(contract.extra_free.map(|_| 0.0)).map(attempt_budget),
             attempts_cap: limits.attempts_cap,
             may_cancel: limits.may_cancel,
             may_duplicate: limits.may_duplicate,
@@ -301,7 +310,8 @@
 }
 
 impl Class {
-    fn settings(&self, place: usize, family: &FamilyInfo) -> Result<vw::Class, String> {
+    /// The class at `index`, with its values from the lists by class of `family`.
+    fn settings(&self, index: usize, family: &FamilyInfo) -> Result<vw::Class, String> {
         let scope = match self.group.as_str() {
             "zone" => vw::KeyScope::Zone,
             "cell" => vw::KeyScope::Cell,
@@ -313,7 +323,7 @@
             "once" => vw::Effect::Once,
             other => return Err(format!("Effect: {other:?} is not known")),
         };
-        let flag = |flags: &[bool]| flags.get(place).copied().unwrap_or(false);
+        let flag = |flags: &[bool]| flags.get(index).copied().unwrap_or(false);
         let kinds = self.allowed_on.as_ref();
         let zones = self.zones_allowed.as_ref();
         Ok(vw::Class {
@@ -324,9 +334,9 @@
             late_worth: self.late_worth,
             effect,
             in_order: self.fifo_by_key,
-            kinds: kinds.map(|k| k.iter().copied().map(vw::KindId).collect()),
-            zones: zones.map(|z| z.iter().copied().map(vw::ZoneId).collect()),
-            threads: family.width_by_class.get(place).copied().unwrap_or(1),
+            kinds: kinds.map(|kinds| kinds.iter().copied().map(vw::KindId).collect()),
+            zones: zones.map(|zones| zones.iter().copied().map(vw::ZoneId).collect()),
+            threads: family.width_by_class.get(index).copied().unwrap_or(1),
             is_load: flag(&family.loads),
             waits_for_loads: flag(&family.waits_for_loads),
         })
