--- a/crates/resp/src/lib.rs
+++ b/crates/resp/src/lib.rs
@@ -1,5 +1,4 @@
-//! Decodes and encodes RESP arrays of bulk strings (the Redis serialization protocol, version 2), free of
-//! I/O.
+//! Decodes and encodes arrays of bulk strings in RESP 2 (the Redis serialization protocol), without I/O.
 //!
 //! [`Reader`] accepts bytes in chunks of any size and returns complete arrays. Announced lengths are checked
 //! against [`Limits`] before memory is allocated for them: a bulk string with an announced length of
--- a/crates/thrift/src/lib.rs
+++ b/crates/thrift/src/lib.rs
@@ -1,4 +1,4 @@
-//! Thrift messages in framed transport and the strict binary protocol, free of I/O.
+//! Thrift messages in framed transport and the strict binary protocol, without I/O.
 //!
 //! [`FrameDecoder`] splits a stream of bytes into frames, [`Cursor`] reads the values of a frame, and
 //! [`Writer`] writes them. Lengths that the peer announces are checked before memory is allocated for them:
