--- a/crates/lab/src/speed.rs
+++ b/crates/lab/src/speed.rs
@@ -11,7 +11,7 @@
 use violetward_gateway::config;
 use violetward_statement::http::{self, Headers, Limits, Reader, Side};
 use violetward_statement::results::QueryResults;
-use violetward_wheel::Wheel;
+use violetward_wheel::TimerWheel;
 
 use crate::fleet::{self, GatewayPlan};
 
@@ -290,13 +290,13 @@
         dice ^= dice >> 27;
         dice.wrapping_mul(0x2545_f491_4f6c_dd1d)
     };
-    let mut wheel = Wheel::new(0);
-    let mut keys: Vec<_> = (0..SET).map(|n| wheel.set(1 + draw() % 120_000, n)).collect();
+    let mut wheel = TimerWheel::new(0);
+    let mut keys: Vec<_> = (0..SET).map(|n| wheel.schedule(1 + draw() % 120_000, n)).collect();
     let start = Instant::now();
     for n in 0..SET {
         let at = (draw() % SET) as usize;
-        wheel.unset(keys[at]);
-        keys[at] = wheel.set(1 + draw() % 120_000, n);
+        wheel.cancel(keys[at]);
+        keys[at] = wheel.schedule(1 + draw() % 120_000, n);
     }
     let wheel_each = start.elapsed().as_secs_f64() * 1e9 / SET as f64;
     let mut map = BTreeMap::new();
--- a/crates/net/src/timer.rs
+++ b/crates/net/src/timer.rs
@@ -8,10 +8,10 @@
 use std::thread::Thread;
 use std::time::{Duration, Instant};
 
-use violetward_wheel::{Key, Wheel};
+use violetward_wheel::{TimerKey, TimerWheel};
 
 struct Shared {
-    wheel: Wheel<Waker>,
+    wheel: TimerWheel<Waker>,
     /// The tick at which the thread wakes by itself.
     planned: u64,
 }
@@ -31,7 +31,7 @@
     let spawned = std::thread::Builder::new().name("timers".into()).spawn(run);
     let thread = spawned.expect("a thread can be started").thread().clone();
     thread.unpark();
-    let shared = Shared { wheel: Wheel::new(0), planned: u64::MAX };
+    let shared = Shared { wheel: TimerWheel::new(0), planned: u64::MAX };
     Timers { start: Instant::now(), shared: Mutex::new(shared), thread }
 });
 
@@ -52,7 +52,7 @@
             let next = {
                 let mut shared = self.lock();
                 shared.wheel.advance(now, &mut fired);
-                let next = shared.wheel.next();
+                let next = shared.wheel.next_tick();
                 shared.planned = next.unwrap_or(u64::MAX);
                 next
             };
@@ -72,7 +72,7 @@
 #[derive(Debug)]
 pub struct Sleep {
     at: Instant,
-    key: Option<Key>,
+    key: Option<TimerKey>,
 }
 
 /// Waits until an instant, to the millisecond, never less.
@@ -99,7 +99,7 @@
         match self.key.and_then(|key| shared.wheel.get_mut(key)) {
             Some(waker) => waker.clone_from(context.waker()),
             None => {
-                self.key = Some(shared.wheel.set(tick, context.waker().clone()));
+                self.key = Some(shared.wheel.schedule(tick, context.waker().clone()));
                 if tick < shared.planned {
                     shared.planned = tick;
                     drop(shared);
@@ -114,7 +114,7 @@
 impl Drop for Sleep {
     fn drop(&mut self) {
         if let Some(key) = self.key.take() {
-            TIMERS.lock().wheel.unset(key);
+            TIMERS.lock().wheel.cancel(key);
         }
     }
 }
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -10,7 +10,7 @@
 use violetward::{
     Action, Answer, Decide, EngineId, Event, ListKind, Load, Micros, Outcome, Request, RequestId,
 };
-use violetward_wheel::{Key, Wheel};
+use violetward_wheel::{TimerKey, TimerWheel};
 
 use crate::call::Call;
 use crate::list::List;
@@ -128,7 +128,7 @@
     may_have_run: Option<(u32, Micros)>,
     body: Rc<[u8]>,
     due: Micros,
-    overdue: Key,
+    overdue: TimerKey,
     /// Memory in megabytes and priority of the next attempt.
     terms: (f64, u8),
     attempts: u32,
@@ -144,7 +144,7 @@
     written: bool,
     /// When it times out.
     until: Micros,
-    timer: Key,
+    timer: TimerKey,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -201,7 +201,7 @@
     numbers: BTreeMap<(ClientId, i32), RequestId>,
     attempts: BTreeMap<AttemptId, Attempt>,
     listed: HashSet<EngineId>,
-    timers: Wheel<Timer>,
+    timers: TimerWheel<Timer>,
     fired: Vec<Timer>,
     inbox: VecDeque<Event>,
     effects: VecDeque<Effect>,
@@ -237,7 +237,7 @@
             numbers: BTreeMap::new(),
             attempts: BTreeMap::new(),
             listed: HashSet::new(),
-            timers: Wheel::new(now / 1000),
+            timers: TimerWheel::new(now / 1000),
             fired: Vec::new(),
             inbox: VecDeque::new(),
             effects: VecDeque::new(),
@@ -254,7 +254,7 @@
 
     /// When [`Core::wake`] should be called next.
     pub fn next_wake(&self) -> Option<Micros> {
-        self.timers.next().map(|tick| tick * 1000)
+        self.timers.next_tick().map(|tick| tick * 1000)
     }
 
     /// Requests that have no final answer yet.
@@ -309,7 +309,7 @@
             body: call.body,
             due,
             // Behind the attempt's own time-out and the module's tick: a request that this finds open is a fault.
-            overdue: self.timers.set(tick(due + self.terms.margin / 2) + 1, Timer::Overdue(call.id)),
+            overdue: self.timers.schedule(tick(due + self.terms.margin / 2) + 1, Timer::Overdue(call.id)),
             terms: (0.0, 1),
             attempts: 0,
             lapsing: false,
@@ -379,8 +379,8 @@
         self.pass(now);
         let Some(out) = self.attempts.get_mut(&attempt) else { return };
         (out.sent, out.written) = (self.now, true);
-        self.timers.unset(out.timer);
-        out.timer = self.timers.set(tick(out.until), Timer::Attempt(attempt));
+        self.timers.cancel(out.timer);
+        out.timer = self.timers.schedule(tick(out.until), Timer::Attempt(attempt));
         if let Some(open) = self.open.get_mut(&attempt.0) {
             open.may_have_run = open.may_have_run.or(Some((attempt.1, self.now)));
         }
@@ -459,7 +459,7 @@
     fn close(&mut self, id: RequestId) -> Option<Open> {
         let open = self.open.remove(&id)?;
         self.numbers.remove(&(open.client, open.seqid));
-        self.timers.unset(open.overdue);
+        self.timers.cancel(open.overdue);
         self.body_bytes -= open.body.len();
         let out = self.attempts.range(attempts_of(id));
         let unwritten = out.filter(|(_, attempt)| !attempt.written).map(|(&attempt, _)| attempt);
@@ -476,14 +476,14 @@
         let outcome = if out.written { outcome } else { Outcome::Moot };
         tracing::debug!(engine = %format_args!("{:x}", out.engine.0), id = %format_args!("{:016x}", attempt.0 .0),
             attempt = attempt.1, ?outcome, "given up");
-        self.timers.unset(out.timer);
+        self.timers.cancel(out.timer);
         self.effects.push_back(Effect::Withdraw(out.engine, attempt));
         self.answer(attempt, outcome, self.now.saturating_sub(out.sent));
     }
 
     fn finish(&mut self, id: AttemptId, ending: Ending) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
-        self.timers.unset(attempt.timer);
+        self.timers.cancel(attempt.timer);
         if matches!(ending.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot) {
             // It surely has not run: the window begins with a later attempt.
             if let Some(open) = self.open.get_mut(&id.0) {
@@ -540,7 +540,7 @@
             Action::Cancel { id, attempt } => self.give_up(AttemptId(id, attempt), Outcome::Cancelled),
             Action::Probe(engine) => self.effects.push_back(Effect::Probe(engine)),
             Action::Arm { handle, span } => {
-                self.timers.set(tick(self.now + span), Timer::Module(handle));
+                self.timers.schedule(tick(self.now + span), Timer::Module(handle));
             }
             Action::Log(text) => self.effects.push_back(Effect::Say(text)),
             // The list is followed by the host anyway, and gateways do not speak with each other here.
@@ -572,7 +572,7 @@
         let window_ends =
             open.window.zip(open.may_have_run).map(|(window, (_, at))| at.saturating_add(window));
         let write_by = window_ends.map_or(until, |ends| ends.saturating_sub(WINDOW_MARGIN).min(until));
-        let timer = self.timers.set(tick(write_by), Timer::Attempt(attempt));
+        let timer = self.timers.schedule(tick(write_by), Timer::Attempt(attempt));
         self.attempts.insert(attempt, Attempt { engine, sent: self.now, written: false, until, timer });
     }
 
--- a/crates/session/src/table.rs
+++ b/crates/session/src/table.rs
@@ -10,7 +10,7 @@
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-use violetward_wheel::{Key, Wheel};
+use violetward_wheel::{TimerKey, TimerWheel};
 
 use crate::index::Index;
 
@@ -204,7 +204,7 @@
     opened: Micros,
     used: Micros,
     until: Micros,
-    timer: Option<Key>,
+    timer: Option<TimerKey>,
     before: u32,
     after: u32,
 }
@@ -225,7 +225,7 @@
     index: Index,
     slab: Vec<Option<Session>>,
     free: Vec<u32>,
-    wheel: Wheel<u32>,
+    wheel: TimerWheel<u32>,
     places: Vec<Place>,
     place_of: HashMap<(u64, Box<str>), u32>,
     /// Engines that drain, and since when.
@@ -249,7 +249,7 @@
             index: Index::default(),
             slab: Vec::new(),
             free: Vec::new(),
-            wheel: Wheel::new(now / TICK),
+            wheel: TimerWheel::new(now / TICK),
             places: Vec::new(),
             place_of: HashMap::new(),
             draining: HashMap::new(),
@@ -500,7 +500,7 @@
         let session = self.slab[at as usize].take()?;
         self.free.push(at);
         if let Some(key) = session.timer {
-            self.wheel.unset(key);
+            self.wheel.cancel(key);
         }
         for (side, other) in [(session.before, true), (session.after, false)] {
             if let Some(neighbour) = self.slab.get_mut(side as usize).and_then(Option::as_mut) {
@@ -588,7 +588,7 @@
 
     /// When something may be due.
     pub fn next_wake(&self) -> Option<Micros> {
-        self.wheel.next().map(|tick| tick * TICK)
+        self.wheel.next_tick().map(|tick| tick * TICK)
     }
 
     /// Lets time pass: sessions whose limits are over are lost.
@@ -639,13 +639,13 @@
         }
         let old = session.timer;
         if let Some(key) = old {
-            self.wheel.unset(key);
+            self.wheel.cancel(key);
         }
         if self.wheel.is_empty() {
             // Nothing is set: its time may be that of long ago.
             self.wheel.advance(now / TICK, &mut Vec::new());
         }
-        let key = self.wheel.set(due / TICK, at);
+        let key = self.wheel.schedule(due / TICK, at);
         if let Some(session) = self.slab[at as usize].as_mut() {
             session.timer = Some(key);
         }
--- a/crates/wheel/src/lib.rs
+++ b/crates/wheel/src/lib.rs
@@ -11,7 +11,7 @@
 
 /// A timer that is set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Key {
+pub struct TimerKey {
     index: u32,
     generation: u32,
 }
@@ -28,7 +28,7 @@
 
 /// Timers that carry a value each.
 #[derive(Debug)]
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     now: u64,
     heads: Vec<u32>,
     /// Which slots of a level hold anything, a bit each.
@@ -38,11 +38,11 @@
     count: usize,
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// A wheel whose time is `now`.
     pub fn new(now: u64) -> Self {
         let heads = vec![NONE; SLOTS * LEVELS];
-        Wheel { now, heads, full: [0; LEVELS], entries: Vec::new(), free: Vec::new(), count: 0 }
+        TimerWheel { now, heads, full: [0; LEVELS], entries: Vec::new(), free: Vec::new(), count: 0 }
     }
 
     /// Timers that are set.
@@ -57,7 +57,7 @@
 
     /// Sets a timer. One that is due already fires with the next tick; one beyond the last level fires at its end and
     /// should be set again.
-    pub fn set(&mut self, deadline: u64, value: T) -> Key {
+    pub fn schedule(&mut self, deadline: u64, value: T) -> TimerKey {
         let index = self.free.pop().unwrap_or_else(|| {
             let entry =
                 Entry { deadline: 0, value: None, generation: 0, slot: 0, next: NONE, previous: NONE };
@@ -68,17 +68,17 @@
         (entry.deadline, entry.value) = (deadline, Some(value));
         self.link(index);
         self.count += 1;
-        Key { index, generation: self.entries[index as usize].generation }
+        TimerKey { index, generation: self.entries[index as usize].generation }
     }
 
     /// Changes the value of a timer that is still set.
-    pub fn get_mut(&mut self, key: Key) -> Option<&mut T> {
+    pub fn get_mut(&mut self, key: TimerKey) -> Option<&mut T> {
         let entry = self.entries.get_mut(key.index as usize).filter(|e| e.generation == key.generation)?;
         entry.value.as_mut()
     }
 
     /// Unsets a timer; its value, if it has not fired.
-    pub fn unset(&mut self, key: Key) -> Option<T> {
+    pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
         let entry = self.entries.get(key.index as usize)?;
         if entry.generation != key.generation || entry.value.is_none() {
             return None;
@@ -89,7 +89,7 @@
 
     /// A tick at which something may be due, and before which nothing is. Exact within the first level, else when the
     /// next slot has to be looked at.
-    pub fn next(&self) -> Option<u64> {
+    pub fn next_tick(&self) -> Option<u64> {
         let mut best: Option<u64> = None;
         for level in 0..LEVELS {
             if self.full[level] == 0 {
@@ -111,7 +111,7 @@
     pub fn advance(&mut self, now: u64, fired: &mut Vec<T>) {
         while self.now < now {
             // Empty stretches are passed over.
-            let Some(next) = self.next().filter(|&n| n <= now) else {
+            let Some(next) = self.next_tick().filter(|&n| n <= now) else {
                 self.now = now;
                 return;
             };
@@ -210,19 +210,19 @@
             dice ^= dice >> 27;
             dice.wrapping_mul(0x2545_f491_4f6c_dd1d) % n
         };
-        let mut wheel = Wheel::new(1_000_003);
-        let mut plain: BTreeMap<(u64, u64), Key> = BTreeMap::new();
+        let mut wheel = TimerWheel::new(1_000_003);
+        let mut plain: BTreeMap<(u64, u64), TimerKey> = BTreeMap::new();
         let mut now = 1_000_003;
         for n in 0..60_000u64 {
             let far = [10, 100, 5_000, 400_000, 20_000_000][draw(5) as usize];
             let deadline = now + draw(far);
-            plain.insert((deadline.max(now + 1), n), wheel.set(deadline, n));
+            plain.insert((deadline.max(now + 1), n), wheel.schedule(deadline, n));
             if draw(3) == 0 {
                 let at = draw(plain.len() as u64) as usize % 50;
                 if let Some((&name, &key)) = plain.iter().nth(at) {
                     plain.remove(&name);
-                    assert_eq!(wheel.unset(key), Some(name.1));
-                    assert_eq!(wheel.unset(key), None);
+                    assert_eq!(wheel.cancel(key), Some(name.1));
+                    assert_eq!(wheel.cancel(key), None);
                 }
             }
             now += draw(40) * draw(2) * draw(2) * if draw(100) == 0 { 1_000 } else { 1 };
@@ -236,7 +236,7 @@
             assert_eq!(fired, due, "at {now}");
             assert_eq!(wheel.len(), plain.len());
             if let Some((first, _)) = plain.keys().next() {
-                let next = wheel.next().expect("something is set");
+                let next = wheel.next_tick().expect("something is set");
                 assert!(next > now && next <= *first, "{next} is after {first}");
             }
         }
@@ -244,11 +244,11 @@
 
     #[test]
     fn what_is_unset_leaves_nothing_behind() {
-        let mut wheel = Wheel::new(0);
+        let mut wheel = TimerWheel::new(0);
         for _ in 0..10_000 {
-            let key = wheel.set(120_000, ());
-            wheel.unset(key);
+            let key = wheel.schedule(120_000, ());
+            wheel.cancel(key);
         }
-        assert_eq!((wheel.entries.len(), wheel.next()), (1, None));
+        assert_eq!((wheel.entries.len(), wheel.next_tick()), (1, None));
     }
 }
