--- a/crates/wheel/src/lib.rs
+++ b/crates/wheel/src/lib.rs
@@ -1,15 +1,20 @@
-//! A hierarchical timing wheel (Varghese and Lauck, 1987): setting, unsetting and firing a timer take constant time,
-//! however many are set. Free of I/O and clock; time is counted in ticks.
+//! A hierarchical timing wheel (Varghese and Lauck, 1987). Scheduling, cancelling and firing a timer take
+//! constant time, independent of the number of pending timers. Does no I/O and reads no clock: the caller
+//! supplies the time in ticks.
 //!
-//! Five levels of 64 slots: a timer lies in the level where its deadline first differs from now, and falls to lower
-//! levels as its time comes near. Entries are linked through a slab, so that unsetting leaves nothing behind.
+//! The wheel has five levels of 64 slots. A slot of level `n` spans 64^n ticks. A timer is stored on the
+//! level of the highest 6-bit group in which its deadline differs from the current tick, and moves to lower
+//! levels as the deadline approaches. The timers of a slot form a doubly linked list of slab entries, so a
+//! cancelled timer frees its entry at once.
 
-const BITS: u32 = 6;
-const SLOTS: usize = 1 << BITS;
+/// Bits of a tick that select the slot on one level.
+const SLOT_BITS: u32 = 6;
+const SLOTS_PER_LEVEL: usize = 1 << SLOT_BITS;
 const LEVELS: usize = 5;
-const NONE: u32 = u32::MAX;
+/// Marks the end of a linked list.
+const NO_ENTRY: u32 = u32::MAX;
 
-/// A timer that is set.
+/// Identifies a scheduled timer. A key becomes invalid when its timer fires or is cancelled.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimerKey {
     index: u32,
@@ -19,128 +24,144 @@
 #[derive(Debug)]
 struct Entry<T> {
     deadline: u64,
+    /// `None` while the entry is free.
     value: Option<T>,
+    /// Incremented when the entry is freed, so that old keys do not match its next timer.
     generation: u32,
+    /// Index into [`TimerWheel::heads`].
     slot: u16,
     next: u32,
     previous: u32,
 }
 
-/// Timers that carry a value each.
+/// A set of pending timers, each of which carries a value.
 #[derive(Debug)]
 pub struct TimerWheel<T> {
+    /// The current tick.
     now: u64,
+    /// Per slot, level by level: the first entry of its list.
     heads: Vec<u32>,
-    /// Which slots of a level hold anything, a bit each.
-    full: [u64; LEVELS],
+    /// Per level: a bit mask of the slots that are not empty.
+    occupied: [u64; LEVELS],
     entries: Vec<Entry<T>>,
+    /// Indexes of unused entries.
     free: Vec<u32>,
-    count: usize,
+    /// Number of pending timers.
+    pending: usize,
 }
 
 impl<T> TimerWheel<T> {
-    /// A wheel whose time is `now`.
+    /// Creates an empty wheel whose current tick is `now`.
     pub fn new(now: u64) -> Self {
-        let heads = vec![NONE; SLOTS * LEVELS];
-        TimerWheel { now, heads, full: [0; LEVELS], entries: Vec::new(), free: Vec::new(), count: 0 }
+        let heads = vec![NO_ENTRY; SLOTS_PER_LEVEL * LEVELS];
+        TimerWheel { now, heads, occupied: [0; LEVELS], entries: Vec::new(), free: Vec::new(), pending: 0 }
     }
 
-    /// Timers that are set.
+    /// Returns the number of pending timers.
     pub fn len(&self) -> usize {
-        self.count
+        self.pending
     }
 
-    /// None is set.
+    /// Returns whether no timer is pending.
     pub fn is_empty(&self) -> bool {
-        self.count == 0
+        self.pending == 0
     }
 
-    /// Sets a timer. One that is due already fires with the next tick; one beyond the last level fires at its end and
-    /// should be set again.
+    /// Schedules a timer. A deadline that has already passed fires on the next tick. A deadline beyond the
+    /// range of the wheel is kept on the last level and re-examined each time its slot comes up, until it is
+    /// due.
     pub fn schedule(&mut self, deadline: u64, value: T) -> TimerKey {
         let index = self.free.pop().unwrap_or_else(|| {
-            let entry =
-                Entry { deadline: 0, value: None, generation: 0, slot: 0, next: NONE, previous: NONE };
+            let entry = Entry {
+                deadline: 0,
+                value: None,
+                generation: 0,
+                slot: 0,
+                next: NO_ENTRY,
+                previous: NO_ENTRY,
+            };
             self.entries.push(entry);
             (self.entries.len() - 1) as u32
         });
         let entry = &mut self.entries[index as usize];
         (entry.deadline, entry.value) = (deadline, Some(value));
         self.link(index);
-        self.count += 1;
+        self.pending += 1;
         TimerKey { index, generation: self.entries[index as usize].generation }
     }
 
-    /// Changes the value of a timer that is still set.
+    /// Returns the value of a timer that is still pending.
     pub fn get_mut(&mut self, key: TimerKey) -> Option<&mut T> {
         let entry = self.entries.get_mut(key.index as usize).filter(|e| e.generation == key.generation)?;
         entry.value.as_mut()
     }
 
-    /// Unsets a timer; its value, if it has not fired.
+    /// Cancels a timer. Returns its value, or `None` if the timer has already fired or been cancelled.
     pub fn cancel(&mut self, key: TimerKey) -> Option<T> {
         let entry = self.entries.get(key.index as usize)?;
         if entry.generation != key.generation || entry.value.is_none() {
             return None;
         }
         self.unlink(key.index);
-        Some(self.take(key.index))
+        Some(self.free_entry(key.index))
     }
 
-    /// A tick at which something may be due, and before which nothing is. Exact within the first level, else when the
-    /// next slot has to be looked at.
+    /// Returns a tick before which no timer is due. On the first level it is the exact deadline of the next
+    /// timer; on higher levels it is the tick at which the next occupied slot must be redistributed to lower
+    /// levels.
     pub fn next_tick(&self) -> Option<u64> {
-        let mut best: Option<u64> = None;
+        let mut earliest: Option<u64> = None;
         for level in 0..LEVELS {
-            if self.full[level] == 0 {
+            if self.occupied[level] == 0 {
                 continue;
             }
-            let shift = BITS * level as u32;
-            let here = (self.now >> shift) as u32 & (SLOTS as u32 - 1);
-            // Slots from the one after this on; on the first level this one is past as well.
-            let ahead = self.full[level].rotate_right(here).trailing_zeros();
-            let base = self.now >> shift;
-            let at = (base + u64::from(ahead)) << shift;
-            let at = at.max(self.now + 1);
-            best = Some(best.map_or(at, |b| b.min(at)));
+            let shift = SLOT_BITS * level as u32;
+            let slot_number = self.now >> shift;
+            let current_slot = slot_number as u32 & (SLOTS_PER_LEVEL as u32 - 1);
+            // The rotation moves the current slot to bit 0, so the lowest set bit is the distance to the next
+            // occupied slot.
+            let distance = self.occupied[level].rotate_right(current_slot).trailing_zeros();
+            let tick = (slot_number + u64::from(distance)) << shift;
+            let tick = tick.max(self.now + 1);
+            earliest = Some(earliest.map_or(tick, |other| other.min(tick)));
         }
-        best
+        earliest
     }
 
-    /// Lets time pass; values of timers that are due are added to `fired`.
+    /// Advances the current tick to `now` and appends the values of all timers that are due to `fired`.
     pub fn advance(&mut self, now: u64, fired: &mut Vec<T>) {
         while self.now < now {
-            // Empty stretches are passed over.
+            // Skips ranges without timers.
             let Some(next) = self.next_tick().filter(|&n| n <= now) else {
                 self.now = now;
                 return;
             };
             self.now = next;
             for level in (1..LEVELS).rev() {
-                let shift = BITS * level as u32;
+                let shift = SLOT_BITS * level as u32;
                 if self.now & ((1 << shift) - 1) == 0 {
-                    self.fall(level, fired);
+                    self.cascade(level, fired);
                 }
             }
-            let slot = (self.now & (SLOTS as u64 - 1)) as usize;
-            while self.heads[slot] != NONE {
+            let slot = (self.now & (SLOTS_PER_LEVEL as u64 - 1)) as usize;
+            while self.heads[slot] != NO_ENTRY {
                 let index = self.heads[slot];
                 self.unlink(index);
-                fired.push(self.take(index));
+                fired.push(self.free_entry(index));
             }
         }
     }
 
-    /// Moves what lies in the current slot of a level to lower ones, or fires it.
-    fn fall(&mut self, level: usize, fired: &mut Vec<T>) {
-        let here = (self.now >> (BITS * level as u32)) as usize & (SLOTS - 1);
-        let slot = level * SLOTS + here;
-        let mut index = std::mem::replace(&mut self.heads[slot], NONE);
-        self.full[level] &= !(1 << here);
-        while index != NONE {
+    /// Moves the timers of the current slot of `level` to lower levels. Timers that are due fire.
+    fn cascade(&mut self, level: usize, fired: &mut Vec<T>) {
+        let slot_in_level = (self.now >> (SLOT_BITS * level as u32)) as usize & (SLOTS_PER_LEVEL - 1);
+        let slot = level * SLOTS_PER_LEVEL + slot_in_level;
+        let mut index = std::mem::replace(&mut self.heads[slot], NO_ENTRY);
+        self.occupied[level] &= !(1 << slot_in_level);
+        while index != NO_ENTRY {
             let next = self.entries[index as usize].next;
             if self.entries[index as usize].deadline <= self.now {
-                fired.push(self.take(index));
+                fired.push(self.free_entry(index));
             } else {
                 self.link(index);
             }
@@ -148,51 +169,57 @@
         }
     }
 
+    /// Inserts an entry into the slot of its deadline.
     fn link(&mut self, index: u32) {
         let deadline = self.entries[index as usize].deadline.max(self.now + 1);
-        let differ = (deadline ^ self.now) >> BITS;
-        let mut level = if differ == 0 { 0 } else { ((63 - differ.leading_zeros()) / BITS + 1) as usize };
-        let mut at = deadline;
+        let differing_bits = (deadline ^ self.now) >> SLOT_BITS;
+        let mut level = match differing_bits {
+            0 => 0,
+            bits => ((63 - bits.leading_zeros()) / SLOT_BITS + 1) as usize,
+        };
+        let mut tick = deadline;
         if level >= LEVELS {
-            // Too far: the last slot before this one of the last level, to be looked at again then.
+            // Beyond the range of the wheel: uses the slot of the last level that comes up latest.
             level = LEVELS - 1;
-            let shift = BITS * level as u32;
-            at = ((self.now >> shift) + SLOTS as u64 - 1) << shift;
+            let shift = SLOT_BITS * level as u32;
+            tick = ((self.now >> shift) + SLOTS_PER_LEVEL as u64 - 1) << shift;
         }
-        let here = (at >> (BITS * level as u32)) as usize & (SLOTS - 1);
-        let slot = level * SLOTS + here;
+        let slot_in_level = (tick >> (SLOT_BITS * level as u32)) as usize & (SLOTS_PER_LEVEL - 1);
+        let slot = level * SLOTS_PER_LEVEL + slot_in_level;
         let head = self.heads[slot];
         let entry = &mut self.entries[index as usize];
-        (entry.slot, entry.next, entry.previous) = (slot as u16, head, NONE);
-        if head != NONE {
+        (entry.slot, entry.next, entry.previous) = (slot as u16, head, NO_ENTRY);
+        if head != NO_ENTRY {
             self.entries[head as usize].previous = index;
         }
         self.heads[slot] = index;
-        self.full[level] |= 1 << here;
+        self.occupied[level] |= 1 << slot_in_level;
     }
 
+    /// Removes an entry from the list of its slot.
     fn unlink(&mut self, index: u32) {
         let entry = &self.entries[index as usize];
         let (slot, next, previous) = (usize::from(entry.slot), entry.next, entry.previous);
-        if next != NONE {
+        if next != NO_ENTRY {
             self.entries[next as usize].previous = previous;
         }
-        if previous != NONE {
+        if previous != NO_ENTRY {
             self.entries[previous as usize].next = next;
         } else {
             self.heads[slot] = next;
         }
-        if self.heads[slot] == NONE {
-            self.full[slot / SLOTS] &= !(1 << (slot % SLOTS));
+        if self.heads[slot] == NO_ENTRY {
+            self.occupied[slot / SLOTS_PER_LEVEL] &= !(1 << (slot % SLOTS_PER_LEVEL));
         }
     }
 
-    fn take(&mut self, index: u32) -> T {
+    /// Returns an unlinked entry to the free list and its value to the caller.
+    fn free_entry(&mut self, index: u32) -> T {
         let entry = &mut self.entries[index as usize];
         entry.generation = entry.generation.wrapping_add(1);
         self.free.push(index);
-        self.count -= 1;
-        entry.value.take().expect("a linked entry has a value")
+        self.pending -= 1;
+        entry.value.take().expect("a pending entry has a value")
     }
 }
 
@@ -202,48 +229,51 @@
     use std::collections::BTreeMap;
 
     #[test]
-    fn it_fires_what_a_sorted_map_fires_at_the_same_ticks() {
-        let mut dice = 0x9e37_79b9_7f4a_7c15u64;
-        let mut draw = |n: u64| {
-            dice ^= dice >> 12;
-            dice ^= dice << 25;
-            dice ^= dice >> 27;
-            dice.wrapping_mul(0x2545_f491_4f6c_dd1d) % n
+    fn timers_fire_at_the_same_ticks_as_in_a_sorted_map() {
+        let mut random_state = 0x9e37_79b9_7f4a_7c15u64;
+        let mut random_below = |bound: u64| {
+            random_state ^= random_state >> 12;
+            random_state ^= random_state << 25;
+            random_state ^= random_state >> 27;
+            random_state.wrapping_mul(0x2545_f491_4f6c_dd1d) % bound
         };
         let mut wheel = TimerWheel::new(1_000_003);
-        let mut plain: BTreeMap<(u64, u64), TimerKey> = BTreeMap::new();
+        let mut expected: BTreeMap<(u64, u64), TimerKey> = BTreeMap::new();
         let mut now = 1_000_003;
-        for n in 0..60_000u64 {
-            let far = [10, 100, 5_000, 400_000, 20_000_000][draw(5) as usize];
-            let deadline = now + draw(far);
-            plain.insert((deadline.max(now + 1), n), wheel.schedule(deadline, n));
-            if draw(3) == 0 {
-                let at = draw(plain.len() as u64) as usize % 50;
-                if let Some((&name, &key)) = plain.iter().nth(at) {
-                    plain.remove(&name);
-                    assert_eq!(wheel.cancel(key), Some(name.1));
+        for id in 0..60_000u64 {
+            let max_delay = [10, 100, 5_000, 400_000, 20_000_000][random_below(5) as usize];
+            let deadline = now + random_below(max_delay);
+            expected.insert((deadline.max(now + 1), id), wheel.schedule(deadline, id));
+            if random_below(3) == 0 {
+                let position = random_below(expected.len() as u64) as usize % 50;
+                if let Some((&entry, &key)) = expected.iter().nth(position) {
+                    expected.remove(&entry);
+                    assert_eq!(wheel.cancel(key), Some(entry.1));
                     assert_eq!(wheel.cancel(key), None);
                 }
             }
-            now += draw(40) * draw(2) * draw(2) * if draw(100) == 0 { 1_000 } else { 1 };
+            now += random_below(40)
+                * random_below(2)
+                * random_below(2)
+                * if random_below(100) == 0 { 1_000 } else { 1 };
             let mut fired = Vec::new();
             wheel.advance(now, &mut fired);
             fired.sort_unstable();
-            let later = plain.split_off(&(now + 1, 0));
-            let mut due: Vec<u64> = plain.into_keys().map(|k| k.1).collect();
+            let pending = expected.split_off(&(now + 1, 0));
+            let mut due: Vec<u64> = expected.into_keys().map(|(_, id)| id).collect();
             due.sort_unstable();
-            plain = later;
-            assert_eq!(fired, due, "at {now}");
-            assert_eq!(wheel.len(), plain.len());
-            if let Some((first, _)) = plain.keys().next() {
-                let next = wheel.next_tick().expect("something is set");
-                assert!(next > now && next <= *first, "{next} is after {first}");
+            expected = pending;
+            assert_eq!(fired, due, "at tick {now}");
+            assert_eq!(wheel.len(), expected.len());
+            if let Some(((first_deadline, _), _)) = expected.first_key_value() {
+                let next = wheel.next_tick().expect("a timer is pending");
+                assert!(next > now && next <= *first_deadline, "next tick {next} is after {first_deadline}");
             }
         }
     }
 
     #[test]
-    fn what_is_unset_leaves_nothing_behind() {
+    fn a_cancelled_timer_frees_its_entry() {
         let mut wheel = TimerWheel::new(0);
         for _ in 0..10_000 {
             let key = wheel.schedule(120_000, ());
