--- a/crates/net/src/timer.rs
+++ b/crates/net/src/timer.rs
@@ -9,10 +9,10 @@
 use std::thread::Thread;
 use std::time::{Duration, Instant};
 
-use violetward_wheel::{Key, Wheel};
+use violetward_wheel::{TimerKey, TimerWheel};
 
 struct State {
-    wheel: Wheel<Waker>,
+    wheel: TimerWheel<Waker>,
     /// The tick at which the timer thread wakes unless it is unparked; `u64::MAX` if it waits for a timer to
     /// be set.
     next_wake: u64,
@@ -34,7 +34,7 @@
     let spawned = std::thread::Builder::new().name("timers".into()).spawn(run);
     let thread = spawned.expect("the timer thread starts").thread().clone();
     thread.unpark();
-    let state = State { wheel: Wheel::new(0), next_wake: u64::MAX };
+    let state = State { wheel: TimerWheel::new(0), next_wake: u64::MAX };
     Timers { start: Instant::now(), state: Mutex::new(state), thread }
 });
 
@@ -55,7 +55,7 @@
             let next = {
                 let mut state = self.lock();
                 state.wheel.advance(now, &mut fired);
-                let next = state.wheel.next();
+                let next = state.wheel.next_tick();
                 state.next_wake = next.unwrap_or(u64::MAX);
                 next
             };
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 pub struct Sleep {
     deadline: Instant,
-    key: Option<Key>,
+    key: Option<TimerKey>,
 }
 
 /// Waits until an instant, rounded up to the next tick; never ends early.
@@ -105,7 +105,7 @@
         match self.key.and_then(|key| state.wheel.get_mut(key)) {
             Some(waker) => waker.clone_from(context.waker()),
             None => {
-                self.key = Some(state.wheel.set(tick, context.waker().clone()));
+                self.key = Some(state.wheel.schedule(tick, context.waker().clone()));
                 if tick < state.next_wake {
                     state.next_wake = tick;
                     drop(state);
@@ -120,7 +120,7 @@
 impl Drop for Sleep {
     fn drop(&mut self) {
         if let Some(key) = self.key.take() {
-            TIMERS.lock().wheel.unset(key);
+            TIMERS.lock().wheel.cancel(key);
         }
     }
 }
