--- a/crates/digest/examples/spread.rs
+++ b/crates/digest/examples/spread.rs
@@ -1,8 +1,10 @@
 //! Pages of a whole fleet on a simulated network: what a member sends, and how old what it knows of the others is.
-//! `cargo run --release -p violetward-digest --example spread -- [MEMBERS] [CELLS] [LOSS] [CUT]`; `CUT` members of hundred do not
+//! `cargo run --release -p violetward-digest --example spread -- [MEMBERS] [MAX_CELLS_PER_PAGE] [LOSS] [CUT]`; `CUT` members of hundred do not
 //! reach one other in three.
 
-use violetward_digest::{Cell, Digest, Own, Pace, Page, Spread, Summary, Terms, DATAGRAM};
+use violetward_digest::{
+    Cell, Digest, DigestConfig, GossipConfig, GossipScheduler, Page, PageBuilder, Summary, MAX_DATAGRAM_BYTES,
+};
 use violetward_transport::sim::{draw, Dice, Queue, Weather};
 
 const SECOND: u64 = 1_000_000;
@@ -22,9 +24,9 @@
 }
 
 struct Member {
-    own: Own,
+    own: PageBuilder,
     digest: Digest,
-    spread: Spread,
+    spread: GossipScheduler,
     sent: Vec<usize>,
 }
 
@@ -35,9 +37,9 @@
     let name = |n: usize| format!("gateway-{n:03}");
     let mut fleet: Vec<Member> = (0..members)
         .map(|n| Member {
-            own: Own::new(&name(n), 1 + (cells / 24).min(7) as u8, 1),
-            digest: Digest::new(Terms::default()),
-            spread: Spread::new(Pace::default(), draw(&mut dice.0), 0),
+            own: PageBuilder::new(&name(n), 1 + (cells / 24).min(7) as u8, 1),
+            digest: Digest::new(DigestConfig::default()),
+            spread: GossipScheduler::new(GossipConfig::default(), draw(&mut dice.0), 0),
             sent: vec![0; seconds as usize + 1],
         })
         .collect();
@@ -49,7 +51,13 @@
             zone: Some((c % 2) as u16),
             site: Some((n % 4) as u16),
         };
-        let says = Summary { work: 1_000.0, k: 1.2, weight: 5_000.0, room: 9_000.0, crossing: 800.0 };
+        let says = Summary {
+            demand: 1_000.0,
+            cost_ratio: 1.2,
+            cost_weight: 5_000.0,
+            headroom: 9_000.0,
+            round_trip_us: 800.0,
+        };
         (0..cells).map(move |c| (cell(c), says)).collect::<Vec<_>>()
     };
     let is_cut = |from: usize, to: usize| from * 100 < cut * members && (from + to) % 3 == 0;
@@ -58,17 +66,17 @@
         let now = queue.now;
         let member = &mut fleet[n];
         if !bytes.is_empty() {
-            for page in Page::read(&bytes, now).expect("a datagram of ours") {
-                member.own.heard(&page);
+            for page in Page::decode_datagram(&bytes, now).expect("a datagram of ours") {
+                member.own.observe(&page);
                 member.digest.merge(now, page);
             }
             continue;
         }
         let others = || (0..members).filter(|&o| o != n).map(name).collect();
-        let out = member.spread.wake(now, others, || sums(n), &mut member.own, &mut member.digest);
-        queue.push(member.spread.next_wake().max(now + 1), (n, Vec::new()));
+        let out = member.spread.poll(now, others, || sums(n), &mut member.own, &mut member.digest);
+        queue.push(member.spread.next_poll_at().max(now + 1), (n, Vec::new()));
         for (to, bytes) in out {
-            assert!(bytes.len() <= DATAGRAM);
+            assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
             fleet[n].sent[(now / SECOND) as usize] += bytes.len();
             let to: usize = to[8..].parse().expect("a number");
             if !is_cut(n, to) {
@@ -83,7 +91,7 @@
         let known = member.digest.pages().filter(|p| p.origin() != name(n));
         let known: Vec<f64> = known.map(|p| p.age(end) as f64 / 1e6).collect();
         let pages = member.digest.pages().filter(|p| p.origin() == name(n));
-        let (count, octets) = pages.fold((0, 0), |sum, p| (sum.0 + 1, sum.1 + p.octets()));
+        let (count, octets) = pages.fold((0, 0), |sum, p| (sum.0 + 1, sum.1 + p.encoded_len()));
         page = page.max(octets);
         unknown += (members - 1) * count - known.len();
         ages.extend(known);
--- a/crates/digest/src/lib.rs
+++ b/crates/digest/src/lib.rs
@@ -1,19 +1,21 @@
 //! Bounded summaries of demand, cost and room by cell, which merge in any order; free of I/O and clock. See `docs/digest.md`.
 //!
-//! Each gateway sums up what it sees by [`Cell`], as [`Summary`]s on a few [`Page`]s of its own ([`Own`]). Pages carry their
+//! Each gateway sums up what it sees by [`Cell`], as [`Summary`]s on a few [`Page`]s of its own ([`PageBuilder`]). Pages carry their
 //! origin and version; a [`Digest`] keeps the newest of each, whoever passed it on, and tells by cell what all of them say
-//! together ([`View`]): faded with age, and with a cap on what one gateway may add. [`Spread`] says which pages go to whom, within
+//! together ([`CellAggregate`]): faded with age, and with a cap on what one gateway may add. [`GossipScheduler`] says which pages go to whom, within
 //! a bound on octets.
 
 mod digest;
-mod own;
+mod gossip;
 mod page;
-mod spread;
+mod page_builder;
 
-pub use digest::{Digest, Terms, View};
-pub use own::Own;
-pub use page::{Page, Unreadable, CELLS, DATAGRAM, NAME, PAGES};
-pub use spread::{Pace, Spread};
+pub use digest::{CellAggregate, Digest, DigestConfig};
+pub use gossip::{GossipConfig, GossipScheduler};
+pub use page::{
+    DecodeError, Page, MAX_CELLS_PER_PAGE, MAX_DATAGRAM_BYTES, MAX_ORIGIN_BYTES, MAX_PAGES_PER_ORIGIN,
+};
+pub use page_builder::PageBuilder;
 
 /// A time in microseconds of a clock that never goes back.
 pub type Micros = u64;
@@ -36,7 +38,7 @@
 
 impl Cell {
     /// The cell in which all of a class is summed up that has no room of its own.
-    pub fn others(class: u16) -> Cell {
+    pub fn for_class(class: u16) -> Cell {
         Cell { class, group: None, kind: None, zone: None, site: None }
     }
 }
@@ -45,21 +47,21 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Summary {
     /// Work that its clients ask for there, core milliseconds a second.
-    pub work: f64,
+    pub demand: f64,
     /// Seen work over estimated work, as it has learned it; and the work that it was learned from, core milliseconds.
-    pub k: f64,
+    pub cost_ratio: f64,
     /// See `k`.
-    pub weight: f64,
+    pub cost_weight: f64,
     /// Work that the cell's engines could take beyond what they have, as it sees them, core milliseconds a second.
-    pub room: f64,
+    pub headroom: f64,
     /// How long a request is on its way to them and back, microseconds.
-    pub crossing: f64,
+    pub round_trip_us: f64,
 }
 
 impl Summary {
     /// Both together, as one cell: work and room add up; what was learned and crossed is weighted by the work that it is from.
     #[must_use]
-    pub fn with(self, other: Summary) -> Summary {
+    pub fn combine(self, other: Summary) -> Summary {
         let mean = |a: f64, b: f64, (by_a, by_b): (f64, f64)| {
             if by_a + by_b > 0.0 {
                 (a * by_a + b * by_b) / (by_a + by_b)
@@ -68,11 +70,11 @@
             }
         };
         Summary {
-            work: self.work + other.work,
-            k: mean(self.k, other.k, (self.weight, other.weight)),
-            weight: self.weight + other.weight,
-            room: self.room + other.room,
-            crossing: mean(self.crossing, other.crossing, (self.work, other.work)),
+            demand: self.demand + other.demand,
+            cost_ratio: mean(self.cost_ratio, other.cost_ratio, (self.cost_weight, other.cost_weight)),
+            cost_weight: self.cost_weight + other.cost_weight,
+            headroom: self.headroom + other.headroom,
+            round_trip_us: mean(self.round_trip_us, other.round_trip_us, (self.demand, other.demand)),
         }
     }
 }
--- a/crates/digest/src/page.rs
+++ b/crates/digest/src/page.rs
@@ -9,32 +9,32 @@
 use crate::{Cell, Micros, Summary};
 
 /// Octets of a datagram at most: it has to fit behind one octet in what membership carries for others.
-pub const DATAGRAM: usize = 990;
+pub const MAX_DATAGRAM_BYTES: usize = 990;
 /// Octets of an origin's name at most.
-pub const NAME: usize = 48;
+pub const MAX_ORIGIN_BYTES: usize = 48;
 /// Pages of one origin at most.
-pub const PAGES: u8 = 8;
+pub const MAX_PAGES_PER_ORIGIN: u8 = 8;
 /// Cells of a page at most: the longest page fills a datagram.
-pub const CELLS: usize = 34;
+pub const MAX_CELLS_PER_PAGE: usize = 34;
 
 /// The format that this code writes.
 const FORMAT: u8 = 1;
 /// Octets of a page around its cells, and of a cell, at most.
-const HEAD: usize = 2 + 1 + 1 + NAME + 1 + 8 + 4 + 1;
+const HEAD: usize = 2 + 1 + 1 + MAX_ORIGIN_BYTES + 1 + 8 + 4 + 1;
 const CELL: usize = 2 + 1 + 8 + 2 + 2 + 2 + 5 * 2;
-const _: () = assert!(HEAD + CELLS * CELL <= DATAGRAM);
+const _: () = assert!(HEAD + MAX_CELLS_PER_PAGE * CELL <= MAX_DATAGRAM_BYTES);
 
 /// What comes is no page, or of a format that is not known here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Unreadable;
+pub struct DecodeError;
 
-impl fmt::Display for Unreadable {
+impl fmt::Display for DecodeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("this is no page of a digest")
     }
 }
 
-impl std::error::Error for Unreadable {}
+impl std::error::Error for DecodeError {}
 
 /// A value as it is told, to within a seventh of a hundredth.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -58,12 +58,13 @@
 }
 
 pub(crate) fn coded(summary: &Summary) -> [Code; 5] {
-    [summary.work, summary.k, summary.weight, summary.room, summary.crossing].map(Code::of)
+    [summary.demand, summary.cost_ratio, summary.cost_weight, summary.headroom, summary.round_trip_us]
+        .map(Code::of)
 }
 
 fn decoded(codes: &[Code; 5]) -> Summary {
-    let [work, k, weight, room, crossing] = codes.map(Code::value);
-    Summary { work, k, weight, room, crossing }
+    let [demand, cost_ratio, cost_weight, headroom, round_trip_us] = codes.map(Code::value);
+    Summary { demand, cost_ratio, cost_weight, headroom, round_trip_us }
 }
 
 /// Some cells of one origin, all of one version.
@@ -122,18 +123,18 @@
     }
 
     /// Octets that it has in a datagram.
-    pub fn octets(&self) -> usize {
+    pub fn encoded_len(&self) -> usize {
         let places = |cell: &Cell| {
             let place = |place: Option<u16>| 2 * usize::from(place.is_some());
             8 * usize::from(cell.group.is_some()) + place(cell.kind) + place(cell.zone) + place(cell.site)
         };
         let cells: usize = self.cells.iter().map(|(cell, _)| 2 + 1 + places(cell) + 5 * 2).sum();
-        HEAD - NAME + self.origin.len() + cells
+        HEAD - MAX_ORIGIN_BYTES + self.origin.len() + cells
     }
 
     /// Writes it at the end of a datagram, with the age that it has now.
-    pub(crate) fn write(&self, now: Micros, out: &mut Vec<u8>) {
-        out.extend_from_slice(&((self.octets() - 2) as u16).to_be_bytes());
+    pub(crate) fn encode(&self, now: Micros, out: &mut Vec<u8>) {
+        out.extend_from_slice(&((self.encoded_len() - 2) as u16).to_be_bytes());
         out.push(FORMAT);
         out.push(self.origin.len() as u8);
         out.extend_from_slice(self.origin.as_bytes());
@@ -157,20 +158,20 @@
     ///
     /// # Errors
     /// If it is longer than any of ours, cut off, or what it says does not fit.
-    pub fn read(bytes: &[u8], now: Micros) -> Result<Vec<Page>, Unreadable> {
-        if bytes.len() > DATAGRAM {
-            return Err(Unreadable);
+    pub fn decode_datagram(bytes: &[u8], now: Micros) -> Result<Vec<Page>, DecodeError> {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(DecodeError);
         }
         let (mut rest, mut pages) = (bytes, Vec::new());
         while !rest.is_empty() {
-            let (length, behind) = rest.split_first_chunk::<2>().ok_or(Unreadable)?;
+            let (length, behind) = rest.split_first_chunk::<2>().ok_or(DecodeError)?;
             let length = u16::from_be_bytes(*length) as usize;
-            let (page, behind) = behind.split_at_checked(length).ok_or(Unreadable)?;
+            let (page, behind) = behind.split_at_checked(length).ok_or(DecodeError)?;
             rest = behind;
             if page.first().is_some_and(|&format| format > FORMAT) {
                 continue;
             }
-            pages.push(read_page(page, now).ok_or(Unreadable)?);
+            pages.push(read_page(page, now).ok_or(DecodeError)?);
         }
         Ok(pages)
     }
@@ -187,12 +188,13 @@
     let [format, length] = take(rest)?;
     let (name, behind) = rest.split_at_checked(length as usize)?;
     *rest = behind;
-    let origin = std::str::from_utf8(name).ok().filter(|n| !n.is_empty() && n.len() <= NAME)?.to_owned();
+    let origin =
+        std::str::from_utf8(name).ok().filter(|n| !n.is_empty() && n.len() <= MAX_ORIGIN_BYTES)?.to_owned();
     let [number] = take(rest)?;
     let version = u64::from_be_bytes(take(rest)?);
     let age = Micros::from(u32::from_be_bytes(take(rest)?)) * 1_000;
     let [count] = take(rest)?;
-    if format != FORMAT || number >= PAGES || count as usize > CELLS {
+    if format != FORMAT || number >= MAX_PAGES_PER_ORIGIN || count as usize > MAX_CELLS_PER_PAGE {
         return None;
     }
     let mut cells: Vec<(Cell, [Code; 5])> = Vec::with_capacity(count as usize);
--- a/crates/digest/src/own.rs
+++ b/crates/digest/src/page_builder.rs
@@ -2,23 +2,26 @@
 
 use std::collections::BTreeMap;
 
-use crate::page::{Page, CELLS, NAME, PAGES};
+use crate::page::{Page, MAX_CELLS_PER_PAGE, MAX_ORIGIN_BYTES, MAX_PAGES_PER_ORIGIN};
 use crate::{Cell, Micros, Summary};
 
 /// This gateway's own pages.
 #[derive(Debug, Clone)]
-pub struct Own {
+pub struct PageBuilder {
     origin: String,
     pages: u8,
     version: u64,
 }
 
-impl Own {
-    /// For a gateway of that name, with so many pages (1 to [`PAGES`]) and, at the start of its process, a first version: the
+impl PageBuilder {
+    /// For a gateway of that name, with so many pages (1 to [`MAX_PAGES_PER_ORIGIN`]) and, at the start of its process, a first version: the
     /// time since the Unix epoch will do, since any later version of an earlier process is heard and passed.
-    pub fn new(origin: &str, pages: u8, version: u64) -> Own {
-        let cut = (0..=origin.len().min(NAME)).rev().find(|&at| origin.is_char_boundary(at)).unwrap_or(0);
-        Own { origin: origin[..cut].to_owned(), pages: pages.clamp(1, PAGES), version }
+    pub fn new(origin: &str, pages: u8, version: u64) -> PageBuilder {
+        let cut = (0..=origin.len().min(MAX_ORIGIN_BYTES))
+            .rev()
+            .find(|&at| origin.is_char_boundary(at))
+            .unwrap_or(0);
+        PageBuilder { origin: origin[..cut].to_owned(), pages: pages.clamp(1, MAX_PAGES_PER_ORIGIN), version }
     }
 
     /// Its name.
@@ -26,15 +29,19 @@
         &self.origin
     }
 
-    /// Pages that say this, of a new version. On each page there is room for [`CELLS`] cells: those with the most work, with
+    /// Pages that say this, of a new version. On each page there is room for [`MAX_CELLS_PER_PAGE`] cells: those with the most work, with
     /// room and with the most learned in this order; what is left over is summed up by class, and classes beyond that with the
     /// last one.
-    pub fn pages(&mut self, now: Micros, cells: impl IntoIterator<Item = (Cell, Summary)>) -> Vec<Page> {
+    pub fn build_pages(
+        &mut self,
+        now: Micros,
+        cells: impl IntoIterator<Item = (Cell, Summary)>,
+    ) -> Vec<Page> {
         self.version += 1;
         let mut by_page: Vec<BTreeMap<Cell, Summary>> = vec![BTreeMap::new(); self.pages as usize];
         for (cell, summary) in cells {
             let page = &mut by_page[(mark(&cell) % u64::from(self.pages)) as usize];
-            page.entry(cell).and_modify(|sum| *sum = sum.with(summary)).or_insert(summary);
+            page.entry(cell).and_modify(|sum| *sum = sum.combine(summary)).or_insert(summary);
         }
         let page = |(number, cells): (usize, BTreeMap<Cell, Summary>)| {
             Page::new(&self.origin, number as u8, self.version, now, fit(cells).into_iter())
@@ -43,7 +50,7 @@
     }
 
     /// A page of this origin has come back: an earlier process may have said more than this one yet.
-    pub fn heard(&mut self, page: &Page) {
+    pub fn observe(&mut self, page: &Page) {
         if page.origin == self.origin {
             self.version = self.version.max(page.version);
         }
@@ -52,11 +59,11 @@
 
 /// The cells that a page has room for; the others summed up.
 fn fit(cells: BTreeMap<Cell, Summary>) -> BTreeMap<Cell, Summary> {
-    if cells.len() <= CELLS {
+    if cells.len() <= MAX_CELLS_PER_PAGE {
         return cells;
     }
     let mut order: Vec<(Cell, Summary)> = cells.into_iter().collect();
-    let by = |s: &Summary| [s.work, s.room, s.weight];
+    let by = |s: &Summary| [s.demand, s.headroom, s.cost_weight];
     order.sort_by(|(a, x), (b, y)| {
         by(y).partial_cmp(&by(x)).unwrap_or(std::cmp::Ordering::Equal).then(a.cmp(b))
     });
@@ -67,13 +74,16 @@
         classes.dedup();
         classes
     };
-    let alone = (0..CELLS).rev().find(|&alone| alone + classes(&order[alone..]).len() <= CELLS).unwrap_or(0);
+    let alone = (0..MAX_CELLS_PER_PAGE)
+        .rev()
+        .find(|&alone| alone + classes(&order[alone..]).len() <= MAX_CELLS_PER_PAGE)
+        .unwrap_or(0);
     let summed = classes(&order[alone..]);
-    let last = summed[summed.len().min(CELLS - alone) - 1];
+    let last = summed[summed.len().min(MAX_CELLS_PER_PAGE - alone) - 1];
     let mut kept: BTreeMap<Cell, Summary> = order[..alone].iter().copied().collect();
     for (cell, summary) in &order[alone..] {
-        let others = Cell::others(cell.class.min(last));
-        kept.entry(others).and_modify(|sum| *sum = sum.with(*summary)).or_insert(*summary);
+        let others = Cell::for_class(cell.class.min(last));
+        kept.entry(others).and_modify(|sum| *sum = sum.combine(*summary)).or_insert(*summary);
     }
     kept
 }
--- a/crates/gateway/src/config/sites.rs
+++ b/crates/gateway/src/config/sites.rs
@@ -1,6 +1,6 @@
 //! The loss of a site.
 
-use violetward_digest::Pace;
+use violetward_digest::GossipConfig;
 
 use super::*;
 use crate::terms::{SitePlace, SiteTerms};
@@ -73,15 +73,22 @@
         calm: span("calm", usual.calm),
         ..usual
     };
-    let pace = Pace { round: span("round", Pace::default().round), ..Pace::default() };
+    let pace = GossipConfig {
+        round_interval: span("round", GossipConfig::default().round_interval),
+        ..GossipConfig::default()
+    };
     let (average, every, stay_away) =
         (span("average", 20_000_000), span("every", 500_000), span("stay-away", 1_000_000));
-    let pace = Pace { octets: f.number(c, "octets", (1_000.0, 1e9), pace.octets), ..pace };
+    let pace = GossipConfig {
+        bytes_per_second: f.number(c, "octets", (1_000.0, 1e9), pace.bytes_per_second),
+        ..pace
+    };
     let (low, high) = (f.number(c, "low", (0.0, 10.0), 0.3), f.number(c, "high", (0.0, 10.0), 0.8));
     if low >= high {
         c.at(form, "site-loss: low must be under high");
     }
-    if watch.back_most < watch.back || average < 1_000_000 || pace.round < 100_000 || every < 50_000 {
+    if watch.back_most < watch.back || average < 1_000_000 || pace.round_interval < 100_000 || every < 50_000
+    {
         c.at(
             form,
             "site-loss: expected back-most >= back, average >= \"1s\", round >= \"100ms\", every >= \"50ms\"",
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -11,7 +11,10 @@
 
 use serde::{Deserialize, Serialize};
 use violetward::{EngineId, Listed, Micros};
-use violetward_digest::{Cell as DigestCell, Digest, Own, Page, Spread, Summary, View, DATAGRAM, PAGES};
+use violetward_digest::{
+    Cell as DigestCell, CellAggregate, Digest, DigestConfig, GossipScheduler, Page, PageBuilder, Summary,
+    MAX_DATAGRAM_BYTES, MAX_PAGES_PER_ORIGIN,
+};
 use violetward_membership::{Link, Standing as Stands, State as Lives};
 use violetward_net::{Connection, NetError};
 use violetward_site::act::{Act, Effect, Terms as ActTerms};
@@ -80,9 +83,9 @@
 struct Inner {
     watch: Watch,
     act: Act,
-    own: Own,
+    own: PageBuilder,
     digest: Digest,
-    spread: Spread,
+    spread: GossipScheduler,
     engines: BTreeMap<EngineId, Watched>,
     ticked: Micros,
     spoke: Micros,
@@ -153,9 +156,9 @@
         let inner = Inner {
             watch: Watch::new(terms.watch, terms.own, terms.sites.len(), MOST, now),
             act: Act::new(act, Learned::new(LEARNED.0, LEARNED.1), now),
-            own: Own::new(&me.name, PAGES, now),
-            digest: Digest::new(violetward_digest::Terms::default()),
-            spread: Spread::new(terms.pace, rand::random(), now),
+            own: PageBuilder::new(&me.name, MAX_PAGES_PER_ORIGIN, now),
+            digest: Digest::new(DigestConfig::default()),
+            spread: GossipScheduler::new(terms.pace, rand::random(), now),
             engines: BTreeMap::new(),
             ticked: now,
             spoke: now,
@@ -199,16 +202,18 @@
         let inner = &mut *inner;
         inner.counts.taken = (inner.counts.taken.0 + 1, inner.counts.taken.1 + bytes.len() as u64 + 1);
         let good = match bytes.split_first() {
-            Some((&PAGES_SAID, pages)) if pages.len() <= DATAGRAM => match Page::read(pages, now) {
-                Ok(pages) => {
-                    for page in pages {
-                        inner.own.heard(&page);
-                        inner.digest.merge(now, page);
+            Some((&PAGES_SAID, pages)) if pages.len() <= MAX_DATAGRAM_BYTES => {
+                match Page::decode_datagram(pages, now) {
+                    Ok(pages) => {
+                        for page in pages {
+                            inner.own.observe(&page);
+                            inner.digest.merge(now, page);
+                        }
+                        true
                     }
-                    true
+                    Err(_) => false,
                 }
-                Err(_) => false,
-            },
+            }
             Some((&WITNESS, word)) => self.witness(inner, now, from, word),
             _ => false,
         };
--- a/crates/gateway/src/outage/known.rs
+++ b/crates/gateway/src/outage/known.rs
@@ -11,12 +11,12 @@
         now: Micros,
         said: &mut Vec<(String, Vec<u8>)>,
     ) {
-        if now >= inner.spread.next_wake() {
+        if now >= inner.spread.next_poll_at() {
             let live = |s: &violetward_membership::Seen| s.record.state <= Lives::Suspect;
             let members =
                 || self.peers.seen().into_iter().filter(live).map(|s| s.record.name).collect::<Vec<_>>();
             let sums = self.sums(host, inner);
-            let out = inner.spread.wake(now, members, || sums, &mut inner.own, &mut inner.digest);
+            let out = inner.spread.poll(now, members, || sums, &mut inner.own, &mut inner.digest);
             for (to, pages) in out {
                 let mut bytes = vec![SAID, PAGES_SAID];
                 bytes.extend(pages);
@@ -24,15 +24,15 @@
                 said.push((to, bytes));
             }
         }
-        if now >= inner.knew + self.terms.pace.round {
+        if now >= inner.knew + self.terms.pace.round_interval {
             inner.knew = now;
             // What one gateway says in all counts for twice the median of all at most.
             let mut told: BTreeMap<String, f64> = BTreeMap::new();
             for page in inner.digest.pages() {
                 *told.entry(page.origin().to_owned()).or_default() +=
-                    page.cells().map(|c| c.1.work).sum::<f64>();
+                    page.cells().map(|c| c.1.demand).sum::<f64>();
             }
-            inner.digest.bound(bound_of(&told.values().copied().collect::<Vec<_>>()));
+            inner.digest.set_max_demand_per_origin(bound_of(&told.values().copied().collect::<Vec<_>>()));
             if let Some(known) = self.known(host, inner, now) {
                 inner.act.know(known);
             }
@@ -48,8 +48,8 @@
         let place = |n: usize| u16::try_from(n).ok();
         let mut cells: Vec<(DigestCell, Summary)> = Vec::new();
         for ((class, site), tally) in rates {
-            let cell = DigestCell { site: place(site), ..DigestCell::others(class as u16) };
-            cells.push((cell, Summary { work: tally.work, ..Summary::default() }));
+            let cell = DigestCell { site: place(site), ..DigestCell::for_class(class as u16) };
+            cells.push((cell, Summary { demand: tally.work, ..Summary::default() }));
         }
         let mut by_site: BTreeMap<(usize, usize), Cost> = BTreeMap::new();
         for ((class, engine), cost) in costs {
@@ -58,8 +58,11 @@
             *sum = sum.with(cost);
         }
         for ((class, site), cost) in by_site {
-            let cell = DigestCell { zone: place(site), ..DigestCell::others(class as u16) };
-            cells.push((cell, Summary { k: cost.seen / cost.told, weight: cost.told, ..Summary::default() }));
+            let cell = DigestCell { zone: place(site), ..DigestCell::for_class(class as u16) };
+            cells.push((
+                cell,
+                Summary { cost_ratio: cost.seen / cost.told, cost_weight: cost.told, ..Summary::default() },
+            ));
         }
         for site in 0..self.terms.sites.len() {
             let ways: Vec<f64> =
@@ -67,8 +70,8 @@
             if !ways.is_empty() {
                 let crossing = ways.iter().sum::<f64>() / ways.len() as f64;
                 let own = place(self.terms.own);
-                let cell = DigestCell { zone: place(site), site: own, ..DigestCell::others(NO_CLASS) };
-                cells.push((cell, Summary { crossing, ..Summary::default() }));
+                let cell = DigestCell { zone: place(site), site: own, ..DigestCell::for_class(NO_CLASS) };
+                cells.push((cell, Summary { round_trip_us: crossing, ..Summary::default() }));
             }
         }
         cells
@@ -82,7 +85,7 @@
             Some((s.rates().collect::<Vec<_>>(), s.costs().collect::<Vec<_>>()))
         });
         let (rates, costs) = sights?;
-        let view = inner.digest.view(now);
+        let view = inner.digest.aggregate(now);
         let fleet = k_of(&view, settings.classes.len());
         let mut mean = Vec::new();
         let mut traits = Vec::new();
@@ -115,16 +118,16 @@
             let is_there = |n: usize| n < self.terms.sites.len();
             match (site, at) {
                 (Some(from), Some(to)) if cell.class == NO_CLASS && is_there(from) && is_there(to) => {
-                    crossing.insert((from, to), says.crossing as Micros);
+                    crossing.insert((from, to), says.round_trip_us as Micros);
                 }
-                (Some(site), None) if class < mean.len() && is_there(site) && says.work > 0.0 => {
-                    let rate = says.work / 1e3 * fleet[class] / mean[class];
+                (Some(site), None) if class < mean.len() && is_there(site) && says.demand > 0.0 => {
+                    let rate = says.demand / 1e3 * fleet[class] / mean[class];
                     // Of the mean over that span; what it varies by beyond Poisson's is not told.
                     let deviation = (rate / (self.terms.average as f64 / 1e6)).sqrt();
                     demand.push(Demand { site, class, mean: rate, deviation, bursts: 1.0 });
                 }
-                (None, Some(at)) if class < mean.len() && is_there(at) && says.k > 0.0 => {
-                    k.insert((class, at), says.k / fleet[class]);
+                (None, Some(at)) if class < mean.len() && is_there(at) && says.cost_ratio > 0.0 => {
+                    k.insert((class, at), says.cost_ratio / fleet[class]);
                 }
                 _ => {}
             }
@@ -174,11 +177,11 @@
 }
 
 /// The k of each class over all sites, weighted by what it was learned from; 1 where nothing was.
-fn k_of(view: &BTreeMap<DigestCell, View>, classes: usize) -> Vec<f64> {
+fn k_of(view: &BTreeMap<DigestCell, CellAggregate>, classes: usize) -> Vec<f64> {
     let mut sums = vec![(0.0, 0.0); classes];
-    for (cell, says) in view.iter().filter(|(cell, says)| cell.zone.is_some() && says.k > 0.0) {
+    for (cell, says) in view.iter().filter(|(cell, says)| cell.zone.is_some() && says.cost_ratio > 0.0) {
         if let Some((sum, weight)) = sums.get_mut(usize::from(cell.class)) {
-            (*sum, *weight) = (*sum + says.k * says.weight, *weight + says.weight);
+            (*sum, *weight) = (*sum + says.cost_ratio * says.cost_weight, *weight + says.cost_weight);
         }
     }
     sums.into_iter().map(|(sum, weight)| if weight > 0.0 { sum / weight } else { 1.0 }).collect()
@@ -190,8 +193,16 @@
 
     #[test]
     fn the_k_of_a_class_is_that_of_its_sites_by_weight_and_one_where_nothing_was_learned() {
-        let cell = |class, zone| DigestCell { zone, ..DigestCell::others(class) };
-        let says = |k, weight| View { work: 0.0, k, weight, room: 0.0, crossing: 0.0, origins: 1, age: 0 };
+        let cell = |class, zone| DigestCell { zone, ..DigestCell::for_class(class) };
+        let says = |k, weight| CellAggregate {
+            demand: 0.0,
+            cost_ratio: k,
+            cost_weight: weight,
+            headroom: 0.0,
+            round_trip_us: 0.0,
+            origins: 1,
+            age: 0,
+        };
         let view = [
             (cell(0, Some(0)), says(0.5, 30.0)),
             (cell(0, Some(1)), says(2.0, 10.0)),
--- a/crates/gateway/src/outage/told.rs
+++ b/crates/gateway/src/outage/told.rs
@@ -190,7 +190,7 @@
             projected: all.filter_map(project).collect(),
             opening: inner.opening.clone(),
             changes: inner.changes.iter().cloned().collect(),
-            origins: inner.digest.origins(),
+            origins: inner.digest.origin_count(),
             counts: inner.counts,
         }
     }
--- a/crates/gateway/src/terms.rs
+++ b/crates/gateway/src/terms.rs
@@ -300,7 +300,7 @@
     /// How states are told from evidence.
     pub watch: violetward_site::state::Terms,
     /// How fast summaries go out.
-    pub pace: violetward_digest::Pace,
+    pub pace: violetward_digest::GossipConfig,
     /// Over how long demand is averaged.
     pub average: Micros,
     /// The part of all work by which limits move at once, and the time between two moves.
--- a/crates/gateway/tests/config.rs
+++ b/crates/gateway/tests/config.rs
@@ -133,7 +133,10 @@
         (sites.sites[2].zones.len(), sites.sites[2].engines.as_slice()),
         (0, &["e7".into(), "e8".into()][..])
     );
-    assert_eq!((sites.watch.back, sites.pace.round, sites.pace.octets), (4_000_000, 1_000_000, 8_000.0));
+    assert_eq!(
+        (sites.watch.back, sites.pace.round_interval, sites.pace.bytes_per_second),
+        (4_000_000, 1_000_000, 8_000.0)
+    );
     assert_eq!(read(&format!("{GOOD}{PEERS}")).unwrap().sites, None, "off without the section");
     let alone = read(&format!("{GOOD}{SITES}")).unwrap_err();
     assert!(alone.iter().any(|m| m.contains("site-loss needs (membership ...)")), "{alone:?}");
