--- a/crates/digest/src/digest.rs
+++ b/crates/digest/src/digest.rs
@@ -1,24 +1,26 @@
-//! What all gateways say together.
+//! Merges the pages of all gateways and aggregates them per cell.
 
 use std::collections::BTreeMap;
 
 use crate::page::Page;
 use crate::{Cell, Micros, Summary};
 
-/// How pages are believed.
+/// How a [`Digest`] retains and weights pages.
 #[derive(Debug, Clone, Copy)]
 pub struct DigestConfig {
-    /// Until this age what a page says counts in full.
+    /// Pages up to this age count in full.
     pub full_weight_age: Micros,
-    /// After each further span of this length it counts by half.
+    /// Beyond `full_weight_age`, the weight of a page halves each time this span passes.
     pub half_life: Micros,
-    /// At this age it is forgotten.
+    /// Pages of this age are discarded.
     pub max_age: Micros,
-    /// Origins that are known at once: of more of them those whose names come first.
+    /// Most origins retained. If there are more, those whose names sort first are kept.
     pub max_origins: usize,
-    /// In a cell of which three or more tell, one origin counts for at most so many times the median of them.
+    /// In a cell with at least three origins, a single origin counts for at most this multiple of their
+    /// median.
     pub max_ratio_to_median: f64,
-    /// What one origin can ask for in all, core milliseconds a second: what it says beyond is scaled down to that.
+    /// Limit on the total demand of one origin, in core milliseconds per second. Higher reports are scaled
+    /// down to it.
     pub max_demand_per_origin: f64,
 }
 
@@ -36,33 +38,37 @@
     }
 }
 
-/// What all together say of a cell.
+/// The combined reports of all origins for one cell.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CellAggregate {
-    /// Work asked for, core milliseconds a second, of all origins; each faded and capped.
+    /// Sum of the requested work, in core milliseconds per second. The report of each origin is weighted by
+    /// age and capped.
     pub demand: f64,
-    /// Seen work over estimated work: the median of the origins, weighted by what they learned it from.
+    /// Ratio of measured work to estimated work: the median of the origins, weighted by their cost weights.
     pub cost_ratio: f64,
-    /// The work that it was learned from, of all origins, core milliseconds.
+    /// Sum of the work from which the cost ratios were learned, in core milliseconds.
     pub cost_weight: f64,
-    /// Work that the cell's engines could take beyond what they have: the median of the origins, since all see the same engines.
+    /// Additional work that the engines of the cell could take, in core milliseconds per second. This is the
+    /// median of the origins, not the sum, because all origins see the same engines.
     pub headroom: f64,
-    /// How long a request is on its way, microseconds: the median.
+    /// Network round trip, in microseconds: the median of the origins.
     pub round_trip_us: f64,
-    /// How many origins tell of it.
+    /// Number of origins that report the cell.
     pub origins: usize,
-    /// The age of what the youngest of them says.
+    /// Age of the most recent report.
     pub age: Micros,
 }
 
-/// The newest pages of all origins. To merge is idempotent, commutative and associative.
+/// The newest pages of all origins. Merging pages is idempotent, commutative and associative.
 #[derive(Debug, Clone)]
 pub struct Digest {
-    terms: DigestConfig,
+    config: DigestConfig,
+    /// By origin and page number.
     pages: BTreeMap<(String, u8), Page>,
-    origins: usize,
+    origin_count: usize,
 }
 
+/// Digests are equal if they contain the same pages; their configuration is not compared.
 impl PartialEq for Digest {
     fn eq(&self, other: &Self) -> bool {
         self.pages == other.pages
@@ -70,40 +76,42 @@
 }
 
 impl Digest {
-    /// What one origin can ask for in all from now on, in place of what the terms say.
-    pub fn set_max_demand_per_origin(&mut self, work: f64) {
-        self.terms.max_demand_per_origin = work;
+    /// Creates an empty digest.
+    pub fn new(config: DigestConfig) -> Digest {
+        Digest { config, pages: BTreeMap::new(), origin_count: 0 }
     }
 
-    /// Nothing is known.
-    pub fn new(terms: DigestConfig) -> Digest {
-        Digest { terms, pages: BTreeMap::new(), origins: 0 }
+    /// Replaces [`DigestConfig::max_demand_per_origin`].
+    pub fn set_max_demand_per_origin(&mut self, max_demand: f64) {
+        self.config.max_demand_per_origin = max_demand;
     }
 
-    /// Takes a page in; gives whether it says something new. One that is past its age is not taken.
+    /// Merges a page. Returns whether it added new content. Expired pages are ignored.
     pub fn merge(&mut self, now: Micros, page: Page) -> bool {
-        if now.saturating_sub(page.said) >= self.terms.max_age {
+        if now.saturating_sub(page.created_at) >= self.config.max_age {
             return false;
         }
         let key = (page.origin.clone(), page.number);
         match self.pages.get_mut(&key) {
-            Some(held) if held.rank() >= page.rank() => return false,
-            // The same once more, known to be older than it was thought to be.
-            Some(held) if held.version == page.version => *held = page,
-            Some(held) => {
-                *held = page;
+            Some(stored) if stored.precedence() >= page.precedence() => return false,
+            // A copy of the stored version that takes precedence, normally because its creation time is
+            // earlier. It replaces the stored copy but adds no new content.
+            Some(stored) if stored.version == page.version => *stored = page,
+            Some(stored) => {
+                *stored = page;
                 return true;
             }
             None => {
-                let is_new = self.pages_of(&key.0).next().is_none();
-                self.origins += usize::from(is_new);
+                let is_new_origin = self.pages_of(&key.0).next().is_none();
+                self.origin_count += usize::from(is_new_origin);
                 self.pages.insert(key.clone(), page);
-                if self.origins > self.terms.max_origins {
-                    // Which origins stay does not hang on the order in which they came.
-                    if let Some(((last, _), _)) = self.pages.last_key_value() {
-                        let last = last.clone();
-                        self.pages.retain(|(origin, _), _| *origin != last);
-                        self.origins -= 1;
+                if self.origin_count > self.config.max_origins {
+                    // Removes the last origin by name, so that the result does not depend on the order of
+                    // arrival.
+                    if let Some(((last_origin, _), _)) = self.pages.last_key_value() {
+                        let last_origin = last_origin.clone();
+                        self.pages.retain(|(origin, _), _| *origin != last_origin);
+                        self.origin_count -= 1;
                     }
                 }
                 return self.pages.contains_key(&key);
@@ -112,116 +120,129 @@
         false
     }
 
-    /// Forgets what is past its age.
+    /// Discards the pages that have reached the maximum age.
     pub fn evict_expired(&mut self, now: Micros) {
-        let keep = self.terms.max_age;
-        self.pages.retain(|_, page| now.saturating_sub(page.said) < keep);
-        let mut names: Vec<&str> = self.pages.keys().map(|(origin, _)| origin.as_str()).collect();
-        names.dedup();
-        self.origins = names.len();
+        let max_age = self.config.max_age;
+        self.pages.retain(|_, page| now.saturating_sub(page.created_at) < max_age);
+        let mut origins: Vec<&str> = self.pages.keys().map(|(origin, _)| origin.as_str()).collect();
+        origins.dedup();
+        self.origin_count = origins.len();
     }
 
-    /// All pages, by origin and number.
+    /// Returns all pages, sorted by origin and number.
     pub fn pages(&self) -> impl Iterator<Item = &Page> {
         self.pages.values()
     }
 
-    /// The pages of one origin, by number.
+    /// Returns the pages of one origin, sorted by number.
     pub fn pages_of<'a>(&'a self, origin: &'a str) -> impl Iterator<Item = &'a Page> {
-        let all = (origin.to_owned(), 0)..=(origin.to_owned(), u8::MAX);
-        self.pages.range(all).map(|(_, page)| page)
+        let keys = (origin.to_owned(), 0)..=(origin.to_owned(), u8::MAX);
+        self.pages.range(keys).map(|(_, page)| page)
     }
 
     pub(crate) fn get(&self, key: &(String, u8)) -> Option<&Page> {
         self.pages.get(key)
     }
 
-    /// Origins that are known.
+    /// Returns the number of origins that have pages in the digest.
     pub fn origin_count(&self) -> usize {
-        self.origins
+        self.origin_count
     }
 
-    /// What part of what was said then counts now.
-    fn fades(&self, now: Micros, said: Micros) -> f64 {
-        let age = now.saturating_sub(said);
-        if age >= self.terms.max_age {
+    /// Returns the weight, from 0 to 1, at which a page created at `created_at` counts.
+    fn age_weight(&self, now: Micros, created_at: Micros) -> f64 {
+        let age = now.saturating_sub(created_at);
+        if age >= self.config.max_age {
             return 0.0;
         }
-        (-(age.saturating_sub(self.terms.full_weight_age) as f64) / self.terms.half_life as f64).exp2()
+        let fading_span = age.saturating_sub(self.config.full_weight_age);
+        (-(fading_span as f64) / self.config.half_life as f64).exp2()
     }
 
-    /// What all together say of each cell.
+    /// Combines the reports of all origins per cell.
     pub fn aggregate(&self, now: Micros) -> BTreeMap<Cell, CellAggregate> {
-        let mut totals: BTreeMap<&str, f64> = BTreeMap::new();
+        let mut demand_by_origin: BTreeMap<&str, f64> = BTreeMap::new();
         for page in self.pages.values() {
-            *totals.entry(&page.origin).or_default() += page.cells().map(|(_, s)| s.demand).sum::<f64>();
+            let page_demand = page.cells().map(|(_, summary)| summary.demand).sum::<f64>();
+            *demand_by_origin.entry(&page.origin).or_default() += page_demand;
         }
-        let mut told: BTreeMap<Cell, BTreeMap<&str, Told>> = BTreeMap::new();
+        let mut reports_by_cell: BTreeMap<Cell, BTreeMap<&str, Report>> = BTreeMap::new();
         for page in self.pages.values() {
-            let fades = self.fades(now, page.said);
-            // Guards against one that is wrong by far in a cell that nobody else tells of.
-            let scale = (self.terms.max_demand_per_origin / totals[page.origin.as_str()]).min(1.0);
-            let age = now.saturating_sub(page.said);
-            for (cell, says) in page.cells().filter(|_| fades > 0.0) {
-                let says = Summary {
-                    demand: says.demand * scale * fades,
-                    cost_weight: says.cost_weight * fades,
-                    ..says
+            let age_weight = self.age_weight(now, page.created_at);
+            // Bounds the effect of a wrong origin also in cells that no other origin reports, where there is
+            // no median.
+            let scale = (self.config.max_demand_per_origin / demand_by_origin[page.origin.as_str()]).min(1.0);
+            let age = now.saturating_sub(page.created_at);
+            for (cell, summary) in page.cells().filter(|_| age_weight > 0.0) {
+                let summary = Summary {
+                    demand: summary.demand * scale * age_weight,
+                    cost_weight: summary.cost_weight * age_weight,
+                    ..summary
                 };
-                // Cells of others stand on several pages of one origin.
-                let told = told.entry(cell).or_default().entry(&page.origin);
-                told.and_modify(|told| told.says = told.says.combine(says)).or_insert(Told {
-                    says,
-                    fades,
-                    age,
-                });
+                // The cell of a whole class can be on several pages of one origin.
+                let report = reports_by_cell.entry(cell).or_default().entry(&page.origin);
+                report
+                    .and_modify(|report| report.summary = report.summary.combine(summary))
+                    .or_insert(Report { summary, age_weight, age });
             }
         }
-        let together = |told: BTreeMap<&str, Told>| self.together(&told.into_values().collect::<Vec<_>>());
-        told.into_iter().map(|(cell, told)| (cell, together(told))).collect()
+        let combine = |reports: BTreeMap<&str, Report>| {
+            self.combine_reports(&reports.into_values().collect::<Vec<_>>())
+        };
+        reports_by_cell.into_iter().map(|(cell, reports)| (cell, combine(reports))).collect()
     }
 
-    fn together(&self, told: &[Told]) -> CellAggregate {
-        let capped = |of: fn(&Told) -> f64| -> Vec<f64> {
-            let middle = median(told.iter().map(|t| (of(t), 1.0)).filter(|t| t.0 > 0.0));
-            // Two say too little of each other for that.
-            let cap = if told.len() > 2 { middle * self.terms.max_ratio_to_median } else { f64::INFINITY };
-            told.iter().map(|t| of(t).min(cap)).collect()
+    /// Combines the reports of different origins for one cell.
+    fn combine_reports(&self, reports: &[Report]) -> CellAggregate {
+        let capped = |value_of: fn(&Report) -> f64| -> Vec<f64> {
+            let positive_values =
+                reports.iter().map(|r| (value_of(r), 1.0)).filter(|(value, _)| *value > 0.0);
+            let median = weighted_median(positive_values);
+            // With only two reports, the median cannot show which of them is wrong.
+            let cap =
+                if reports.len() > 2 { median * self.config.max_ratio_to_median } else { f64::INFINITY };
+            reports.iter().map(|r| value_of(r).min(cap)).collect()
         };
-        let (work, weight) = (capped(|t| t.says.demand), capped(|t| t.says.cost_weight));
-        let learned = told.iter().zip(&weight).map(|(t, &weight)| (t.says.cost_ratio, weight));
+        let demands = capped(|r| r.summary.demand);
+        let cost_weights = capped(|r| r.summary.cost_weight);
+        let cost_ratios =
+            reports.iter().zip(&cost_weights).map(|(r, &weight)| (r.summary.cost_ratio, weight));
+        let round_trips = reports.iter().map(|r| (r.summary.round_trip_us, r.age_weight));
         CellAggregate {
-            demand: work.iter().sum(),
-            cost_ratio: median(learned.filter(|(k, weight)| *k > 0.0 && *weight > 0.0)),
-            cost_weight: weight.iter().sum(),
-            headroom: median(told.iter().map(|t| (t.says.headroom, t.fades))),
-            round_trip_us: median(told.iter().map(|t| (t.says.round_trip_us, t.fades)).filter(|t| t.0 > 0.0)),
-            origins: told.len(),
-            age: told.iter().map(|t| t.age).min().unwrap_or(0),
+            demand: demands.iter().sum(),
+            cost_ratio: weighted_median(cost_ratios.filter(|(ratio, weight)| *ratio > 0.0 && *weight > 0.0)),
+            cost_weight: cost_weights.iter().sum(),
+            headroom: weighted_median(reports.iter().map(|r| (r.summary.headroom, r.age_weight))),
+            round_trip_us: weighted_median(round_trips.filter(|(round_trip, _)| *round_trip > 0.0)),
+            origins: reports.len(),
+            age: reports.iter().map(|r| r.age).min().unwrap_or(0),
         }
     }
 }
 
-/// What one origin says of a cell, faded.
-struct Told {
-    says: Summary,
-    fades: f64,
+/// The report of one origin for one cell. The demand and the cost weight of the summary are already weighted
+/// by age.
+struct Report {
+    summary: Summary,
+    age_weight: f64,
     age: Micros,
 }
 
-/// The value in the middle of the weight; 0 of nothing. Between two halves of the same weight it is the mean.
-fn median(values: impl Iterator<Item = (f64, f64)>) -> f64 {
+/// Returns the median of `(value, weight)` pairs, or 0 if there are none. If the weights below and above a
+/// pair of neighbouring values are equal, it is the mean of the two.
+fn weighted_median(values: impl Iterator<Item = (f64, f64)>) -> f64 {
     let mut values: Vec<(f64, f64)> = values.collect();
     values.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let half = values.iter().map(|v| v.1).sum::<f64>() / 2.0;
-    let mut below = 0.0;
-    for (at, (value, weight)) in values.iter().enumerate() {
-        below += weight;
-        if below > half * (1.0 + 1e-9) {
+    let half_weight = values.iter().map(|v| v.1).sum::<f64>() / 2.0;
+    let mut weight_so_far = 0.0;
+    for (index, (value, weight)) in values.iter().enumerate() {
+        weight_so_far += weight;
+        // The tolerance absorbs rounding errors of the sums.
+        if weight_so_far > half_weight * (1.0 + 1e-9) {
             return *value;
         }
-        if below > half * (1.0 - 1e-9) {
-            return (value + values.get(at + 1).map_or(*value, |next| next.0)) / 2.0;
+        if weight_so_far > half_weight * (1.0 - 1e-9) {
+            return (value + values.get(index + 1).map_or(*value, |next| next.0)) / 2.0;
         }
     }
     0.0
--- a/crates/digest/src/gossip.rs
+++ b/crates/digest/src/gossip.rs
@@ -1,18 +1,20 @@
-//! Which pages go to whom, and when.
+//! Selects which pages are sent to which gateway, and when.
 
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::page::{Page, MAX_DATAGRAM_BYTES};
 use crate::{Cell, Digest, Micros, PageBuilder, Summary};
 
-/// How fast pages go out.
+/// How fast a gateway sends pages.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct GossipConfig {
-    /// Octets a second at most, but for one datagram; a round takes as long as that makes it.
+    /// Limit on bytes sent per second, which can be exceeded by one datagram. If the pages of a round need
+    /// longer than `round_interval` at this rate, the round is extended.
     pub bytes_per_second: f64,
-    /// A round takes no less than this.
+    /// Minimum duration of a round.
     pub round_interval: Micros,
-    /// How often a gateway passes on each version of another one's page.
+    /// How often this gateway forwards each version of another gateway's page.
     pub forwards_per_version: u32,
 }
 
@@ -22,142 +24,166 @@
     }
 }
 
-/// Tells this gateway's pages to each other one once a round, in an order drawn anew, and passes on others' pages in what room that
-/// leaves: to those that their origin does not reach, or not now.
+/// Schedules the exchange of pages. In each round it sends this gateway's pages to every other gateway, in
+/// random order. Free space in these datagrams is filled with pages of other gateways, so that they also
+/// reach gateways that their origin cannot reach directly.
 #[derive(Debug, Clone)]
 pub struct GossipScheduler {
-    pace: GossipConfig,
-    dice: u64,
-    /// Who is still to be told in this round, and when the next datagram may go; when the next round may begin.
-    rest: VecDeque<String>,
-    due: Micros,
-    round: Micros,
-    /// How often each page was passed on, of which version; and those that come next, until when that order is good enough.
-    passed: BTreeMap<Key, (u64, u32)>,
-    next: (VecDeque<Key>, Micros),
+    config: GossipConfig,
+    random_state: u64,
+    /// Gateways that have not been sent to in this round.
+    recipients: VecDeque<String>,
+    /// Earliest time of the next datagram.
+    next_send_at: Micros,
+    /// Earliest time of the next round.
+    next_round_at: Micros,
+    /// Per page: the version that was forwarded last and how often it was forwarded.
+    forwards: BTreeMap<PageKey, (u64, u32)>,
+    /// The next pages to forward, in this order.
+    forward_queue: VecDeque<PageKey>,
+    /// When `forward_queue` has to be rebuilt.
+    forward_queue_expires_at: Micros,
 }
 
 impl GossipScheduler {
-    /// Begins at once; `seed` is drawn by chance.
-    pub fn new(pace: GossipConfig, seed: u64, now: Micros) -> GossipScheduler {
+    /// Creates a scheduler whose first round starts at `now`. The seed should be random.
+    pub fn new(config: GossipConfig, seed: u64, now: Micros) -> GossipScheduler {
         GossipScheduler {
-            pace,
-            dice: seed,
-            rest: VecDeque::new(),
-            due: now,
-            round: now,
-            passed: BTreeMap::new(),
-            next: (VecDeque::new(), 0),
+            config,
+            random_state: seed,
+            recipients: VecDeque::new(),
+            next_send_at: now,
+            next_round_at: now,
+            forwards: BTreeMap::new(),
+            forward_queue: VecDeque::new(),
+            forward_queue_expires_at: 0,
         }
     }
 
-    /// When it wants to be woken.
+    /// Returns when [`poll`](Self::poll) has to be called next.
     pub fn next_poll_at(&self) -> Micros {
-        if self.rest.is_empty() {
-            self.due.max(self.round)
+        if self.recipients.is_empty() {
+            self.next_send_at.max(self.next_round_at)
         } else {
-            self.due
+            self.next_send_at
         }
     }
 
-    /// Time has passed; gives datagrams to be sent, and to whom. `members` are the other gateways that live. At the beginning of
-    /// a round this gateway's own pages are made anew from `sums` and are merged into the digest.
+    /// Returns the datagrams that are due, each with the name of its recipient.
+    ///
+    /// At the start of a round, expired pages are removed from `digest`, and this gateway's pages are rebuilt
+    /// from `local_cells` and merged into it. `members` returns the names of the other gateways that are
+    /// alive.
     pub fn poll(
         &mut self,
         now: Micros,
         members: impl FnOnce() -> Vec<String>,
-        sums: impl FnOnce() -> Vec<(Cell, Summary)>,
-        own: &mut PageBuilder,
+        local_cells: impl FnOnce() -> Vec<(Cell, Summary)>,
+        builder: &mut PageBuilder,
         digest: &mut Digest,
     ) -> Vec<(String, Vec<u8>)> {
-        let mut out = Vec::new();
-        if self.rest.is_empty() && now >= self.next_poll_at() {
+        let mut outgoing = Vec::new();
+        if self.recipients.is_empty() && now >= self.next_poll_at() {
             digest.evict_expired(now);
-            for page in own.build_pages(now, sums()) {
+            for page in builder.build_pages(now, local_cells()) {
                 digest.merge(now, page);
             }
-            self.begin(now, members(), digest);
+            self.start_round(now, members(), digest);
         }
-        // Who stood still does not make up for it in one burst.
-        self.due = self.due.max(now.saturating_sub(self.pace.round_interval / 2));
-        while now >= self.due {
-            let Some(to) = self.rest.pop_front() else { break };
-            let datagrams = self.fill(now, &to, own.origin(), digest);
-            let octets: usize = datagrams.iter().map(Vec::len).sum();
-            self.due += (octets as f64 / self.pace.bytes_per_second * 1e6).ceil() as Micros;
-            out.extend(datagrams.into_iter().map(|datagram| (to.clone(), datagram)));
+        // Limits the burst after a pause of the process to half a round.
+        self.next_send_at = self.next_send_at.max(now.saturating_sub(self.config.round_interval / 2));
+        while now >= self.next_send_at {
+            let Some(recipient) = self.recipients.pop_front() else { break };
+            let datagrams = self.build_datagrams(now, &recipient, builder.origin(), digest);
+            let bytes: usize = datagrams.iter().map(Vec::len).sum();
+            self.next_send_at += (bytes as f64 / self.config.bytes_per_second * 1e6).ceil() as Micros;
+            outgoing.extend(datagrams.into_iter().map(|datagram| (recipient.clone(), datagram)));
         }
-        out
+        outgoing
     }
 
-    fn begin(&mut self, now: Micros, mut members: Vec<String>, digest: &Digest) {
-        for at in (1..members.len()).rev() {
-            let drawn = self.draw() as usize % (at + 1);
-            members.swap(at, drawn);
+    fn start_round(&mut self, now: Micros, mut members: Vec<String>, digest: &Digest) {
+        // Fisher-Yates shuffle.
+        for last in (1..members.len()).rev() {
+            let chosen = self.next_random() as usize % (last + 1);
+            members.swap(last, chosen);
         }
-        self.rest = members.into();
-        self.round = now + self.pace.round_interval;
-        let held: BTreeMap<_, _> = digest.pages().map(|page| (key(page), page.version)).collect();
-        self.passed.retain(|key, (version, _)| held.get(key) == Some(version));
+        self.recipients = members.into();
+        self.next_round_at = now + self.config.round_interval;
+        let stored: BTreeMap<_, _> = digest.pages().map(|page| (page_key(page), page.version)).collect();
+        self.forwards.retain(|key, (version, _)| stored.get(key) == Some(version));
     }
 
-    /// All own pages, and others' in the room that is left.
-    fn fill(&mut self, now: Micros, to: &str, own: &str, digest: &Digest) -> Vec<Vec<u8>> {
+    /// Builds the datagrams for one recipient: all pages of this gateway, then pages of others in the
+    /// remaining space.
+    fn build_datagrams(
+        &mut self,
+        now: Micros,
+        recipient: &str,
+        own_name: &str,
+        digest: &Digest,
+    ) -> Vec<Vec<u8>> {
         let mut datagrams = vec![Vec::with_capacity(MAX_DATAGRAM_BYTES)];
-        for page in digest.pages_of(own) {
+        for page in digest.pages_of(own_name) {
             if datagrams.last().is_some_and(|last| last.len() + page.encoded_len() > MAX_DATAGRAM_BYTES) {
                 datagrams.push(Vec::with_capacity(MAX_DATAGRAM_BYTES));
             }
-            datagrams.iter_mut().last().iter_mut().for_each(|last| page.encode(now, last));
+            if let Some(last) = datagrams.last_mut() {
+                page.encode(now, last);
+            }
         }
-        if now >= self.next.1 {
-            self.next = (self.order(own, digest), now + self.pace.round_interval);
+        if now >= self.forward_queue_expires_at {
+            self.forward_queue = self.pages_to_forward(own_name, digest);
+            self.forward_queue_expires_at = now + self.config.round_interval;
         }
-        for _ in 0..self.next.0.len() {
+        for _ in 0..self.forward_queue.len() {
             let Some(last) = datagrams.last_mut() else { break };
-            let Some(page) = self.next.0.front().map(|key| digest.get(key)) else { break };
-            if let Some(page) = page.filter(|page| page.origin != to) {
+            let Some(page) = self.forward_queue.front().map(|key| digest.get(key)) else { break };
+            if let Some(page) = page.filter(|page| page.origin != recipient) {
                 if last.len() + page.encoded_len() > MAX_DATAGRAM_BYTES {
                     break;
                 }
                 page.encode(now, last);
-                let passed = self.passed.entry(key(page)).or_insert((page.version, 0));
-                *passed = (page.version, if passed.0 == page.version { passed.1 + 1 } else { 1 });
+                let (version, count) = self.forwards.entry(page_key(page)).or_insert((page.version, 0));
+                *count = if *version == page.version { *count + 1 } else { 1 };
+                *version = page.version;
             }
-            self.next.0.pop_front();
+            self.forward_queue.pop_front();
         }
         datagrams.retain(|datagram| !datagram.is_empty());
         datagrams
     }
 
-    /// Others' pages that are to be passed on: those that were least, the youngest first.
-    fn order(&self, own: &str, digest: &Digest) -> VecDeque<Key> {
-        let times = |page: &Page| match self.passed.get(&key(page)) {
-            Some((version, times)) if *version == page.version => *times,
+    /// Returns the pages of other gateways that still have to be forwarded: the least often forwarded first,
+    /// among these the newest first.
+    fn pages_to_forward(&self, own_name: &str, digest: &Digest) -> VecDeque<PageKey> {
+        let forward_count = |page: &Page| match self.forwards.get(&page_key(page)) {
+            Some((version, count)) if *version == page.version => *count,
             _ => 0,
         };
-        let mut order: Vec<(u32, std::cmp::Reverse<Micros>, &Page)> = digest
+        let mut candidates: Vec<(u32, Reverse<Micros>, &Page)> = digest
             .pages()
-            .filter(|page| page.origin != own)
-            .map(|page| (times(page), std::cmp::Reverse(page.said), page))
-            .filter(|entry| entry.0 < self.pace.forwards_per_version)
+            .filter(|page| page.origin != own_name)
+            .map(|page| (forward_count(page), Reverse(page.created_at), page))
+            .filter(|(count, _, _)| *count < self.config.forwards_per_version)
             .collect();
-        order.sort_by_key(|(times, said, _)| (*times, *said));
-        order.into_iter().map(|(_, _, page)| key(page)).collect()
+        candidates.sort_by_key(|(count, created_at, _)| (*count, *created_at));
+        candidates.into_iter().map(|(_, _, page)| page_key(page)).collect()
     }
 
-    /// The next number of a sequence (SplitMix64).
-    fn draw(&mut self) -> u64 {
-        self.dice = self.dice.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        let mut z = self.dice;
+    /// Returns the next number of the pseudorandom sequence (SplitMix64).
+    fn next_random(&mut self) -> u64 {
+        self.random_state = self.random_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        let mut z = self.random_state;
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         z ^ (z >> 31)
     }
 }
 
-type Key = (String, u8);
+/// Origin and number of a page.
+type PageKey = (String, u8);
 
-fn key(page: &Page) -> Key {
+fn page_key(page: &Page) -> PageKey {
     (page.origin.clone(), page.number)
 }
--- a/crates/digest/src/page_builder.rs
+++ b/crates/digest/src/page_builder.rs
@@ -1,55 +1,64 @@
-//! What this gateway itself says.
+//! Builds the pages of this gateway.
 
 use std::collections::BTreeMap;
 
 use crate::page::{Page, MAX_CELLS_PER_PAGE, MAX_ORIGIN_BYTES, MAX_PAGES_PER_ORIGIN};
 use crate::{Cell, Micros, Summary};
 
-/// This gateway's own pages.
+/// Builds new versions of this gateway's own pages.
 #[derive(Debug, Clone)]
 pub struct PageBuilder {
     origin: String,
-    pages: u8,
+    page_count: u8,
     version: u64,
 }
 
 impl PageBuilder {
-    /// For a gateway of that name, with so many pages (1 to [`MAX_PAGES_PER_ORIGIN`]) and, at the start of its process, a first version: the
-    /// time since the Unix epoch will do, since any later version of an earlier process is heard and passed.
-    pub fn new(origin: &str, pages: u8, version: u64) -> PageBuilder {
-        let cut = (0..=origin.len().min(MAX_ORIGIN_BYTES))
-            .rev()
-            .find(|&at| origin.is_char_boundary(at))
-            .unwrap_or(0);
-        PageBuilder { origin: origin[..cut].to_owned(), pages: pages.clamp(1, MAX_PAGES_PER_ORIGIN), version }
+    /// Creates a builder for the gateway `origin`, whose name is cut to [`MAX_ORIGIN_BYTES`], with 1 to
+    /// [`MAX_PAGES_PER_ORIGIN`] pages.
+    ///
+    /// `initial_version` should be higher than the versions of an earlier process of this gateway, for
+    /// example the time since the Unix epoch. If the clock was set back and it is not,
+    /// [`observe`](Self::observe) raises the version as soon as a page of the earlier process arrives.
+    pub fn new(origin: &str, page_count: u8, initial_version: u64) -> PageBuilder {
+        let max_len = origin.len().min(MAX_ORIGIN_BYTES);
+        let len = (0..=max_len).rev().find(|&len| origin.is_char_boundary(len)).unwrap_or(0);
+        PageBuilder {
+            origin: origin[..len].to_owned(),
+            page_count: page_count.clamp(1, MAX_PAGES_PER_ORIGIN),
+            version: initial_version,
+        }
     }
 
-    /// Its name.
+    /// Returns the name of this gateway.
     pub fn origin(&self) -> &str {
         &self.origin
     }
 
-    /// Pages that say this, of a new version. On each page there is room for [`MAX_CELLS_PER_PAGE`] cells: those with the most work, with
-    /// room and with the most learned in this order; what is left over is summed up by class, and classes beyond that with the
-    /// last one.
+    /// Builds the pages for `cells`, with a new version. Summaries of the same cell are combined.
+    ///
+    /// A page holds [`MAX_CELLS_PER_PAGE`] cells: those with the highest demand, then headroom, then cost
+    /// weight. The remaining cells are combined into one cell per class. If there are more such classes than
+    /// free places, the last of these cells collects the remaining classes.
     pub fn build_pages(
         &mut self,
         now: Micros,
         cells: impl IntoIterator<Item = (Cell, Summary)>,
     ) -> Vec<Page> {
         self.version += 1;
-        let mut by_page: Vec<BTreeMap<Cell, Summary>> = vec![BTreeMap::new(); self.pages as usize];
+        let mut cells_by_page: Vec<BTreeMap<Cell, Summary>> = vec![BTreeMap::new(); self.page_count as usize];
         for (cell, summary) in cells {
-            let page = &mut by_page[(mark(&cell) % u64::from(self.pages)) as usize];
-            page.entry(cell).and_modify(|sum| *sum = sum.combine(summary)).or_insert(summary);
+            let page = &mut cells_by_page[(cell_hash(&cell) % u64::from(self.page_count)) as usize];
+            add_summary(page, cell, summary);
         }
-        let page = |(number, cells): (usize, BTreeMap<Cell, Summary>)| {
-            Page::new(&self.origin, number as u8, self.version, now, fit(cells).into_iter())
+        let build_page = |(number, cells): (usize, BTreeMap<Cell, Summary>)| {
+            Page::new(&self.origin, number as u8, self.version, now, limit_cells(cells).into_iter())
         };
-        by_page.into_iter().enumerate().map(page).collect()
+        cells_by_page.into_iter().enumerate().map(build_page).collect()
     }
 
-    /// A page of this origin has come back: an earlier process may have said more than this one yet.
+    /// Takes note of a received page. If it is a page of this origin from an earlier process with a higher
+    /// version, later pages get versions above it.
     pub fn observe(&mut self, page: &Page) {
         if page.origin == self.origin {
             self.version = self.version.max(page.version);
@@ -57,49 +66,53 @@
     }
 }
 
-/// The cells that a page has room for; the others summed up.
-fn fit(cells: BTreeMap<Cell, Summary>) -> BTreeMap<Cell, Summary> {
+fn add_summary(cells: &mut BTreeMap<Cell, Summary>, cell: Cell, summary: Summary) {
+    cells.entry(cell).and_modify(|sum| *sum = sum.combine(summary)).or_insert(summary);
+}
+
+/// Returns the classes of the given cells, sorted and without duplicates.
+fn distinct_classes(cells: &[(Cell, Summary)]) -> Vec<u16> {
+    let mut classes: Vec<u16> = cells.iter().map(|(cell, _)| cell.class).collect();
+    classes.sort_unstable();
+    classes.dedup();
+    classes
+}
+
+/// Reduces the cells to [`MAX_CELLS_PER_PAGE`] by combining those of the lowest rank per class.
+fn limit_cells(cells: BTreeMap<Cell, Summary>) -> BTreeMap<Cell, Summary> {
     if cells.len() <= MAX_CELLS_PER_PAGE {
         return cells;
     }
-    let mut order: Vec<(Cell, Summary)> = cells.into_iter().collect();
-    let by = |s: &Summary| [s.demand, s.headroom, s.cost_weight];
-    order.sort_by(|(a, x), (b, y)| {
-        by(y).partial_cmp(&by(x)).unwrap_or(std::cmp::Ordering::Equal).then(a.cmp(b))
+    let mut ranked: Vec<(Cell, Summary)> = cells.into_iter().collect();
+    let rank = |s: &Summary| [s.demand, s.headroom, s.cost_weight];
+    ranked.sort_by(|(cell_a, a), (cell_b, b)| {
+        rank(b).partial_cmp(&rank(a)).unwrap_or(std::cmp::Ordering::Equal).then(cell_a.cmp(cell_b))
     });
-    // As many cells stay alone as leave room for the sums of the rest.
-    let classes = |rest: &[(Cell, Summary)]| {
-        let mut classes: Vec<u16> = rest.iter().map(|(cell, _)| cell.class).collect();
-        classes.sort_unstable();
-        classes.dedup();
-        classes
-    };
-    let alone = (0..MAX_CELLS_PER_PAGE)
-        .rev()
-        .find(|&alone| alone + classes(&order[alone..]).len() <= MAX_CELLS_PER_PAGE)
-        .unwrap_or(0);
-    let summed = classes(&order[alone..]);
-    let last = summed[summed.len().min(MAX_CELLS_PER_PAGE - alone) - 1];
-    let mut kept: BTreeMap<Cell, Summary> = order[..alone].iter().copied().collect();
-    for (cell, summary) in &order[alone..] {
-        let others = Cell::for_class(cell.class.min(last));
-        kept.entry(others).and_modify(|sum| *sum = sum.combine(*summary)).or_insert(*summary);
+    // Keeps as many separate cells as leave places for the combined cells of the others.
+    let fits = |&kept: &usize| kept + distinct_classes(&ranked[kept..]).len() <= MAX_CELLS_PER_PAGE;
+    let kept = (0..MAX_CELLS_PER_PAGE).rev().find(fits).unwrap_or(0);
+    let combined_classes = distinct_classes(&ranked[kept..]);
+    let last_class = combined_classes[combined_classes.len().min(MAX_CELLS_PER_PAGE - kept) - 1];
+    let mut limited: BTreeMap<Cell, Summary> = ranked[..kept].iter().copied().collect();
+    for (cell, summary) in &ranked[kept..] {
+        add_summary(&mut limited, Cell::for_class(cell.class.min(last_class)), *summary);
     }
-    kept
+    limited
 }
 
-/// A number by which a cell always stands on the same page (FNV-1a over its places).
-fn mark(cell: &Cell) -> u64 {
-    let place = |place: Option<u16>| place.map_or(u64::MAX, u64::from);
-    let places = [
+/// Hashes a cell (FNV-1a over its fields, upper 32 bits). The hash determines the page of the cell, so that
+/// the cell is on the page of the same number in every version.
+fn cell_hash(cell: &Cell) -> u64 {
+    let field = |field: Option<u16>| field.map_or(u64::MAX, u64::from);
+    let fields = [
         u64::from(cell.class),
         cell.group.unwrap_or(u64::MAX),
-        place(cell.kind),
-        place(cell.zone),
-        place(cell.site),
+        field(cell.kind),
+        field(cell.zone),
+        field(cell.site),
     ];
-    let mixed = places.iter().flat_map(|p| p.to_be_bytes()).fold(0xcbf2_9ce4_8422_2325_u64, |hash, octet| {
-        (hash ^ u64::from(octet)).wrapping_mul(0x0000_0100_0000_01b3)
+    let hash = fields.iter().flat_map(|f| f.to_be_bytes()).fold(0xcbf2_9ce4_8422_2325_u64, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3)
     });
-    mixed >> 32
+    hash >> 32
 }
