--- a/crates/digest/src/page.rs
+++ b/crates/digest/src/page.rs
@@ -2,14 +2,16 @@
 //!
 //! A datagram is a sequence of pages. Integers are big-endian; the numbers below are sizes in bytes.
 //!
-//! ```text page: length 2 | format 1 | origin length 1 | origin | page number 1 | version 8 | age in ms 4 |
-//! cell count 1 | cells cell: class 2 | field mask 1 | group 8 | kind 2 | zone 2 | site 2 | five values of 2
-//! each ```
+//! ```text
+//! page: length 2 | format 1 | origin length 1 | origin | page number 1 | version 8 | age in ms 4
+//!       | cell count 1 | cells
+//! cell: class 2 | field mask 1 | group 8 | kind 2 | zone 2 | site 2 | five values of 2 bytes each
+//! ```
 //!
-//! The page length does not include itself. The field mask has one bit for each of group, kind, zone and
-//! site, from the lowest bit up; a field whose bit is not set is left out. The values are demand, cost ratio,
-//! cost weight, headroom and round trip on a logarithmic scale: 256 steps per power of two, starting at
-//! 2^-64; 0 encodes zero.
+//! The page length does not include itself. The field mask has one bit for each of group, kind, zone and site,
+//! from the lowest bit up; a field whose bit is not set is left out. The values are demand, cost ratio, cost
+//! weight, headroom and round trip on a logarithmic scale: 256 steps per power of two, starting at 2^-64; 0
+//! encodes zero.
 
 use std::fmt;
 
@@ -22,7 +24,7 @@
 pub const MAX_ORIGIN_BYTES: usize = 48;
 /// Most pages of one origin.
 pub const MAX_PAGES_PER_ORIGIN: u8 = 8;
-/// Most cells of one page. A page of this many cells with all fields present still fits into one datagram.
+/// Most cells on one page. A page of this many cells with all fields present still fits into one datagram.
 pub const MAX_CELLS_PER_PAGE: usize = 34;
 
 /// The format version that this code writes.
@@ -47,7 +49,8 @@
 
 impl std::error::Error for DecodeError {}
 
-/// A non-negative value on the logarithmic scale of the encoding. The relative error is at most 0.14 %.
+/// A non-negative value on the logarithmic scale of the encoding. Within the range of the scale the relative
+/// error is at most 0.14 %.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct LogValue(u16);
 
@@ -68,6 +71,7 @@
     }
 }
 
+/// The fields of a [`Summary`], in the order of the encoding.
 type EncodedSummary = [LogValue; VALUES_PER_CELL];
 
 fn encode_summary(summary: &Summary) -> EncodedSummary {
