--- a/crates/digest/src/gossip.rs
+++ b/crates/digest/src/gossip.rs
@@ -9,8 +9,8 @@
 /// How fast a gateway sends pages.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct GossipConfig {
-    /// Limit on bytes sent per second, which can be exceeded by one datagram. If the pages of a round need
-    /// longer than `round_interval` at this rate, the round is extended.
+    /// Limit on bytes sent per second. It can be exceeded by the datagrams of one recipient, which are sent
+    /// together. If the pages of a round need longer than `round_interval` at this rate, the round is extended.
     pub bytes_per_second: f64,
     /// Minimum duration of a round.
     pub round_interval: Micros,
