--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -145,7 +145,7 @@
     let limits = section("limits");
     let host = host_limits(c, limits, section("engine-properties"));
     let (mut settings, drain_grace) = policy(c, section("policy"));
-    settings.me = PeerId(number);
+    settings.own_id = PeerId(number);
     settings.gateways = of as u32;
 
     for datum in &kinds.rest {
--- a/crates/gateway/src/config/policy.rs
+++ b/crates/gateway/src/config/policy.rs
@@ -38,7 +38,7 @@
     let when = [("wait", WhenShort::LineUp), ("shrink", WhenShort::Cut), ("page", WhenShort::Overcommit)];
     let default = AttemptBudget { free: 5.0, per_request: 0.1, window: 5_000_000 };
     let settings = Settings {
-        me: PeerId(0),
+        own_id: PeerId(0),
         zone: ZoneId(0),
         gateways: 1,
         classes: Vec::new(),
@@ -53,20 +53,20 @@
             .cloned()
             .and_then(|f| c.choice(&f, &when))
             .unwrap_or(WhenShort::LineUp),
-        tells_cost: f.flag(c, "tells-cost", true),
-        ask_within: None,
-        cold_from: f.number(c, "cold-from", (0.01, 1.0), 0.3),
+        reports_cost: f.flag(c, "tells-cost", true),
+        list_poll_interval: None,
+        cold_capacity: f.number(c, "cold-from", (0.01, 1.0), 0.3),
         cold_span: span(c, "cold-span", 15_000),
-        fall_multiple: f.number(c, "fall-multiple", (1.0, 100.0), 4.0),
-        fall_span: span(c, "fall-span", 1_500).max(1),
-        key_rest: span(c, "key-rest", 2_000),
+        overload_multiple: f.number(c, "fall-multiple", (1.0, 100.0), 4.0),
+        overload_span: span(c, "fall-span", 1_500).max(1),
+        key_cooldown: span(c, "key-rest", 2_000),
         budget: Some(budget.unwrap_or(default)),
         attempts_cap: f.whole(c, "attempts", (1, 10), 3) as u32,
         may_cancel: f.flag(c, "cancels", true),
         may_duplicate: false,
         may_probe: f.flag(c, "probes", true),
         peer_messages: false,
-        retry_advice: Some(span(c, "retry-advice", 30_000)),
+        max_retry_after: Some(span(c, "retry-advice", 30_000)),
         quantum: 5_000,
         note_period: None,
         load_reports: LoadReports::WithAnswers,
@@ -112,7 +112,7 @@
     let effect = f.need(c, "effect").cloned().and_then(|e| effect(c, &e));
     let effect = effect.unwrap_or(Effect::Repeatable);
     let in_order = f.flag(c, "in-order", false);
-    if in_order && settings.key_rest == 0 {
+    if in_order && settings.key_cooldown == 0 {
         c.at(form, "class: in-order needs policy/key-rest over 0: work whose end is not known may go on");
     }
     if let Effect::Keyed { window, .. } = effect {
@@ -139,9 +139,9 @@
     let kinds = places(c, "kinds", &mut names.kinds, false);
     let zones = places(c, "zones", &mut names.zones, true);
     Class {
-        aim: micros(aim),
-        aim_stretch: f.number(c, "aim-stretch", (0.0, 100.0), 0.0),
-        give_up: micros(give_up),
+        latency_target: micros(aim),
+        target_stretch: f.number(c, "aim-stretch", (0.0, 100.0), 0.0),
+        client_timeout: micros(give_up),
         worth: f.number(c, "worth", (0.0, 1e6), 1.0),
         late_worth: f.number(c, "late-worth", (0.0, 1.0), 0.3),
         effect,
--- a/crates/gateway/src/core/fronts.rs
+++ b/crates/gateway/src/core/fronts.rs
@@ -15,7 +15,7 @@
         let id = StatementId(self.next_id);
         self.next_id += 1;
         let class = self.class_of(&submission);
-        let give_up = self.classes[class].give_up;
+        let give_up = self.classes[class].client_timeout;
         let wanted = submission.context.property("query_max_run_time");
         let wanted =
             wanted.and_then(violetward_statement::session::duration).map(|d| d.as_micros() as Micros);
@@ -217,9 +217,9 @@
             group: GroupId(hash(&group)),
             key: key.map(|k| OrderKey(k.to_owned())),
             is_retry: false,
-            marked: s.context.tagged(&self.selection.repeat_tag).is_some(),
+            has_dedup_key: s.context.tagged(&self.selection.repeat_tag).is_some(),
             pin: s.member.as_ref().and_then(|m| m.pin()),
-            due: s.due.saturating_sub(margin),
+            deadline: s.due.saturating_sub(margin),
         };
         self.offered[s.class] += request.cost as f64 / 1e3;
         let guest = self.sights.as_mut().is_some_and(|sights| sights.asked(&request, &s.context));
--- a/crates/gateway/src/core/sights.rs
+++ b/crates/gateway/src/core/sights.rs
@@ -80,7 +80,7 @@
             costs: BTreeMap::new(),
             waits: vec![(0.0, 0); classes.len()],
             totals: BTreeMap::new(),
-            aims: classes.iter().map(|c| c.aim.max(1) as f64).collect(),
+            aims: classes.iter().map(|c| c.latency_target.max(1) as f64).collect(),
         }
     }
 
@@ -234,9 +234,9 @@
             group: GroupId(0),
             key: None,
             is_retry: false,
-            marked: false,
+            has_dedup_key: false,
             pin: None,
-            due: 1,
+            deadline: 1,
         }
     }
 
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -139,7 +139,7 @@
 
 async fn post(host: &Rc<Host>, pool: &Pool, launch: &Launch) -> Result<(QueryResults, Session), Broken> {
     let mut headers = host_header(launch.address);
-    headers.push("Via", format!("1.1 violetward-{}", host.config.settings.me.0));
+    headers.push("Via", format!("1.1 violetward-{}", host.config.settings.own_id.0));
     headers.push("Content-Type", "text/plain; charset=utf-8");
     launch.context.write(&mut headers);
     let within = host.config.host.connect_within;
@@ -329,7 +329,7 @@
     };
     let text = format!("RESET SESSION {PROPERTY}");
     let mut headers = host_header(address);
-    headers.push("Via", format!("1.1 violetward-{}", host.config.settings.me.0));
+    headers.push("Via", format!("1.1 violetward-{}", host.config.settings.own_id.0));
     context.write(&mut headers);
     let work = async {
         let mut connection = pool.get(host.config.host.connect_within).await.ok()?;
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -139,7 +139,7 @@
             gateways: settings.gateways,
             sites: terms.sites.len(),
             widest: ring.widest,
-            cold_from: settings.cold_from,
+            cold_from: settings.cold_capacity,
             cold_span: settings.cold_span,
             low: terms.low,
             high: terms.high,
--- a/crates/gateway/src/outage/known.rs
+++ b/crates/gateway/src/outage/known.rs
@@ -93,7 +93,8 @@
                 .fold((0.0, 0.0, 0.0), |s, (_, t)| (s.0 + t.asked, s.1 + t.work, s.2 + t.squares));
             let threads = f64::from(class.threads.max(1));
             // Of what was never asked for here a quarter of the aim is a guess.
-            let work = if own.1 > 0.0 { own.1 / own.0 / 1e3 } else { class.aim as f64 / 4e6 * threads };
+            let work =
+                if own.1 > 0.0 { own.1 / own.0 / 1e3 } else { class.latency_target as f64 / 4e6 * threads };
             let spread = if own.1 > 0.0 { (own.2 * own.0 / (own.1 * own.1)).max(1.0) } else { 1.0 };
             let cost =
                 costs.iter().filter(|c| c.0 .0 == n).fold(Cost::default(), |sum, (_, cost)| sum.with(*cost));
@@ -101,7 +102,7 @@
             let work = work * if cost.told > 0.0 { cost.seen / cost.told } else { fleet[n] };
             mean.push(work);
             traits.push(Traits {
-                aim: class.aim + (class.aim_stretch.max(0.0) * work / threads * 1e6) as Micros,
+                aim: class.latency_target + (class.target_stretch.max(0.0) * work / threads * 1e6) as Micros,
                 late_worth: class.late_worth,
                 attempts: 1.0,
                 spread,
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -81,7 +81,7 @@
     decider: Box<dyn Decide>,
     executor: Rc<LocalExecutor<'static>>,
 ) -> std::io::Result<(Rc<Host>, SocketAddr)> {
-    let life = format!("g{}x{:08x}", config.settings.me.0, rand::random::<u32>());
+    let life = format!("g{}x{:08x}", config.settings.own_id.0, rand::random::<u32>());
     let core = Core::with(&config, &life, decider);
     let listener = Async::<std::net::TcpListener>::bind(config.listen)?;
     let address = listener.get_ref().local_addr()?;
--- a/crates/gateway/src/sessions.rs
+++ b/crates/gateway/src/sessions.rs
@@ -54,7 +54,7 @@
     pub fn pin(&self) -> Option<Pin> {
         let binding = self.binding.as_ref()?;
         let engine = EngineId(binding.engine);
-        Some(Pin { engine, reserve: self.reserved, finishing: binding.finishing })
+        Some(Pin { engine, uses_reserve: self.reserved, finishing: binding.finishing })
     }
 }
 
--- a/crates/gateway/tests/config.rs
+++ b/crates/gateway/tests/config.rs
@@ -26,7 +26,7 @@
 #[test]
 fn a_good_file_is_read() {
     let config = read(GOOD).unwrap();
-    assert_eq!((config.settings.me.0, config.settings.gateways), (1, 3));
+    assert_eq!((config.settings.own_id.0, config.settings.gateways), (1, 3));
     assert_eq!(config.engines, Path::new("/etc/v/list"));
     let window = 25_000_000;
     assert_eq!(config.settings.classes[1].effect, Effect::Keyed { scope: KeyScope::Zone, window });
--- a/crates/lab/src/baseline.rs
+++ b/crates/lab/src/baseline.rs
@@ -62,7 +62,7 @@
         let engine = best[(dice >> 33) as usize % best.len()];
         let attempt = *attempts;
         *attempts += 1;
-        let until = request.due;
+        let until = request.deadline;
         self.out.insert((id, attempt), engine);
         self.engines.get_mut(&engine).expect("just found").1 += 1;
         out.push(Action::Dispatch { id, engine, until });
@@ -105,7 +105,7 @@
                 let class = &self.settings.classes[request.class.0];
                 let unseen = matches!(answer.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
                 let again = unseen || class.effect == Effect::Repeatable;
-                if again && *attempts < self.settings.attempts_cap && now < request.due {
+                if again && *attempts < self.settings.attempts_cap && now < request.deadline {
                     self.send(answer.id, out);
                 } else {
                     self.open.remove(&answer.id);
--- a/crates/lab/src/speed.rs
+++ b/crates/lab/src/speed.rs
@@ -244,9 +244,9 @@
                 group: GroupId(id % 8),
                 key: None,
                 is_retry: false,
-                marked: false,
+                has_dedup_key: false,
                 pin: None,
-                due: now + 4_000_000,
+                deadline: now + 4_000_000,
             };
             out.clear();
             gateway.handle(now, Event::Request(request), &mut out);
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -83,7 +83,7 @@
 
 /// Longest wait of a client of a class, in milliseconds.
 fn wait_most(class: &Class) -> f64 {
-    match class.give_up {
+    match class.client_timeout {
         0 => WAIT_MOST,
         give_up => give_up as f64 / 1e3 + WAIT_OVER,
     }
@@ -165,7 +165,7 @@
         class: place,
         tenant,
         wait,
-        longest_wait: if class.give_up == 0 { wait } else { class.give_up },
+        longest_wait: if class.client_timeout == 0 { wait } else { class.client_timeout },
         retry,
         once,
         window,
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -325,9 +325,9 @@
             group: call.group,
             key: call.key,
             is_retry: call.retry,
-            marked: true,
+            has_dedup_key: true,
             pin: None,
-            due,
+            deadline: due,
         }));
         Taken::Yes
     }
--- a/crates/platform/tests/core.rs
+++ b/crates/platform/tests/core.rs
@@ -91,7 +91,7 @@
 
     fn call(&mut self) -> Call {
         let class = [0, 0, 0, 1, 2][self.rng.random_range(0..5)];
-        let give_up = self.config.settings.classes[class].give_up;
+        let give_up = self.config.settings.classes[class].client_timeout;
         Call {
             id: RequestId(self.next * 0x9e37_79b9),
             class,
--- a/crates/platform/tests/core_orders.rs
+++ b/crates/platform/tests/core_orders.rs
@@ -288,8 +288,8 @@
     let cold = Machine::new(7, 0, 0, START / 1_000);
     bench.core.engines(START, &list(2, &[cold], &bench.config), false);
     let settings = bench.config.settings.clone();
-    let capacity = settings.kinds[0].cores * settings.cold_from * settings.fall_span as f64;
-    let budget = settings.fall_multiple * capacity / (WORK_MS * 1e3);
+    let capacity = settings.kinds[0].cores * settings.cold_capacity * settings.overload_span as f64;
+    let budget = settings.overload_multiple * capacity / (WORK_MS * 1e3);
     let most = budget + 2.0 * budget.sqrt() + 2.0;
     let mut sent: Vec<Micros> = Vec::new();
     for id in 1..=600 {
@@ -302,7 +302,7 @@
             let work = Some((WORK_MS * 1e3) as Micros);
             bench.core.ended(bench.now, launch.attempt, Ending { work, ..Ending::of(Outcome::Ok) });
         }
-        let within = sent.iter().filter(|&&at| at + settings.fall_span > bench.now).count();
+        let within = sent.iter().filter(|&&at| at + settings.overload_span > bench.now).count();
         assert!(within as f64 <= most, "{within} in a window, where {most:.1} are borne");
     }
     assert!(sent.len() > 10, "{} in all: it warms up by what it gets", sent.len());
@@ -584,7 +584,7 @@
     fn end(&mut self, attempt: AttemptId, never_ran: bool, unsure: bool) {
         self.waiting.retain(|&a| a != attempt);
         self.written.retain(|&a| a != attempt);
-        let (now, gap) = (self.now, self.config.settings.key_rest);
+        let (now, gap) = (self.now, self.config.settings.key_cooldown);
         let story = self.story(attempt.0);
         let sent = &mut story.sent[attempt.1 as usize];
         sent.out = false;
@@ -684,10 +684,11 @@
         const MEAN_WORK: f64 = 100_000.0;
         let settings = &self.config.settings;
         self.cold.push((engine, self.now));
-        let from = self.now - settings.fall_span;
+        let from = self.now - settings.overload_span;
         let sent = self.cold.iter().filter(|c| c.0 == engine && c.1 > from).count() as f64;
-        let capacity = settings.kinds[machine.kind].cores * settings.cold_from * settings.fall_span as f64;
-        let budget = settings.fall_multiple * capacity / MEAN_WORK;
+        let capacity =
+            settings.kinds[machine.kind].cores * settings.cold_capacity * settings.overload_span as f64;
+        let budget = settings.overload_multiple * capacity / MEAN_WORK;
         assert!(sent <= budget + 2.0 * budget.sqrt() + 2.0, "seed {}: a cold engine falls", self.seed);
     }
 
@@ -736,7 +737,7 @@
                 let dropped = matches!(effect, violetward::Effect::Keyed { scope: KeyScope::All, .. });
                 let harmless = effect == violetward::Effect::Repeatable || dropped || !story.may_have_run();
                 assert!(harmless, "seed {seed}: refused though a further try may do harm");
-                assert!(*after <= self.config.settings.retry_advice.unwrap_or(0), "seed {seed}: advice");
+                assert!(*after <= self.config.settings.max_retry_after.unwrap_or(0), "seed {seed}: advice");
                 self.answers[1] += 1;
             }
             Verdict::Failed => {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,7 +6,7 @@
 //!     "Classes": [{"Name": "look", "AimUs": 1500000, "HardLimitUs": 7500000, "Effect": "repeatable"}]}"#;
 //! let info: violetward_settings::BootInfo = serde_json::from_str(text).unwrap();
 //! let settings = info.settings().unwrap();
-//! assert_eq!((settings.gateways, settings.classes[0].aim), (3, 1_500_000));
+//! assert_eq!((settings.gateways, settings.classes[0].latency_target), (3, 1_500_000));
 //! ```
 
 use std::collections::BTreeMap;
@@ -254,7 +254,7 @@
             window: contract.look_back_us.unwrap_or(0),
         };
         Ok(vw::Settings {
-            me: vw::PeerId(self.me),
+            own_id: vw::PeerId(self.me),
             gateways: self.n_instances,
             classes: classes.collect::<Result<_, _>>()?,
             kinds: cores.map(|(i, &cores)| vw::Kind { cores, memory_mb: memory(i) }).collect(),
@@ -268,20 +268,20 @@
                 "overcommit" => vw::WhenShort::Overcommit,
                 _ => vw::WhenShort::LineUp,
             },
-            tells_cost: family.tells_cost,
-            ask_within: (self.discovery == "on_request").then_some(contract.ask_within_us),
-            cold_from: contract.cold_from,
+            reports_cost: family.tells_cost,
+            list_poll_interval: (self.discovery == "on_request").then_some(contract.ask_within_us),
+            cold_capacity: contract.cold_from,
             cold_span: contract.cold_us,
-            fall_multiple: contract.fall_multiple,
-            fall_span: contract.tip_after_us,
-            key_rest: contract.turn_gap_us,
+            overload_multiple: contract.fall_multiple,
+            overload_span: contract.tip_after_us,
+            key_cooldown: contract.turn_gap_us,
             budget: contract.extra_per_request.or(contract.extra_free.map(|_| 0.0)).map(budget),
             attempts_cap: limits.attempts_cap,
             may_cancel: limits.may_cancel,
             may_duplicate: limits.may_duplicate,
             may_probe: limits.probes,
             peer_messages: limits.peer_messages,
-            retry_advice: limits.retry_after.then_some(limits.max_retry_after_us),
+            max_retry_after: limits.retry_after.then_some(limits.max_retry_after_us),
             quantum: self.quantum_us,
             zone: vw::ZoneId(self.zone),
             note_period: Some(family.note_period_us).filter(|&period| period > 0),
@@ -317,9 +317,9 @@
         let kinds = self.allowed_on.as_ref();
         let zones = self.zones_allowed.as_ref();
         Ok(vw::Class {
-            aim: self.aim_us,
-            aim_stretch: self.aim_stretch,
-            give_up: self.hard_limit_us,
+            latency_target: self.aim_us,
+            target_stretch: self.aim_stretch,
+            client_timeout: self.hard_limit_us,
             worth: self.worth,
             late_worth: self.late_worth,
             effect,
--- a/src/api.rs
+++ b/src/api.rs
@@ -77,11 +77,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
     /// An answer within this span earns the full worth.
-    pub aim: Micros,
+    pub latency_target: Micros,
     /// The aim grows by this times the true work over the threads.
-    pub aim_stretch: f64,
+    pub target_stretch: f64,
     /// How long a client waits over all its tries.
-    pub give_up: Micros,
+    pub client_timeout: Micros,
     /// What one request is worth.
     pub worth: f64,
     /// The share of the worth that an answer after the aim still earns.
@@ -168,7 +168,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// This gateway's number.
-    pub me: PeerId,
+    pub own_id: PeerId,
     /// The zone it stands in.
     pub zone: ZoneId,
     /// How many gateways there are.
@@ -190,19 +190,19 @@
     /// What happens when memory is short.
     pub when_short: WhenShort,
     /// Answers tell true work and memory.
-    pub tells_cost: bool,
+    pub reports_cost: bool,
     /// The list comes only when asked for; the gateway must ask within this span.
-    pub ask_within: Option<Micros>,
+    pub list_poll_interval: Option<Micros>,
     /// A fresh engine can do this share of its capacity or more.
-    pub cold_from: f64,
+    pub cold_capacity: f64,
     /// And is warm after this span.
     pub cold_span: Micros,
     /// It falls over beyond this multiple of what it can do,
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// kept up for this span.
-    pub fall_span: Micros,
+    pub overload_span: Micros,
     /// A key's rest after an attempt whose end is not sure.
-    pub key_rest: Micros,
+    pub key_cooldown: Micros,
     /// The budget of further attempts; `None` if there is no such limit.
     pub budget: Option<AttemptBudget>,
     /// Attempts a request may have.
@@ -216,7 +216,7 @@
     /// `Tell` is allowed.
     pub peer_messages: bool,
     /// The longest advice that clients heed; `None` where advice is not allowed.
-    pub retry_advice: Option<Micros>,
+    pub max_retry_after: Option<Micros>,
     /// Events come at most this often.
     pub quantum: Micros,
     /// How often an engine tells of a running attempt ([`Event::Note`]); `None` if it does not.
@@ -263,7 +263,7 @@
     /// The only engine that can answer it.
     pub engine: EngineId,
     /// It helps to end what stands in others' way: it is admitted if it can be done by its deadline, whatever the debt.
-    pub reserve: bool,
+    pub uses_reserve: bool,
     /// It may still go there while the engine drains.
     pub finishing: bool,
 }
@@ -289,11 +289,11 @@
     pub is_retry: bool,
     /// A further try by its client would carry the same mark, so that engines drop it as a repeat of this one. Without
     /// it a keyed request that may have run can't be refused: the client's next try would take effect again.
-    pub marked: bool,
+    pub has_dedup_key: bool,
     /// Its session's engine, if it has one. What may have run there is never sent again.
     pub pin: Option<Pin>,
     /// The client stops waiting at this time.
-    pub due: Micros,
+    pub deadline: Micros,
 }
 
 /// How an attempt ended.
--- a/src/logic/attempts.rs
+++ b/src/logic/attempts.rs
@@ -28,7 +28,7 @@
 
     /// When to give an attempt up: with the client, or earlier where another may follow and has time.
     fn until(&self, open: &Open, usual: f64) -> Micros {
-        let due = open.request.due;
+        let due = open.request.deadline;
         let last = open.attempts + 1 >= self.settings.attempts_cap || self.budget_left() < 1.0;
         let stubborn = if self.settings.may_cancel { 1.0 } else { STUBBORN };
         let patience = stubborn * (PATIENCE * usual + PATIENCE_SPAN as f64);
@@ -96,13 +96,14 @@
         let Some(open) = self.open.get(&id) else { return };
         let effect = self.class(&open.request).effect;
         // A client's next try is a repeat to the engines only if it carries the same mark.
-        let harmless = effect == Effect::Repeatable || effect.repeats_anywhere() && open.request.marked;
+        let harmless =
+            effect == Effect::Repeatable || effect.repeats_anywhere() && open.request.has_dedup_key;
         let harmless = harmless && open.request.pin.is_none();
         if harmless || !open.may_have_run() {
             // When the debt of now has drained, spread by half so that clients don't return together.
             let wait = (self.fleet_debt() / self.fleet_rate()).max(self.back as f64);
             let wait = wait * (0.5 + unit(self.draw()));
-            let retry_after = (wait as Micros).min(self.settings.retry_advice.unwrap_or(0));
+            let retry_after = (wait as Micros).min(self.settings.max_retry_after.unwrap_or(0));
             out.push(Action::Refuse { id, retry_after });
         } else {
             out.push(Action::Fail(id));
@@ -138,7 +139,7 @@
         let Some(open) = self.open.get(&id) else { return };
         let slow = self.slow.leaning(1.0, 3.0).max(1.0);
         let fresh = self.cost(&open.request, None) / self.threads(&open.request) * slow;
-        let rest = open.request.due.saturating_sub(self.now) as f64;
+        let rest = open.request.deadline.saturating_sub(self.now) as f64;
         let again = self.class(&open.request).effect == Effect::Repeatable
             && open.request.pin.is_none()
             && open.attempts < self.settings.attempts_cap
--- a/src/logic/bound.rs
+++ b/src/logic/bound.rs
@@ -49,7 +49,7 @@
 
     /// What a cold engine can do for sure, against a warm one.
     pub(super) fn warmth(&self, e: &Engine) -> f64 {
-        let least = finite(self.settings.cold_from, 0.05, 1.0);
+        let least = finite(self.settings.cold_capacity, 0.05, 1.0);
         self.cold_age(e).map_or(1.0, |age| least + (1.0 - least) * COLD_RAMP * age)
     }
 
--- a/src/logic/guard.rs
+++ b/src/logic/guard.rs
@@ -59,20 +59,20 @@
     /// Where a part is less than a query of the class, gateways take turns that add up to it, class by class.
     /// The part is even at most, whatever is believed of the other gateways: so all parts add up to one.
     fn cold_allows(&self, open: &Open, e: &Engine, ever: bool) -> bool {
-        if !self.is_cold(e) || self.settings.fall_multiple <= 0.0 {
+        if !self.is_cold(e) || self.settings.overload_multiple <= 0.0 {
             return true;
         }
         let class = open.request.class.0;
-        let rate = self.settings.fall_multiple * self.cores(e) * self.warmth(e) * COLD_MARGIN;
-        let all = rate * self.settings.fall_span as f64 * self.share().min(self.even());
+        let rate = self.settings.overload_multiple * self.cores(e) * self.warmth(e) * COLD_MARGIN;
+        let all = rate * self.settings.overload_span as f64 * self.share().min(self.even());
         let uses: f64 = (0..self.learned.len()).map(|c| self.use_of(c)).sum();
         let part = all * self.use_of(class) / uses;
         let weight = self.cold_weight(open);
-        let slice = self.now / self.settings.fall_span.max(1);
+        let slice = self.now / self.settings.overload_span.max(1);
         let dice = mix(e.entry.engine.0 ^ mix(slice ^ mix(class as u64)));
-        let turn = unit(dice) + self.settings.me.0 as f64 * self.even();
+        let turn = unit(dice) + self.settings.own_id.0 as f64 * self.even();
         let budget = if turn.fract() < part / weight { part.max(weight) } else { part };
-        let from = self.now.saturating_sub(self.settings.fall_span);
+        let from = self.now.saturating_sub(self.settings.overload_span);
         let sent = e.recent.iter().rev().take_while(|c| c.0 >= from).filter(|c| c.2 == class).map(|c| c.1);
         weight + if ever { 0.0 } else { sent.sum::<f64>() } <= budget
     }
--- a/src/logic/health.rs
+++ b/src/logic/health.rs
@@ -6,7 +6,7 @@
 
 impl Gateway {
     pub(super) fn listed(&mut self, kind: ListKind, entries: Vec<EngineEntry>, out: &mut Vec<Action>) {
-        if self.settings.ask_within.is_some() && (self.asked_at.is_none() || kind == ListKind::Lost) {
+        if self.settings.list_poll_interval.is_some() && (self.asked_at.is_none() || kind == ListKind::Lost) {
             out.push(Action::Subscribe);
         }
         self.asked_at = self.asked_at.or(Some(self.now));
@@ -115,7 +115,7 @@
         let light = self.density(&open.request) >= self.usual_density();
         let repeats = self.class(&open.request).effect == Effect::Repeatable && open.request.pin.is_none();
         // What ends a transaction has nowhere else to go, and locks to free.
-        let ends = open.request.pin.is_some_and(|p| p.reserve);
+        let ends = open.request.pin.is_some_and(|p| p.uses_reserve);
         let may = (light && repeats || ends) && open.attempts + 1 < self.settings.attempts_cap;
         ready.find(|(&engine, _)| may && self.guard(id, engine) == Leave::Yes).map(|(&engine, _)| engine)
     }
--- a/src/logic/learn.rs
+++ b/src/logic/learn.rs
@@ -7,7 +7,7 @@
     pub(super) fn learn(&mut self, flight: &Flight, answer: &Answer) {
         let took = answer.took as f64 * flight.threads;
         let (class, told) = (flight.request.class.0, self.told(&flight.request));
-        let work = answer.work.filter(|&w| w > 0 && self.settings.tells_cost);
+        let work = answer.work.filter(|&w| w > 0 && self.settings.reports_cost);
         let truth = work.map_or_else(|| self.stand_in(&flight.request, took), |w| w as f64);
         self.slow.learn(took, truth, FLEET_SAMPLE * (2.0 - (4.0 * self.share()).min(1.0)));
         let learned = &mut self.learned[class];
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -63,7 +63,7 @@
             Event::Elapsed(TICK_HANDLE) => self.tick(out),
             Event::Elapsed(_) | Event::Heard { .. } => {}
         }
-        let still = self.is_still() && self.settings.ask_within.is_none();
+        let still = self.is_still() && self.settings.list_poll_interval.is_none();
         if !self.ticking && !still {
             self.ticking = true;
             out.push(Action::Arm { handle: TICK_HANDLE, span: if self.any_line() { TICK } else { WATCH } });
@@ -89,7 +89,7 @@
     /// Where the list comes only when asked for, asks in good time; a missing answer is not awaited for ever.
     fn tidy(&mut self, out: &mut Vec<Action>) {
         self.drop_old(FORGET);
-        let (span, at) = (self.settings.ask_within, self.asked_at);
+        let (span, at) = (self.settings.list_poll_interval, self.asked_at);
         if span.zip(at).is_some_and(|(span, at)| self.now >= at.saturating_add(span / 3)) {
             self.asked_at = Some(self.now);
             out.push(Action::FetchList);
--- a/src/logic/place.rs
+++ b/src/logic/place.rs
@@ -7,7 +7,7 @@
     pub(super) fn place(&mut self, id: RequestId, out: &mut Vec<Action>) {
         // Whoever waits is looked at once a tick: what is due before the next one would get no answer.
         let next_tick = self.now + WATCH + self.settings.quantum;
-        if self.open.get(&id).is_some_and(|o| o.request.due <= next_tick) {
+        if self.open.get(&id).is_some_and(|o| o.request.deadline <= next_tick) {
             return self.end(id, out);
         }
         if !self.has_turn(id) {
@@ -71,10 +71,10 @@
         let threads = self.threads(request);
         let run = cost / threads / self.speed(e) * self.slow.leaning(1.0, 3.0).max(1.0);
         if fleet_wait == 0.0 && e.threads == 0.0 && e.line.is_empty() && e.debt.iter().all(|&d| d <= 0.0) {
-            return run < request.due.saturating_sub(self.now) as f64;
+            return run < request.deadline.saturating_sub(self.now) as f64;
         }
-        let reserve = request.pin.is_some_and(|p| p.reserve);
-        let goal = if self.now < open.goal && !reserve { open.goal } else { request.due };
+        let reserve = request.pin.is_some_and(|p| p.uses_reserve);
+        let goal = if self.now < open.goal && !reserve { open.goal } else { request.deadline };
         let slack = goal.saturating_sub(self.now) as f64;
         let rate = self.drain_rate(e);
         let free = self.fits(e, threads) && e.line.is_empty();
@@ -126,7 +126,7 @@
             return;
         }
         let up = self.engines.iter_mut().filter(|(_, e)| e.is_well() && !e.probing);
-        let oldest = up.min_by_key(|(id, e)| (e.load.map(|l| l.1), mix(id.0 ^ mix(self.settings.me.0))));
+        let oldest = up.min_by_key(|(id, e)| (e.load.map(|l| l.1), mix(id.0 ^ mix(self.settings.own_id.0))));
         if let Some((&engine, e)) = oldest {
             e.probing = true;
             out.push(Action::Probe(engine));
@@ -214,8 +214,8 @@
         let hopeless = |o: &Open| {
             let class = self.class(&o.request);
             let run = self.cost(&o.request, None) / self.threads(&o.request);
-            let end = if class.late_worth > 0.0 { o.request.due } else { o.goal };
-            o.waits() && (o.request.due <= next_tick || self.now as f64 + run > end as f64)
+            let end = if class.late_worth > 0.0 { o.request.deadline } else { o.goal };
+            o.waits() && (o.request.deadline <= next_tick || self.now as f64 + run > end as f64)
         };
         let ended: Vec<_> = self.open.iter().filter(|(_, o)| hopeless(o)).map(|(&id, _)| id).collect();
         ended.into_iter().for_each(|id| self.end(id, out));
--- a/src/logic/take.rs
+++ b/src/logic/take.rs
@@ -25,8 +25,12 @@
         let class =
             self.settings.classes.get(request.class.0).filter(|_| !self.open.contains_key(&request.id))?;
         let cost = self.cost(request, None);
-        let stretch = class.aim_stretch.max(0.0) * cost / self.threads(request);
-        let goal = self.now.saturating_add(class.aim).saturating_add(stretch as Micros).min(request.due);
+        let stretch = class.target_stretch.max(0.0) * cost / self.threads(request);
+        let goal = self
+            .now
+            .saturating_add(class.latency_target)
+            .saturating_add(stretch as Micros)
+            .min(request.deadline);
         let worth = finite(class.worth, 0.0, 1e9);
         self.note_asked(request.class.0, cost, worth, SAMPLE);
         Some(goal)
@@ -63,7 +67,7 @@
         self.drain(sent.engine);
         self.join(id, sent.engine);
         let (Some(open), Some(e)) = (self.open.get(&id), self.engines.get(&sent.engine)) else { return };
-        let span = (sent.sent.min(self.now), sent.until.min(open.request.due));
+        let span = (sent.sent.min(self.now), sent.until.min(open.request.deadline));
         let holds = (self.threads(&open.request), self.grant(&open.request, e));
         let mut flight = Flight::new(open, sent.engine, span, holds, self.usual(&open.request, e));
         flight.adopted = Some(self.now);
@@ -93,7 +97,7 @@
 
     /// The estimate, or a stand-in for it where none is told.
     pub(super) fn told(&self, request: &Request) -> f64 {
-        let unknown = self.class(request).aim as f64 * UNKNOWN_COST * self.threads(request);
+        let unknown = self.class(request).latency_target as f64 * UNKNOWN_COST * self.threads(request);
         Some(request.cost as f64).filter(|&told| told > 0.0).unwrap_or(unknown.max(1.0))
     }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -637,7 +637,7 @@
 
     /// A key's rest begins.
     pub(crate) fn rest_key(&mut self, key: Option<&OrderKey>) {
-        let until = self.now.saturating_add(self.settings.key_rest);
+        let until = self.now.saturating_add(self.settings.key_cooldown);
         if let Some(turns) = key.and_then(|k| self.keys.get_mut(k)) {
             turns.rest_until = turns.rest_until.max(until);
         }
@@ -646,9 +646,9 @@
     /// Moves what has passed its goal while it waited to its deadline.
     pub(crate) fn put_back_late(&mut self) {
         let late =
-            |o: &Open| o.goal < self.now && o.goal < o.request.due && matches!(o.place, Place::Line(_));
+            |o: &Open| o.goal < self.now && o.goal < o.request.deadline && matches!(o.place, Place::Line(_));
         let late: Vec<_> =
-            self.open.iter().filter(|(_, o)| late(o)).map(|(&id, o)| (id, o.request.due)).collect();
+            self.open.iter().filter(|(_, o)| late(o)).map(|(&id, o)| (id, o.request.deadline)).collect();
         late.into_iter().for_each(|(id, due)| self.put_back(id, due));
     }
 
@@ -684,7 +684,7 @@
         let from = self.now.saturating_sub(window.saturating_add(2 * self.settings.quantum));
         trim(&mut self.taken, from, |&t| t);
         trim(&mut self.extras, from, |&t| t);
-        let recent_from = self.now.saturating_sub(self.settings.fall_span.saturating_mul(2));
+        let recent_from = self.now.saturating_sub(self.settings.overload_span.saturating_mul(2));
         for e in self.engines.values_mut() {
             trim(&mut e.recent, recent_from, |c| c.0);
         }
--- a/tests/adopted.rs
+++ b/tests/adopted.rs
@@ -26,9 +26,9 @@
         group: GroupId(id % 3),
         key: None,
         is_retry: false,
-        marked: false,
+        has_dedup_key: false,
         pin: None,
-        due: bed.now + 5 * SECOND,
+        deadline: bed.now + 5 * SECOND,
     }
 }
 
@@ -90,7 +90,7 @@
 
 #[test]
 fn what_is_unsafe_and_was_sent_elsewhere_is_never_sent_again_nor_refused() {
-    let pin = Pin { engine: EngineId(1), reserve: false, finishing: false };
+    let pin = Pin { engine: EngineId(1), uses_reserve: false, finishing: false };
     for outcome in UNSURE.into_iter().chain(UNSEEN) {
         for attempts in 1..=2 {
             for pin in [None, Some(pin)] {
@@ -111,7 +111,7 @@
     let far = EngineEntry { zone: ZoneId(1), cell: CellId(1), ..entry(2) };
     let again = |scope, attempts, engine, wait: Micros| {
         let mut bed = Bed::new(settings(class(keyed(scope))), vec![entry(1), far.clone()]);
-        let mut actions = adopt_with(&mut bed, 1, attempts, engine, |r| r.due += 60 * SECOND);
+        let mut actions = adopt_with(&mut bed, 1, attempts, engine, |r| r.deadline += 60 * SECOND);
         bed.now += wait;
         if engine.is_some() {
             actions = answer(&mut bed, 1, attempts - 1, Outcome::Reset);
@@ -188,7 +188,7 @@
     let mut ordered = class(keyed(KeyScope::All));
     ordered.in_order = true;
     let mut s = settings(ordered);
-    s.key_rest = SECOND / 2;
+    s.key_cooldown = SECOND / 2;
     let mut bed = Bed::new(s, vec![entry(1)]);
     // What is out goes first, what waited elsewhere next, in the order of adoption; then what came here.
     for id in 100..108 {
@@ -221,7 +221,7 @@
     bed.now += 60 * SECOND;
     let (long_ago, until) = (bed.now - 60 * SECOND, bed.now + 60 * SECOND);
     let out = AdoptedAttempt { engine: EngineId(1), sent: long_ago, until };
-    let request = Request { due: until, ..request(&bed, 1) };
+    let request = Request { deadline: until, ..request(&bed, 1) };
     bed.feed(Event::Adopted { request, attempts: 1, out: Some(out) });
     let condemned = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Log(_)));
     assert!(!condemned(&bed.pass(SECOND / 2)), "this gateway waits for it since now");
@@ -253,7 +253,7 @@
             answer(&mut bed, id, 0, Outcome::Declined);
         }
         // What they owe turns none of these away.
-        let pin = Some(Pin { engine: EngineId(1), reserve: true, finishing: false });
+        let pin = Some(Pin { engine: EngineId(1), uses_reserve: true, finishing: false });
         let one = |id| {
             let out = sent(&bed.ask_with(id, |r| r.pin = pin)).len();
             bed.now += 2_000;
@@ -281,7 +281,7 @@
     assert!(odd(&mut bed, 4, 0, 1, None).is_empty(), "a repeated event is ignored");
     assert!(failed(&answer(&mut bed, 4, u32::MAX - 2, Outcome::Full), 4));
     let mut early = Bed::new(settings(class(keyed(KeyScope::All))), vec![entry(1)]);
-    let request = Request { due: Micros::MAX, ..request(&early, 1) };
+    let request = Request { deadline: Micros::MAX, ..request(&early, 1) };
     early.feed(Event::Adopted { request, attempts: 1, out: Some(ever) });
     early.now += 21 * SECOND;
     assert!(failed(&answer(&mut early, 1, 0, Outcome::Reset), 1), "its window began by now at the latest");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,9 +7,9 @@
 
 pub fn class(effect: Effect) -> Class {
     Class {
-        aim: SECOND,
-        aim_stretch: 2.0,
-        give_up: 6 * SECOND,
+        latency_target: SECOND,
+        target_stretch: 2.0,
+        client_timeout: 6 * SECOND,
         worth: 1.0,
         late_worth: 0.5,
         effect,
@@ -24,7 +24,7 @@
 
 pub fn settings(class: Class) -> Settings {
     Settings {
-        me: PeerId(0),
+        own_id: PeerId(0),
         gateways: 1,
         classes: vec![class],
         kinds: vec![Kind { cores: 4.0, memory_mb: 8192.0 }; 2],
@@ -34,20 +34,20 @@
         priorities: true,
         grant_cap: 0.4,
         when_short: WhenShort::LineUp,
-        tells_cost: true,
-        ask_within: None,
-        cold_from: 0.3,
+        reports_cost: true,
+        list_poll_interval: None,
+        cold_capacity: 0.3,
         cold_span: 15 * SECOND,
-        fall_multiple: 4.0,
-        fall_span: SECOND,
-        key_rest: 0,
+        overload_multiple: 4.0,
+        overload_span: SECOND,
+        key_cooldown: 0,
         budget: None,
         attempts_cap: 3,
         may_cancel: true,
         may_duplicate: false,
         may_probe: false,
         peer_messages: false,
-        retry_advice: None,
+        max_retry_after: None,
         quantum: 5_000,
         zone: ZoneId(0),
         note_period: None,
@@ -137,9 +137,9 @@
             group: GroupId(id % 3),
             key: None,
             is_retry: false,
-            marked: true,
+            has_dedup_key: true,
             pin: None,
-            due: self.now + 5 * SECOND,
+            deadline: self.now + 5 * SECOND,
         };
         change(&mut request);
         self.feed(Event::Request(request))
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -122,14 +122,14 @@
     s.kinds = vec![Kind { cores: 0.0, memory_mb: f64::NAN }];
     s.gateways = 0;
     s.classes[0].worth = f64::NAN;
-    s.classes[0].aim_stretch = f64::INFINITY;
-    s.fall_multiple = f64::MAX;
+    s.classes[0].target_stretch = f64::INFINITY;
+    s.overload_multiple = f64::MAX;
     s.tenants = vec![Tenant { quota_per_s: 0.0 }];
     let mut bed = Bed::new(s, vec![EngineEntry { weight: 0.0, kind: KindId(9), ..entry(1) }]);
     for (id, cost) in [(1, 0), (2, u64::MAX), (3, 1)] {
         bed.ask_with(id, |r| (r.cost, r.memory_mb) = (cost, f64::MAX));
     }
-    bed.ask_with(4, |r| r.due = u64::MAX);
+    bed.ask_with(4, |r| r.deadline = u64::MAX);
     bed.ask_with(5, |r| r.class = ClassId(77));
     bed.pass(6 * SECOND);
     let finite = |a: &Action| !matches!(a, Action::Terms { memory_mb, .. } if !memory_mb.is_finite());
@@ -176,7 +176,7 @@
 #[test]
 fn a_gateway_asks_for_the_list_where_it_must() {
     let mut s = settings(class(Effect::Repeatable));
-    s.ask_within = Some(9 * SECOND);
+    s.list_poll_interval = Some(9 * SECOND);
     let mut bed = Bed::new(s, vec![entry(1)]);
     assert!(bed.all.iter().any(|(_, a)| *a == Action::Subscribe));
     bed.pass(10 * SECOND);
@@ -211,7 +211,7 @@
 fn one_of_many(me: u64, gateways: u32, engines: Vec<EngineEntry>) -> Bed {
     let heavy = Class { threads: 4, worth: 4.0, ..class(Effect::Repeatable) };
     let mut s = settings(class(Effect::Repeatable));
-    s.me = PeerId(me);
+    s.own_id = PeerId(me);
     s.gateways = gateways;
     s.classes.push(heavy);
     Bed::new(s, engines)
@@ -423,7 +423,7 @@
 #[test]
 fn where_no_cost_is_told_a_slow_fleet_is_seen_and_the_bound_is_cut() {
     let mut s = settings(class(Effect::Repeatable));
-    s.tells_cost = false;
+    s.reports_cost = false;
     let most_out = |slow: bool| {
         let mut bed = Bed::new(s.clone(), vec![entry(1)]);
         for id in 0..120 {
@@ -442,7 +442,7 @@
             }
             bed.pass(200_000);
         }
-        (200..240).map(|id| sent(&bed.ask_with(id, |r| r.due += 60 * SECOND)).len()).sum::<usize>()
+        (200..240).map(|id| sent(&bed.ask_with(id, |r| r.deadline += 60 * SECOND)).len()).sum::<usize>()
     };
     let (usual, slow) = (most_out(false), most_out(true));
     assert!(slow < usual, "{slow} in flight at a slow engine, {usual} at a quick one");
@@ -542,7 +542,7 @@
 fn advice_grows_with_the_wait_and_is_spread() {
     let advised = |queries: u64| {
         let mut s = settings(class(Effect::Repeatable));
-        s.retry_advice = Some(60 * SECOND);
+        s.max_retry_after = Some(60 * SECOND);
         let mut bed = Bed::new(s, vec![entry(1)]);
         let pick =
             |a: &Action| if let Action::Refuse { retry_after, .. } = a { Some(*retry_after) } else { None };
@@ -579,7 +579,7 @@
 fn gateways_send_a_group_to_the_same_homes_unless_loads_or_blindness_forbid_it() {
     let first = |me: u64, reports, waits| {
         let mut s = settings(class(Effect::Repeatable));
-        (s.me, s.gateways, s.load_reports) = (PeerId(me), 200, reports);
+        (s.own_id, s.gateways, s.load_reports) = (PeerId(me), 200, reports);
         s.classes[0].waits_for_loads = waits;
         // Seeds differ, as between gateways.
         let mut bed = Bed::seeded(s, me, (1..=20).map(entry).collect());
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -192,7 +192,7 @@
     /// The capacity of a cold engine of this age, against a warm one, by the settings.
     pub fn warmth(&self, age: Micros) -> f64 {
         let part = (age as f64 / self.settings.cold_span as f64).min(1.0);
-        self.settings.cold_from + (1.0 - self.settings.cold_from) * part
+        self.settings.cold_capacity + (1.0 - self.settings.cold_capacity) * part
     }
 
     fn cores(&self) -> f64 {
@@ -201,8 +201,8 @@
 
     /// Requests of mean work that a cold engine of this age is allowed in one span.
     pub fn allowed(&self, age: Micros) -> f64 {
-        let span = self.settings.fall_span as f64;
-        self.settings.fall_multiple * self.cores() * self.warmth(age) * span / self.mean_work()
+        let span = self.settings.overload_span as f64;
+        self.settings.overload_multiple * self.cores() * self.warmth(age) * span / self.mean_work()
     }
 }
 
@@ -368,7 +368,7 @@
     }
 
     fn boot(&mut self, gateway: usize) {
-        let settings = Settings { me: PeerId(gateway as u64), ..self.plan.settings.clone() };
+        let settings = Settings { own_id: PeerId(gateway as u64), ..self.plan.settings.clone() };
         let seed = self.random.bits();
         self.nodes[gateway].gateway = Some(Gateway::new(settings, seed));
         self.nodes[gateway].incarnation += 1;
@@ -410,9 +410,9 @@
             group: GroupId(self.random.bits() % 24),
             key: None,
             is_retry: false,
-            marked: true,
+            has_dedup_key: true,
             pin: None,
-            due: self.now + self.plan.settings.classes[class].give_up,
+            deadline: self.now + self.plan.settings.classes[class].client_timeout,
         };
         self.feed(gateway, self.nodes[gateway].incarnation, Event::Request(request));
     }
--- a/tests/pins.rs
+++ b/tests/pins.rs
@@ -5,7 +5,7 @@
 use violetward::*;
 
 fn pin(engine: u64) -> Pin {
-    Pin { engine: EngineId(engine), reserve: false, finishing: false }
+    Pin { engine: EngineId(engine), uses_reserve: false, finishing: false }
 }
 
 fn pinned(bed: &mut Bed, id: u64, pin: Pin) -> Vec<Action> {
@@ -66,6 +66,6 @@
     let mut bed = Bed::new(settings(class(Effect::Repeatable)), vec![entry(1)]);
     fill(&mut bed);
     assert!(refused(&pinned(&mut bed, 1, pin(1)), 1), "the debt is at its bound");
-    let reserve = Pin { reserve: true, ..pin(1) };
+    let reserve = Pin { uses_reserve: true, ..pin(1) };
     assert!(!refused(&bed.ask_with(2, |r| (r.pin, r.cost) = (Some(reserve), 1000)), 2));
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -33,7 +33,7 @@
 
 fn figures(plan: &Plan) -> Figures {
     let fleet = Fleet::play(plan.clone());
-    let span = plan.settings.fall_span;
+    let span = plan.settings.overload_span;
     let mut result = Figures { beyond: f64::MIN, beyond_told: f64::MIN, ..Figures::default() };
     result.served = fleet.served as f64 / fleet.asked as f64;
     let (mut sent, mut room) = (0.0, 0.0);
@@ -69,8 +69,8 @@
 
 fn settings(gateways: u32) -> Settings {
     let class = |aim: Micros, give_up: Micros, worth: f64, threads: u32| Class {
-        aim,
-        give_up,
+        latency_target: aim,
+        client_timeout: give_up,
         worth,
         threads,
         ..common::class(Effect::Repeatable)
@@ -83,10 +83,10 @@
             class(1600 * MILLISECOND, 9 * SECOND, 6.0, 1),
         ],
         kinds: vec![Kind { cores: 8.0, memory_mb: 16_384.0 }],
-        cold_from: 0.31,
+        cold_capacity: 0.31,
         cold_span: 15 * SECOND,
-        fall_multiple: 4.0,
-        fall_span: 1_500 * MILLISECOND,
+        overload_multiple: 4.0,
+        overload_span: 1_500 * MILLISECOND,
         budget: Some(AttemptBudget { free: 5.0, per_request: 0.1, window: 5 * SECOND }),
         may_probe: true,
         ..common::settings(common::class(Effect::Repeatable))
@@ -126,7 +126,7 @@
 fn plan(gateways: u32, pressure: &Pressure, seed: u64, happenings: Vec<(Micros, Happening)>) -> Plan {
     Plan {
         seed,
-        settings: Settings { fall_multiple: pressure.fall_multiple, ..settings(gateways) },
+        settings: Settings { overload_multiple: pressure.fall_multiple, ..settings(gateways) },
         traffic: traffic(pressure.work),
         engines: ENGINES,
         load: pressure.load,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -190,7 +190,7 @@
     let mut ordered = class(Effect::Keyed { scope: KeyScope::All, window: 20 * SECOND });
     ordered.in_order = true;
     let mut s = settings(ordered);
-    s.key_rest = SECOND / 2;
+    s.key_cooldown = SECOND / 2;
     let mut bed = Bed::new(s, vec![entry(1), entry(2)]);
     let key = |r: &mut Request| r.key = Some(OrderKey("a".into()));
     assert_eq!(sent(&bed.ask_with(1, key)).len(), 1);
@@ -247,7 +247,7 @@
     // As reported: a time-out at the deadline, and an engine left alone that awaits a trial by a request.
     let mut bed = Bed::new(settings(class(Effect::Repeatable)), vec![entry(1), entry(2)]);
     let due = bed.now + 5 * SECOND;
-    let other = sent(&bed.ask_with(1, |r| r.due = due))[0].1;
+    let other = sent(&bed.ask_with(1, |r| r.deadline = due))[0].1;
     for id in 2..20 {
         for (id, engine) in sent(&bed.ask_with(id, |r| r.group = GroupId(id))) {
             bed.answer(id, if engine == other { Outcome::Ok } else { Outcome::Error });
@@ -268,7 +268,7 @@
     bed.pass(SECOND / 2);
     let due = bed.now + 50_000;
     let ended = |bed: &Bed| refused(&bed.all.iter().map(|a| a.1.clone()).collect::<Vec<_>>(), 100);
-    bed.ask_with(100, |r| (r.cost, r.due) = (1_000, due));
+    bed.ask_with(100, |r| (r.cost, r.deadline) = (1_000, due));
     assert!(ended(&bed));
 }
 
@@ -397,7 +397,7 @@
 #[test]
 fn of_each_class_the_part_that_is_told_is_let_in_and_the_rest_is_refused_at_once() {
     let mut settings = settings(class(Effect::Repeatable));
-    settings.retry_advice = Some(30 * SECOND);
+    settings.max_retry_after = Some(30 * SECOND);
     let mut bed = Bed::new(settings, (1..=4).map(entry).collect());
     bed.feed(Event::Keep { own: vec![0.25], guests: vec![0.0], back: 2 * SECOND });
     let mut turned_away = Vec::new();
@@ -421,13 +421,13 @@
         group: GroupId(0),
         key: None,
         is_retry: false,
-        marked: false,
+        has_dedup_key: false,
         pin,
-        due: bed.now + 5 * SECOND,
+        deadline: bed.now + 5 * SECOND,
     };
     let free = Event::Guest(guest(&bed, 1_000, None));
     assert!(refused(&bed.feed(free), 1_000));
-    let pin = Pin { engine: EngineId(1), reserve: false, finishing: false };
+    let pin = Pin { engine: EngineId(1), uses_reserve: false, finishing: false };
     let pinned = Event::Guest(guest(&bed, 1_001, Some(pin)));
     assert!(!refused(&bed.feed(pinned), 1_001));
     // Nothing told: all are let in again.
