--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -247,7 +247,9 @@
             ok: reason == "ok",
             load: load_from_stats(&server_stats),
         },
-        News::NoteFrom { neighbour, data } => vw::Event::Heard { from: vw::PeerId(neighbour), text: data },
+        News::NoteFrom { neighbour, data } => {
+            vw::Event::PeerMessage { from: vw::PeerId(neighbour), text: data }
+        }
         News::Answer { job, send_no, reason, time_taken_us, complete, stats, server_stats } => {
             vw::Event::Answer(vw::Answer {
                 id: request(&job)?,
@@ -305,7 +307,7 @@
         vw::Action::Fail(id) => Output::Abort { job: job(id) },
         vw::Action::Cancel { id, attempt } => Output::Cancel { job: job(id), send_no: attempt },
         vw::Action::Probe(engine) => Output::SoundOut { node: nodes.get(&engine)?.clone() },
-        vw::Action::Tell(text) => Output::Announce { dst: "all", data: text },
+        vw::Action::Broadcast(text) => Output::Announce { dst: "all", data: text },
         vw::Action::Arm { handle, span } => Output::Arm { handle, span_us: span },
         vw::Action::Subscribe => Output::Tail { active: true },
         vw::Action::FetchList => Output::Lookup {},
--- a/crates/gateway/src/config/policy.rs
+++ b/crates/gateway/src/config/policy.rs
@@ -35,7 +35,11 @@
             window: micros(window),
         }
     });
-    let when = [("wait", WhenShort::LineUp), ("shrink", WhenShort::Cut), ("page", WhenShort::Overcommit)];
+    let when = [
+        ("wait", MemoryShortage::Queue),
+        ("shrink", MemoryShortage::Reduce),
+        ("page", MemoryShortage::Overcommit),
+    ];
     let default = AttemptBudget { free: 5.0, per_request: 0.1, window: 5_000_000 };
     let settings = Settings {
         own_id: PeerId(0),
@@ -48,11 +52,11 @@
         grants: f.flag(c, "grants", true),
         priorities: f.flag(c, "priorities", true),
         grant_cap: f.number(c, "grant-cap", (0.01, 1.0), 0.4),
-        when_short: f
+        memory_shortage: f
             .get("when-short")
             .cloned()
             .and_then(|f| c.choice(&f, &when))
-            .unwrap_or(WhenShort::LineUp),
+            .unwrap_or(MemoryShortage::Queue),
         reports_cost: f.flag(c, "tells-cost", true),
         list_poll_interval: None,
         cold_capacity: f.number(c, "cold-from", (0.01, 1.0), 0.3),
--- a/crates/gateway/src/core/deciding.rs
+++ b/crates/gateway/src/core/deciding.rs
@@ -56,7 +56,7 @@
             },
             Action::Arm { handle, span } => self.arm(self.now + span, Timer::Module(handle)),
             Action::Log(text) => self.effects.push_back(Effect::Say(text)),
-            Action::Tell(_) | Action::Subscribe | Action::FetchList => {}
+            Action::Broadcast(_) | Action::Subscribe | Action::FetchList => {}
         }
     }
 
--- a/crates/gateway/src/core/listing.rs
+++ b/crates/gateway/src/core/listing.rs
@@ -56,7 +56,7 @@
 
     /// The engines that the module leaves alone since they are sick.
     pub fn unwell(&self) -> Vec<String> {
-        self.gateway.left_alone().into_iter().map(|engine| self.name(engine)).collect()
+        self.gateway.quarantined_engines().into_iter().map(|engine| self.name(engine)).collect()
     }
 
     /// What other gateways' lists say of engines. It only takes away.
--- a/crates/gateway/src/core/sights.rs
+++ b/crates/gateway/src/core/sights.rs
@@ -186,10 +186,10 @@
         self.sights.as_deref_mut()
     }
 
-    /// The parts of requests that are let in: see [`Event::Keep`].
+    /// The parts of requests that are let in: see [`Event::AdmitFractions`].
     pub fn keep(&mut self, now: Micros, [own, guests]: [Vec<f64>; 2], back: Micros) {
         self.pass(now);
-        self.inbox.push_back(Event::Keep { own, guests, back });
+        self.inbox.push_back(Event::AdmitFractions { own, guests, min_retry_after: back });
         self.run();
     }
 
--- a/crates/gateway/src/core/time.rs
+++ b/crates/gateway/src/core/time.rs
@@ -6,7 +6,7 @@
     /// This gateway's part of the fleet, as its membership has it.
     pub fn share(&mut self, now: Micros, part: f64) {
         self.pass(now);
-        self.inbox.push_back(Event::Share(part));
+        self.inbox.push_back(Event::FleetShare(part));
         self.run();
     }
 
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -544,7 +544,7 @@
             }
             Action::Log(text) => self.effects.push_back(Effect::Say(text)),
             // The list is followed by the host anyway, and gateways do not speak with each other here.
-            Action::Subscribe | Action::FetchList | Action::Tell(_) => {}
+            Action::Subscribe | Action::FetchList | Action::Broadcast(_) => {}
         }
     }
 
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -263,10 +263,10 @@
             grants: family.grants_count,
             priorities: family.lanes_count,
             grant_cap: family.grant_cap,
-            when_short: match family.when_short.as_str() {
-                "cut" => vw::WhenShort::Cut,
-                "overcommit" => vw::WhenShort::Overcommit,
-                _ => vw::WhenShort::LineUp,
+            memory_shortage: match family.when_short.as_str() {
+                "cut" => vw::MemoryShortage::Reduce,
+                "overcommit" => vw::MemoryShortage::Overcommit,
+                _ => vw::MemoryShortage::Queue,
             },
             reports_cost: family.tells_cost,
             list_poll_interval: (self.discovery == "on_request").then_some(contract.ask_within_us),
--- a/src/api.rs
+++ b/src/api.rs
@@ -120,11 +120,11 @@
 
 /// What happens when grants pass an engine's memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WhenShort {
+pub enum MemoryShortage {
     /// The query waits in the engine's line.
-    LineUp,
+    Queue,
     /// It gets what is left.
-    Cut,
+    Reduce,
     /// It is let in, and all slow down.
     Overcommit,
 }
@@ -188,7 +188,7 @@
     /// Share of an engine's memory that one query gets at most.
     pub grant_cap: f64,
     /// What happens when memory is short.
-    pub when_short: WhenShort,
+    pub memory_shortage: MemoryShortage,
     /// Answers tell true work and memory.
     pub reports_cost: bool,
     /// The list comes only when asked for; the gateway must ask within this span.
@@ -442,7 +442,7 @@
         load: Load,
     },
     /// A message from another gateway.
-    Heard {
+    PeerMessage {
         /// The sender.
         from: PeerId,
         /// The message.
@@ -450,17 +450,17 @@
     },
     /// This gateway's part of the fleet, from who lives and what they are asked for; without it, `1 / gateways`. Cold engines
     /// are met by that at most.
-    Share(f64),
+    FleetShare(f64),
     /// The parts of each class's requests that are let in from now on, by place; 1 where not told. They come from what was
     /// projected for a loss, so that nobody finds out by overload what has to be refused. What has a pin, and what was
     /// adopted, is always let in.
-    Keep {
+    AdmitFractions {
         /// Of this gateway's own clients.
         own: Vec<f64>,
         /// Of guests, whose own gateways are gone.
         guests: Vec<f64>,
         /// How long a client that is turned away should stay away at least, before it is spread; as far as advice is allowed.
-        back: Micros,
+        min_retry_after: Micros,
     },
     /// A guest sent a request: a client whose own gateways are gone. It is a [`Event::Request`] but for its part.
     Guest(Request),
@@ -520,7 +520,7 @@
     /// Check an engine.
     Probe(EngineId),
     /// Tell all other gateways.
-    Tell(String),
+    Broadcast(String),
     /// Ask for [`Event::Elapsed`] after a span.
     Arm {
         /// Comes back with the event.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -29,7 +29,7 @@
 //!     grants: true,
 //!     priorities: false,
 //!     grant_cap: 0.4,
-//!     when_short: WhenShort::LineUp,
+//!     memory_shortage: MemoryShortage::Queue,
 //!     reports_cost: true,
 //!     list_poll_interval: None,
 //!     cold_capacity: 0.3,
@@ -105,7 +105,7 @@
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>);
 
     /// Engines that are left alone since they are sick; none where that is not known.
-    fn left_alone(&self) -> Vec<EngineId> {
+    fn quarantined_engines(&self) -> Vec<EngineId> {
         Vec::new()
     }
 }
@@ -115,7 +115,7 @@
         Gateway::handle(self, now, event, out);
     }
 
-    fn left_alone(&self) -> Vec<EngineId> {
+    fn quarantined_engines(&self) -> Vec<EngineId> {
         self.engines.iter().filter(|(_, e)| e.sick.is_some()).map(|(id, _)| *id).collect()
     }
 }
--- a/src/logic/attempts.rs
+++ b/src/logic/attempts.rs
@@ -96,9 +96,8 @@
         let Some(open) = self.open.get(&id) else { return };
         let effect = self.class(&open.request).effect;
         // A client's next try is a repeat to the engines only if it carries the same mark.
-        let harmless =
-            effect == Effect::Repeatable || effect.repeats_anywhere() && open.request.has_dedup_key;
-        let harmless = harmless && open.request.pin.is_none();
+        let deduplicated = effect.repeats_anywhere() && open.request.has_dedup_key;
+        let harmless = (effect == Effect::Repeatable || deduplicated) && open.request.pin.is_none();
         if harmless || !open.may_have_run() {
             // When the debt of now has drained, spread by half so that clients don't return together.
             let wait = (self.fleet_debt() / self.fleet_rate()).max(self.back as f64);
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -40,7 +40,9 @@
             Event::Engines { kind, entries } => self.listed(kind, entries, out),
             Event::Request(request) => self.take(request, false, out),
             Event::Guest(request) => self.take(request, true, out),
-            Event::Keep { own, guests, back } => (self.kept, self.back) = ([own, guests], back),
+            Event::AdmitFractions { own, guests, min_retry_after } => {
+                (self.kept, self.back) = ([own, guests], min_retry_after)
+            }
             Event::Adopted { request, attempts, out: sent } => self.adopt(request, attempts, sent, out),
             Event::Lapsed(id) => self.forget(id, out),
             Event::Answer(answer) => self.answered(answer, out),
@@ -50,7 +52,7 @@
                 self.reported(engine, load);
                 self.probed(engine, ok, out)
             }
-            Event::Share(part) => self.part = Some(finite(part, 1e-6, 1.0)),
+            Event::FleetShare(part) => self.part = Some(finite(part, 1e-6, 1.0)),
             Event::Rules { classes, tenants, attempts_cap, budget } => {
                 let same =
                     |s: &Settings| (s.classes.len(), s.tenants.len()) == (classes.len(), tenants.len());
@@ -61,7 +63,7 @@
                 }
             }
             Event::Elapsed(TICK_HANDLE) => self.tick(out),
-            Event::Elapsed(_) | Event::Heard { .. } => {}
+            Event::Elapsed(_) | Event::PeerMessage { .. } => {}
         }
         let still = self.is_still() && self.settings.list_poll_interval.is_none();
         if !self.ticking && !still {
--- a/src/logic/take.rs
+++ b/src/logic/take.rs
@@ -26,11 +26,8 @@
             self.settings.classes.get(request.class.0).filter(|_| !self.open.contains_key(&request.id))?;
         let cost = self.cost(request, None);
         let stretch = class.target_stretch.max(0.0) * cost / self.threads(request);
-        let goal = self
-            .now
-            .saturating_add(class.latency_target)
-            .saturating_add(stretch as Micros)
-            .min(request.deadline);
+        let target = class.latency_target.saturating_add(stretch as Micros);
+        let goal = self.now.saturating_add(target).min(request.deadline);
         let worth = finite(class.worth, 0.0, 1e9);
         self.note_asked(request.class.0, cost, worth, SAMPLE);
         Some(goal)
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -33,7 +33,7 @@
         grants: true,
         priorities: true,
         grant_cap: 0.4,
-        when_short: WhenShort::LineUp,
+        memory_shortage: MemoryShortage::Queue,
         reports_cost: true,
         list_poll_interval: None,
         cold_capacity: 0.3,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -280,7 +280,7 @@
         let mut settings = settings(class(Effect::Repeatable));
         (settings.gateways, settings.load_reports) = (4, LoadReports::None);
         let mut bed = Bed::new(settings, (1..=4).map(entry).collect());
-        share.into_iter().for_each(|share| drop(bed.feed(Event::Share(share))));
+        share.into_iter().for_each(|share| drop(bed.feed(Event::FleetShare(share))));
         (0..200).flat_map(|id| sent(&bed.ask(id))).count()
     };
     let even = out_at_once(None);
@@ -293,7 +293,7 @@
         let mut s = settings(class(Effect::Repeatable));
         s.gateways = 4;
         let mut bed = Bed::new(s, vec![EngineEntry { came_up: 99 * SECOND, ..entry(1) }]);
-        bed.feed(Event::Share(share));
+        bed.feed(Event::FleetShare(share));
         let mut sends = 0;
         for id in 0..200 {
             sends += sent(&bed.ask(id)).len() + sent(&bed.answer(id, Outcome::Ok)).len();
@@ -399,7 +399,7 @@
     let mut settings = settings(class(Effect::Repeatable));
     settings.max_retry_after = Some(30 * SECOND);
     let mut bed = Bed::new(settings, (1..=4).map(entry).collect());
-    bed.feed(Event::Keep { own: vec![0.25], guests: vec![0.0], back: 2 * SECOND });
+    bed.feed(Event::AdmitFractions { own: vec![0.25], guests: vec![0.0], min_retry_after: 2 * SECOND });
     let mut turned_away = Vec::new();
     for id in 0..400 {
         for action in bed.ask(id) {
@@ -431,7 +431,7 @@
     let pinned = Event::Guest(guest(&bed, 1_001, Some(pin)));
     assert!(!refused(&bed.feed(pinned), 1_001));
     // Nothing told: all are let in again.
-    bed.feed(Event::Keep { own: vec![], guests: vec![], back: 0 });
+    bed.feed(Event::AdmitFractions { own: vec![], guests: vec![], min_retry_after: 0 });
     for id in 2_000..2_040 {
         assert!(!refused(&bed.ask(id), id));
         bed.answer(id, Outcome::Ok);
