--- a/src/api.rs
+++ b/src/api.rs
@@ -1,238 +1,244 @@
-//! The interface between a host gateway and the decisions: plain data only, no decisions.
+//! The interface between a host gateway and the decision module: plain data, no decisions.
 //!
-//! Times are [`Micros`] of the host's clock, spans are microseconds too, memory is in megabytes and work is
-//! the time that one thread would take.
+//! Points in time are [`Micros`] of the host's clock and durations are microseconds too. Memory is in
+//! megabytes. Work is the time that a query would take on one thread.
 
-/// A time or span in microseconds. Only the host has a clock; it passes the time with each event.
+/// A point in time or a duration, in microseconds. Only the host has a clock; it passes the time with each
+/// event.
 pub type Micros = u64;
 
-/// A request of a client; never used twice.
+/// Identifies a request of a client; an id is never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// An engine. The number must be the same at every gateway and after a restart of the engine's process.
+/// Identifies an engine. The number must be the same at every gateway and after a restart of the engine's
+/// process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct EngineId(pub u64);
 
-/// A place in [`Settings::classes`].
+/// An index into [`Settings::classes`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
 
-/// A place in [`Settings::tenants`].
+/// An index into [`Settings::tenants`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
-/// A kind of machine: a place in [`Settings::kinds`].
+/// A kind of machine: an index into [`Settings::kinds`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub usize);
 
-/// A zone.
+/// Identifies a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub usize);
 
-/// A small set of engines that know each other's keys.
+/// Identifies a cell: a small set of engines that share their deduplication keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u64);
 
-/// Another gateway, by its number.
+/// Identifies a gateway among its peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PeerId(pub u64);
 
-/// The group of tables that a query reads.
+/// Identifies the group of tables that a query reads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupId(pub u64);
 
-/// Requests with the same key take turns, where their class asks for it.
+/// Requests with the same order key run one after another if their class has [`Class::in_order`].
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OrderKey(pub String);
 
-/// Which engines drop a repeat of a keyed request.
+/// The engines that recognise and drop a repeat of a keyed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyScope {
     /// All engines.
     All,
-    /// Those of one zone.
+    /// The engines of the zone that the request was first sent to.
     Zone,
-    /// Those of one cell.
+    /// The engines of the cell that the request was first sent to.
     Cell,
 }
 
-/// How often a request may take effect.
+/// How often a request may take effect, which decides whether it can be sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Harmless to repeat.
+    /// Idempotent: may run any number of times.
     Repeatable,
-    /// Repeats are dropped within `scope`, for `window` from the first sending.
+    /// Engines within `scope` drop repeats for `window` after the first attempt was sent.
     Keyed {
         /// The engines that drop repeats.
         scope: KeyScope,
-        /// How long they do.
+        /// How long they drop repeats.
         window: Micros,
     },
-    /// Must not run twice.
+    /// Must not run more than once.
     Once,
 }
 
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// An answer within this span earns the full worth.
+    /// An answer within this time of the request's arrival earns the full worth.
     pub latency_target: Micros,
-    /// The aim grows by this times the true work over the threads.
+    /// The latency target grows by this factor times the query's work divided by its threads.
     pub target_stretch: f64,
-    /// How long a client waits over all its tries.
+    /// How long a client waits in total, over all its retries.
     pub client_timeout: Micros,
-    /// What one request is worth.
+    /// The worth of one request answered within its latency target, relative to requests of other classes.
     pub worth: f64,
-    /// The share of the worth that an answer after the aim still earns.
+    /// The fraction of the worth that an answer after the latency target still earns.
     pub late_worth: f64,
-    /// How often it may take effect.
+    /// How often a request may take effect.
     pub effect: Effect,
-    /// Requests with one key run one at a time, in order of arrival.
+    /// Requests with the same order key run one at a time, in order of arrival.
     pub in_order: bool,
-    /// The kinds of machine it may run on; `None` for any.
+    /// The kinds of machine that it may run on; `None` for any.
     pub kinds: Option<Vec<KindId>>,
-    /// The zones it may run in; `None` for any.
+    /// The zones that it may run in; `None` for any.
     pub zones: Option<Vec<ZoneId>>,
-    /// Threads that a query runs on.
+    /// The number of threads that a query runs on.
     pub threads: u32,
-    /// Holds its group of tables on its engine while it runs.
+    /// It is a load: while it runs it locks its group of tables on its engine.
     pub is_load: bool,
-    /// Stands still while a load holds its group there.
+    /// A query that has been sent makes no progress while a load holds its group of tables on the same
+    /// engine.
     pub waits_for_loads: bool,
 }
 
 /// A kind of machine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Kind {
-    /// Cores.
+    /// The number of cores.
     pub cores: f64,
-    /// Memory; 0 if not told.
+    /// The size of the memory; 0 if unknown.
     pub memory_mb: f64,
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Requests a second within its share, over all gateways.
+    /// The quota in requests per second, over all gateways.
     pub quota_per_s: f64,
 }
 
-/// What happens when grants pass an engine's memory.
+/// What an engine does when memory grants exceed its memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemoryShortage {
-    /// The query waits in the engine's line.
+    /// The query waits in the engine's queue.
     Queue,
-    /// It gets what is left.
+    /// The query gets the memory that is left.
     Reduce,
-    /// It is let in, and all slow down.
+    /// The query starts, and all queries on the engine slow down.
     Overcommit,
 }
 
-/// The budget of attempts beyond each request's first.
+/// The budget of further attempts, that is of all but the first of each request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AttemptBudget {
-    /// Attempts that need no requests to earn them.
+    /// The number of further attempts that are always available.
     pub free: f64,
-    /// Attempts earned by each request taken.
+    /// The number of further attempts that each accepted request adds.
     pub per_request: f64,
-    /// How far back both are counted.
+    /// The sliding window over which requests and further attempts are counted.
     pub window: Micros,
 }
 
-/// What brings an engine's load report.
+/// Which messages of an engine carry its load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadReports {
-    /// Every answer, and probes.
+    /// Every answer, and the results of probes.
     WithAnswers,
-    /// Probes alone.
+    /// Only the results of probes.
     WithProbes,
-    /// Nothing.
+    /// No message; engines do not report their load.
     None,
 }
 
-/// What is taken off the result, each times its share of first tries or of work asked for; 0 if free.
+/// Penalties in the score that rates a gateway's decisions; 0 for what costs nothing. Each is multiplied by
+/// its share of first attempts or of requested work.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Prices {
     /// An attempt that crosses zones.
     pub cross_zone: f64,
-    /// Work that served no answer.
+    /// Work that led to no answer.
     pub waste: f64,
-    /// Worth that ended unserved after its aim.
+    /// The worth of requests that ended without an answer after their latency target.
     pub late_fail: f64,
     /// A probe.
     pub probe: f64,
 }
 
-/// All that a gateway is told at its start.
+/// The configuration that a gateway gets at its start.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// This gateway's number.
+    /// The id of this gateway.
     pub own_id: PeerId,
-    /// The zone it stands in.
+    /// The zone of this gateway.
     pub zone: ZoneId,
-    /// How many gateways there are.
+    /// The number of gateways.
     pub gateways: u32,
-    /// Classes of requests.
+    /// The classes of requests.
     pub classes: Vec<Class>,
-    /// Kinds of machine.
+    /// The kinds of machine.
     pub kinds: Vec<Kind>,
-    /// Tenants; none if empty.
+    /// The tenants; empty if tenants have no quotas.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, against the usual.
+    /// The worth of a request beyond its tenant's quota, as a fraction of the usual worth.
     pub over_share_worth: f64,
-    /// Memory grants are heeded.
+    /// Engines honour memory grants.
     pub grants: bool,
-    /// Priorities are heeded.
+    /// Engines honour priorities.
     pub priorities: bool,
-    /// Share of an engine's memory that one query gets at most.
+    /// The largest fraction of an engine's memory that one query may be granted.
     pub grant_cap: f64,
-    /// What happens when memory is short.
+    /// What an engine does when its memory is short.
     pub memory_shortage: MemoryShortage,
-    /// Answers tell true work and memory.
+    /// Answers report the actual work and memory of a query.
     pub reports_cost: bool,
-    /// The list comes only when asked for; the gateway must ask within this span.
+    /// The longest time between two requests for the list of engines, where the list is sent only on request;
+    /// `None` where it is pushed.
     pub list_poll_interval: Option<Micros>,
-    /// A fresh engine can do this share of its capacity or more.
+    /// The lower bound of a cold engine's capacity, as a fraction of its capacity when warm.
     pub cold_capacity: f64,
-    /// And is warm after this span.
+    /// How long after its start an engine is cold.
     pub cold_span: Micros,
-    /// It falls over beyond this multiple of what it can do,
+    /// A cold engine crashes if the work sent to it exceeds this multiple of its capacity,
     pub overload_multiple: f64,
-    /// kept up for this span.
+    /// summed over this time.
     pub overload_span: Micros,
-    /// A key's rest after an attempt whose end is not sure.
+    /// How long an order key is blocked after an attempt that may still be running.
     pub key_cooldown: Micros,
-    /// The budget of further attempts; `None` if there is no such limit.
+    /// The budget of further attempts; `None` for no limit.
     pub budget: Option<AttemptBudget>,
-    /// Attempts a request may have.
+    /// The largest number of attempts of one request.
     pub attempts_cap: u32,
-    /// `Cancel` is allowed.
+    /// [`Action::Cancel`] is allowed.
     pub may_cancel: bool,
-    /// Two attempts of a request may be out at once.
+    /// Two attempts of a request may be in flight at once.
     pub may_duplicate: bool,
-    /// `Probe` is allowed.
+    /// [`Action::Probe`] is allowed.
     pub may_probe: bool,
-    /// `Tell` is allowed.
+    /// [`Action::Broadcast`] is allowed.
     pub peer_messages: bool,
-    /// The longest advice that clients heed; `None` where advice is not allowed.
+    /// The longest `retry_after` that clients honour; `None` where none may be given.
     pub max_retry_after: Option<Micros>,
-    /// Events come at most this often.
+    /// The shortest time between two calls with events.
     pub quantum: Micros,
-    /// How often an engine tells of a running attempt ([`Event::Note`]); `None` if it does not.
+    /// The period of an engine's progress notes on a running attempt ([`Event::Note`]); `None` if it sends
+    /// none.
     pub note_period: Option<Micros>,
-    /// What brings load reports.
+    /// Which messages carry load reports.
     pub load_reports: LoadReports,
-    /// What costs.
+    /// Penalties in the score.
     pub prices: Prices,
 }
 
-/// What the list says of an engine.
+/// The state of an engine in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Listed {
-    /// Runs.
+    /// Running.
     Up,
-    /// Completes its work; to be sent nothing new.
+    /// Finishing its work; must get no new requests.
     Draining,
     /// Gone.
     Removed,
@@ -241,13 +247,13 @@
 /// An entry of the list of engines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineEntry {
-    /// Which engine.
+    /// The engine.
     pub engine: EngineId,
-    /// When it last started; 0 if long ago.
+    /// When its process last started; 0 if that was long ago.
     pub came_up: Micros,
-    /// Its size against others, where that is told.
+    /// Its size relative to other engines, where known.
     pub weight: f64,
-    /// Its kind.
+    /// Its kind of machine.
     pub kind: KindId,
     /// Its zone.
     pub zone: ZoneId,
@@ -257,14 +263,15 @@
     pub listed: Listed,
 }
 
-/// A request of a session that lives on one engine.
+/// Binds a request to the engine that holds its session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Pin {
-    /// The only engine that can answer it.
+    /// The only engine that can answer the request.
     pub engine: EngineId,
-    /// It helps to end what stands in others' way: it is admitted if it can be done by its deadline, whatever the debt.
+    /// The request helps to end a transaction that holds locks: it is admitted if it can finish by its
+    /// deadline, whatever the backlog of its class.
     pub uses_reserve: bool,
-    /// It may still go there while the engine drains.
+    /// The request may be sent to its engine even while that engine drains.
     pub finishing: bool,
 }
 
@@ -277,61 +284,62 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: TenantId,
-    /// Estimated work; 0 if not told.
+    /// The estimated work; 0 if unknown.
     pub cost: Micros,
-    /// Estimated memory; 0 if not told.
+    /// The estimated memory; 0 if unknown.
     pub memory_mb: f64,
-    /// The group of tables it reads.
+    /// The group of tables that it reads.
     pub group: GroupId,
-    /// Its key of order.
+    /// Its order key.
     pub key: Option<OrderKey>,
-    /// The client marked it as another try.
+    /// The client marked it as a retry.
     pub is_retry: bool,
-    /// A further try by its client would carry the same mark, so that engines drop it as a repeat of this one. Without
-    /// it a keyed request that may have run can't be refused: the client's next try would take effect again.
+    /// A retry by the client would carry the same deduplication key, so that engines drop it as a repeat.
+    /// Without one, a keyed request that may have run can't be refused: the client's retry would take effect
+    /// a second time.
     pub has_dedup_key: bool,
-    /// Its session's engine, if it has one. What may have run there is never sent again.
+    /// The engine of its session, if it has one. A pinned request that may have run is never sent again.
     pub pin: Option<Pin>,
-    /// The client stops waiting at this time.
+    /// When the client stops waiting.
     pub deadline: Micros,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The engine served the request.
     Ok,
-    /// The engine answered with an error; it may have run.
+    /// The engine answered with an error; the request may have run.
     Error,
-    /// The engine answered that the request itself is wrong: final, and no sign of ill health.
+    /// The engine answered that the request itself is invalid: final, and no sign of a sick engine.
     Declined,
-    /// Turned away unseen.
+    /// The engine rejected the request without starting it, for lack of capacity.
     Full,
-    /// No answer in time; it may still run.
+    /// No answer in time; the request may still run.
     Timeout,
-    /// No connection.
+    /// No connection could be made; the request was not sent.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the request may have run.
     Reset,
-    /// The connection broke, or what came on it can't be read; it may have run. The host has seen that the engine's
-    /// process goes on: it does not come back cold.
+    /// The connection broke or carried malformed data; the request may have run. The host has seen that the
+    /// engine's process is still alive, so the engine does not come back cold.
     Broken,
-    /// Withdrawn; it may have run.
+    /// The attempt was cancelled; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     Moot,
 }
 
-/// What an engine reports of its load; shares are from 0 to 1.
+/// The load that an engine reports; fractions are from 0 to 1.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Load {
-    /// Queries that it holds, of all gateways.
+    /// The number of queries on the engine, from all gateways.
     pub in_flight: Option<f64>,
-    /// How busy its cores are.
+    /// The fraction of its core time in use.
     pub cores: Option<f64>,
-    /// How much of its memory is granted.
+    /// The fraction of its memory that is granted.
     pub memory: Option<f64>,
-    /// How busy its disks are.
+    /// The utilisation of its disks.
     pub disks: Option<f64>,
 }
 
@@ -340,64 +348,66 @@
 pub struct Answer {
     /// The request.
     pub id: RequestId,
-    /// Which of its attempts, from 0.
+    /// The number of the attempt, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// How long it was out.
+    /// How long the attempt was in flight.
     pub took: Micros,
-    /// Nothing more is owed for the request.
+    /// The request is over: its client needs no other answer.
     pub complete: bool,
-    /// True work, where told.
+    /// The actual work, where reported.
     pub work: Option<Micros>,
-    /// Memory needed, where told.
+    /// The memory that the query needed, where reported.
     pub memory_mb: Option<f64>,
-    /// The engine's load, where told.
+    /// The engine's load, where reported.
     pub load: Load,
 }
 
-/// An attempt that another gateway sent and this one goes on with. Its number is that of the attempts spent, less one; an
-/// [`Answer`] ends it like any, but none proves that it has not run: its sender may have written it.
+/// An attempt that another gateway sent and this one takes over. Its number is [`Event::Adopted::attempts`]
+/// less one. An [`Answer`] ends it as any other attempt, but no outcome proves that it has not run: its
+/// sender may already have written it to the connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AdoptedAttempt {
-    /// Where it is.
+    /// The engine that it was sent to.
     pub engine: EngineId,
-    /// When it was sent, at the latest, by this host's clock; never later than it was: a window of keys counts from it.
+    /// A lower bound, by this host's clock, of the time when it was sent: the window in which engines drop
+    /// repeats counts from here.
     pub sent: Micros,
-    /// When it times out.
+    /// When the attempt times out.
     pub until: Micros,
 }
 
-/// News of an attempt that is out.
+/// The progress of an attempt that is in flight.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Note {
-    /// It runs; about this share of it is done.
+    /// It is running, and about this fraction of it is done.
     Progress(f64),
-    /// It spills to disk, short of this many megabytes.
+    /// It spills to disk because it lacks this many megabytes.
     Spills(f64),
-    /// It stands in the engine's line for memory.
+    /// It waits in the engine's queue for memory.
     WaitsForMemory,
-    /// It stands still while a load holds its group.
+    /// It waits for a load that holds its group of tables.
     WaitsForLoad,
 }
 
-/// How a list of engines is to be read.
+/// How the entries of a list of engines are to be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// Only what has changed.
+    /// Only the entries that have changed.
     Changes,
     /// The whole list.
     Whole,
-    /// The whole list as it was last had; maybe old.
+    /// A saved copy of the whole list, which may be out of date.
     WarmCopy,
-    /// A call for the list or the subscription failed; the old list stands.
+    /// A request for the list or the subscription failed; the previous list remains valid.
     Lost,
 }
 
-/// Something that has happened.
+/// An input to the decision module: something that has happened.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// News of the list of engines.
+    /// An update of the list of engines.
     Engines {
         /// How to read the entries.
         kind: ListKind,
@@ -406,39 +416,42 @@
     },
     /// A client sent a request.
     Request(Request),
-    /// This gateway goes on with a request that another one took, whose quota and first try were counted there. What has
-    /// waited is admitted anew, within the time that is left.
+    /// This gateway takes over a request that another one accepted, which has already counted its quota and
+    /// first attempt. A request that was still waiting goes through admission again, with the time that is
+    /// left.
     Adopted {
         /// The request, under an id of this gateway.
         request: Request,
-        /// Attempts that all its holders have spent, the one that is out included. Of all others nothing is known here: any
-        /// may have run.
+        /// The number of attempts that all previous gateways have made, including the one in flight. Any of
+        /// the others may have run: nothing is known of them here.
         attempts: u32,
-        /// The attempt that is out. Where its engine is not known here or gone it counts as broken: the host lets go of it.
+        /// The attempt in flight. If its engine is unknown here or removed, the attempt counts as failed, and
+        /// the host drops it.
         out: Option<AdoptedAttempt>,
     },
-    /// The client has left, or the answer is overdue: nothing more is owed.
+    /// The client has disconnected or its deadline has passed: it needs no answer any more.
     Lapsed(RequestId),
     /// An attempt has ended.
     Answer(Answer),
-    /// An engine tells how an attempt gets on.
+    /// An engine reports the progress of an attempt.
     Note {
         /// The request.
         id: RequestId,
-        /// Which of its attempts, from 0.
+        /// The number of the attempt, from 0.
         attempt: u32,
-        /// The news.
+        /// The progress.
         note: Note,
     },
-    /// A streamed answer has begun: the attempt belongs to the client.
+    /// A streamed answer has begun: the request stays with this attempt, since the client already has part of
+    /// its answer.
     Streaming(RequestId),
-    /// A probe has come back.
+    /// The result of a probe.
     Probed {
-        /// The engine probed.
+        /// The engine that was probed.
         engine: EngineId,
-        /// It answered well.
+        /// The engine answered that it is healthy.
         ok: bool,
-        /// Its load, where told.
+        /// The engine's load, where reported.
         load: Load,
     },
     /// A message from another gateway.
@@ -448,39 +461,44 @@
         /// The message.
         text: String,
     },
-    /// This gateway's part of the fleet, from who lives and what they are asked for; without it, `1 / gateways`. Cold engines
-    /// are met by that at most.
+    /// The fraction of the fleet's capacity that this gateway may use, derived from the live gateways and
+    /// their demand. Until this event comes it is `1 / gateways`, which also remains the upper limit for cold
+    /// engines.
     FleetShare(f64),
-    /// The parts of each class's requests that are let in from now on, by place; 1 where not told. They come from what was
-    /// projected for a loss, so that nobody finds out by overload what has to be refused. What has a pin, and what was
-    /// adopted, is always let in.
+    /// The fraction of requests to admit from now on, indexed by class; 1 where the list ends early. It is
+    /// computed ahead of a loss of capacity, so that after one the excess is refused at once and not only when
+    /// engines are overloaded. Pinned and adopted requests are always admitted.
     AdmitFractions {
-        /// Of this gateway's own clients.
+        /// For this gateway's own clients.
         own: Vec<f64>,
-        /// Of guests, whose own gateways are gone.
+        /// For guests, whose own gateways have failed.
         guests: Vec<f64>,
-        /// How long a client that is turned away should stay away at least, before it is spread; as far as advice is allowed.
+        /// The shortest `retry_after` of a refusal, before it is randomised; still limited by
+        /// [`Settings::max_retry_after`].
         min_retry_after: Micros,
     },
-    /// A guest sent a request: a client whose own gateways are gone. It is a [`Event::Request`] but for its part.
+    /// A request of a guest, that is of a client whose own gateways have failed. It differs from
+    /// [`Event::Request`] only in the fraction of [`Event::AdmitFractions`] that applies.
     Guest(Request),
-    /// New rules in place of those of the settings, which they name one for one. What waits where it may not go any more is
-    /// placed again; what is out goes on.
+    /// Replaces these parts of the settings; the numbers of classes and of tenants must stay the same.
+    /// Requests that wait for an engine that they may no longer use are placed again; attempts in flight go
+    /// on.
     Rules {
-        /// Classes.
+        /// The classes of requests.
         classes: Vec<Class>,
-        /// Tenants.
+        /// The tenants.
         tenants: Vec<Tenant>,
-        /// Attempts a request may have.
+        /// The largest number of attempts of one request.
         attempts_cap: u32,
         /// The budget of further attempts.
         budget: Option<AttemptBudget>,
     },
-    /// A timer asked for by [`Action::Arm`] has come.
+    /// A timer set by [`Action::Arm`] has expired; carries its handle.
     Elapsed(u64),
 }
 
-/// Something that the host is to do, in the order given.
+/// An output of the decision module: something that the host must do. Actions are carried out in the order
+/// given.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send the next attempt of a request to an engine.
@@ -489,49 +507,49 @@
         id: RequestId,
         /// The engine.
         engine: EngineId,
-        /// When the attempt times out (a time, not a span).
+        /// When the attempt times out: a point in time, not a duration.
         until: Micros,
     },
-    /// Terms of the request's next attempts.
+    /// The memory grant and priority of the request's next attempts.
     Terms {
         /// The request.
         id: RequestId,
-        /// Memory granted; 0 leaves it to the engine.
+        /// The memory granted; 0 leaves the amount to the engine.
         memory_mb: f64,
-        /// Priority, 0 to 3.
+        /// The priority, from 0 to 3.
         rank: u8,
     },
-    /// Refuse: a further try is harmless.
+    /// Refuse the request: a retry by the client is harmless.
     Refuse {
         /// The request.
         id: RequestId,
-        /// How long the client should stay away; 0 for no advice.
+        /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Micros,
     },
-    /// Fail: it is not said whether it ran.
+    /// Fail the request: whether it ran is unknown.
     Fail(RequestId),
-    /// Withdraw an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         id: RequestId,
-        /// Which attempt.
+        /// The number of the attempt.
         attempt: u32,
     },
-    /// Check an engine.
+    /// Check the health of an engine.
     Probe(EngineId),
-    /// Tell all other gateways.
+    /// Send a message to all other gateways.
     Broadcast(String),
-    /// Ask for [`Event::Elapsed`] after a span.
+    /// Set a timer that comes back as [`Event::Elapsed`].
     Arm {
-        /// Comes back with the event.
+        /// The handle, returned with the event.
         handle: u64,
-        /// The span.
+        /// The time from now.
         span: Micros,
     },
     /// Subscribe to the list of engines.
     Subscribe,
-    /// Ask for the whole list once.
+    /// Request the whole list of engines once.
     FetchList,
-    /// A line for the host's log.
+    /// Write a line to the host's log.
     Log(String),
 }
