--- a/src/api.rs
+++ b/src/api.rs
@@ -466,8 +466,8 @@
     /// engines.
     FleetShare(f64),
     /// The fraction of requests to admit from now on, indexed by class; 1 where the list ends early. It is
-    /// computed ahead of a loss of capacity, so that after one the excess is refused at once and not only when
-    /// engines are overloaded. Pinned and adopted requests are always admitted.
+    /// computed ahead of a loss of capacity, so that after one the excess is refused at once and not only
+    /// when engines are overloaded. Pinned and adopted requests are always admitted.
     AdmitFractions {
         /// For this gateway's own clients.
         own: Vec<f64>,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -116,6 +116,6 @@
     }
 
     fn quarantined_engines(&self) -> Vec<EngineId> {
-        self.engines.iter().filter(|(_, e)| e.sick.is_some()).map(|(id, _)| *id).collect()
+        self.engines.iter().filter(|(_, e)| e.quarantine.is_some()).map(|(id, _)| *id).collect()
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,321 +1,350 @@
-//! What the module keeps between events: plain data and bookkeeping, no decision and no tuned value.
+//! The state that the decision module keeps between events, and its bookkeeping. Decisions and their
+//! constants are in `src/logic`.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::api::*;
 
-/// Two decayed averages whose ratio is learned.
+/// The ratio of two exponentially decayed averages.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Ratio {
-    truth: f64,
-    told: f64,
-    /// Decayed count, against the most that `weight` lets it reach.
+pub(crate) struct DecayedRatio {
+    numerator: f64,
+    denominator: f64,
+    /// The decayed number of samples, which approaches `1 / weight`.
     pub samples: f64,
 }
 
-impl Ratio {
-    pub fn learn(&mut self, truth: f64, told: f64, weight: f64) {
-        self.truth += truth - weight * self.truth;
-        self.told += told - weight * self.told;
+impl DecayedRatio {
+    pub fn add_sample(&mut self, numerator: f64, denominator: f64, weight: f64) {
+        self.numerator += numerator - weight * self.numerator;
+        self.denominator += denominator - weight * self.denominator;
         self.samples += 1.0 - weight * self.samples;
     }
 
-    pub fn get(&self) -> Option<f64> {
-        (self.told > 0.0).then(|| self.truth / self.told)
+    pub fn value(&self) -> Option<f64> {
+        (self.denominator > 0.0).then(|| self.numerator / self.denominator)
     }
 
-    /// Its own value, leaning on `other` as if that were `lean` samples.
-    pub fn leaning(&self, other: f64, lean: f64) -> f64 {
-        (self.get().unwrap_or(other) * self.samples + other * lean) / (self.samples + lean)
+    /// The ratio averaged with `prior`, which counts as much as `prior_samples` samples.
+    pub fn blended_with(&self, prior: f64, prior_samples: f64) -> f64 {
+        (self.value().unwrap_or(prior) * self.samples + prior * prior_samples)
+            / (self.samples + prior_samples)
     }
 }
 
-/// What is learned of a class over all engines.
+/// Statistics of a class over all engines.
 #[derive(Clone, Default)]
-pub(crate) struct Learned {
-    pub k: Ratio,
-    /// Latency × threads against true work.
-    pub slow: Ratio,
+pub(crate) struct ClassStats {
+    /// Actual work divided by estimated work.
+    pub cost_ratio: DecayedRatio,
+    /// Latency × threads divided by actual work.
+    pub slowdown: DecayedRatio,
     /// The average work of a query.
-    pub usual: Ratio,
-    /// Where no cost is told: latency × threads against the estimate, and the least of it.
-    pub pace: Ratio,
-    pub best_pace: Option<f64>,
-    /// Logarithm of memory granted against estimated.
-    pub grant: f64,
-    /// Decayed work and worth asked for.
-    pub asked: f64,
-    pub worth: f64,
+    pub mean_work: DecayedRatio,
+    /// Where engines do not report the work: latency × threads divided by the estimate.
+    pub latency_ratio: DecayedRatio,
+    /// The smallest value of `latency_ratio`.
+    pub best_latency_ratio: Option<f64>,
+    /// The natural logarithm of the memory granted divided by the memory estimated.
+    pub log_grant_ratio: f64,
+    /// Decayed averages of the work and the worth requested, per request of any class.
+    pub demanded_work: f64,
+    pub demanded_worth: f64,
 }
 
-pub(crate) struct Engine {
+pub(crate) struct EngineState {
     pub entry: EngineEntry,
-    /// When its connections last broke; 0 if the list has named a start since.
-    pub started: Micros,
-    /// Debt of each class, and how far it is drained.
+    /// When its connections last broke, so that its process may have restarted; 0 if the list has reported a
+    /// newer start since.
+    pub disconnected_at: Micros,
+    /// The debt of each class: predicted work sent to or queued for this engine that has not drained yet, as
+    /// the level of a leaky bucket.
     pub debt: Vec<f64>,
+    /// The time up to which the debt has been drained.
     pub drained_at: Micros,
-    /// Predicted work of each class that waits or runs here.
-    pub standing: Vec<f64>,
-    pub k: Vec<Ratio>,
-    pub slow: Ratio,
-    /// Threads for each core of this gateway's share.
-    pub width: f64,
-    pub stepped_at: Micros,
-    pub pressed: bool,
-    /// Predicted work of what waits here.
-    pub waiting: f64,
-    /// What waits, earliest deadline first.
-    pub line: BTreeSet<(Micros, RequestId)>,
+    /// The predicted work of each class that is queued for or in flight on this engine.
+    pub unfinished_work: Vec<f64>,
+    /// Actual work divided by estimated work, by class.
+    pub cost_ratio: Vec<DecayedRatio>,
+    pub slowdown: DecayedRatio,
+    /// The limit of threads for each core of this gateway's share of the engine.
+    pub threads_per_core: f64,
+    pub limit_changed_at: Micros,
+    /// A request had to wait for this engine since the limit was last adjusted.
+    pub limit_reached: bool,
+    /// The predicted work of the requests in `queue`.
+    pub queued_work: f64,
+    /// Requests that wait for this engine, earliest soft deadline first.
+    pub queue: BTreeSet<(Micros, RequestId)>,
+    /// Threads and memory of this gateway's attempts in flight on the engine.
     pub threads: f64,
     pub memory: f64,
-    /// Work given up on that may still run: until when, threads, memory.
-    pub ghosts: Vec<(Micros, f64, f64)>,
-    pub warm: VecDeque<GroupId>,
-    pub heard_at: Micros,
-    /// The load that it last reported, and when that came.
-    pub load: Option<(f64, Micros)>,
-    pub fails: f64,
-    pub probing: bool,
-    /// It has been silent, and the probe that is out decides.
-    pub suspect: bool,
-    pub sick: Option<Sick>,
-    /// Sends to it of late, which count once it turns out to be cold: when, their weight and class.
-    pub recent: VecDeque<(Micros, f64, usize)>,
+    /// Attempts that timed out but may still run: until when they count, their threads and memory.
+    pub abandoned: Vec<(Micros, f64, f64)>,
+    /// The groups of tables that were last read here, latest first.
+    pub warm_groups: VecDeque<GroupId>,
+    pub last_heard_at: Micros,
+    /// The load that it last reported, and when the report came.
+    pub reported_load: Option<(f64, Micros)>,
+    /// The decayed fraction of attempts that failed.
+    pub failure_rate: f64,
+    pub probe_in_flight: bool,
+    /// It has been silent, and the result of the probe in flight decides whether it is quarantined.
+    pub suspected: bool,
+    /// Set while the engine gets no requests because it seems sick.
+    pub quarantine: Option<Quarantine>,
+    /// Recent sends, which count against its capacity if it turns out to be cold: time, weight and class.
+    pub recent_sends: VecDeque<(Micros, f64, usize)>,
 }
 
-impl Engine {
-    pub fn new(entry: EngineEntry, classes: usize, width: f64, now: Micros) -> Self {
-        Engine {
+impl EngineState {
+    pub fn new(entry: EngineEntry, classes: usize, threads_per_core: f64, now: Micros) -> Self {
+        EngineState {
             entry,
-            started: 0,
+            disconnected_at: 0,
             debt: vec![0.0; classes],
             drained_at: now,
-            standing: vec![0.0; classes],
-            k: vec![Ratio::default(); classes],
-            slow: Ratio::default(),
-            width,
-            stepped_at: now,
-            pressed: false,
-            waiting: 0.0,
-            line: BTreeSet::new(),
+            unfinished_work: vec![0.0; classes],
+            cost_ratio: vec![DecayedRatio::default(); classes],
+            slowdown: DecayedRatio::default(),
+            threads_per_core,
+            limit_changed_at: now,
+            limit_reached: false,
+            queued_work: 0.0,
+            queue: BTreeSet::new(),
             threads: 0.0,
             memory: 0.0,
-            ghosts: Vec::new(),
-            warm: VecDeque::new(),
-            heard_at: now,
-            load: None,
-            fails: 0.0,
-            probing: false,
-            suspect: false,
-            sick: None,
-            recent: VecDeque::new(),
+            abandoned: Vec::new(),
+            warm_groups: VecDeque::new(),
+            last_heard_at: now,
+            reported_load: None,
+            failure_rate: 0.0,
+            probe_in_flight: false,
+            suspected: false,
+            quarantine: None,
+            recent_sends: VecDeque::new(),
         }
     }
 
-    /// Listed up and not left alone.
-    pub fn is_well(&self) -> bool {
-        self.sick.is_none() && self.entry.listed == Listed::Up
+    /// Listed as up and not quarantined.
+    pub fn is_usable(&self) -> bool {
+        self.quarantine.is_none() && self.entry.listed == Listed::Up
     }
 
     pub fn total_debt(&self) -> f64 {
         self.debt.iter().sum()
     }
 
-    /// Threads and memory held by what runs here, ghosts among them.
-    pub fn held(&self) -> (f64, f64) {
-        self.ghosts.iter().fold((self.threads, self.memory), |sum, g| (sum.0 + g.1, sum.1 + g.2))
+    /// Threads and memory held here by attempts in flight and by abandoned ones.
+    pub fn held_resources(&self) -> (f64, f64) {
+        self.abandoned.iter().fold((self.threads, self.memory), |sum, a| (sum.0 + a.1, sum.1 + a.2))
     }
 
-    pub fn charge(&mut self, class: ClassId, cost: f64) {
-        self.debt[class.0] += cost;
-        self.standing[class.0] += cost;
+    pub fn charge(&mut self, class: ClassId, work: f64) {
+        self.debt[class.0] += work;
+        self.unfinished_work[class.0] += work;
     }
 
-    pub fn discharge(&mut self, class: ClassId, cost: f64) {
-        self.debt[class.0] = (self.debt[class.0] - cost).max(0.0);
-        self.standing[class.0] = (self.standing[class.0] - cost).max(0.0);
+    pub fn discharge(&mut self, class: ClassId, work: f64) {
+        self.debt[class.0] = (self.debt[class.0] - work).max(0.0);
+        self.unfinished_work[class.0] = (self.unfinished_work[class.0] - work).max(0.0);
     }
 
-    /// An attempt starts here; of the groups read, the `keep` last are remembered.
-    pub fn start(&mut self, flight: &Flight, keep: usize) {
-        self.threads += flight.threads;
-        self.memory += flight.memory;
-        self.warm.retain(|&g| g != flight.request.group);
-        self.warm.push_front(flight.request.group);
-        self.warm.truncate(keep);
+    /// Records that an attempt starts here. The last `max_warm_groups` groups read here are remembered.
+    pub fn attempt_started(&mut self, attempt: &Attempt, max_warm_groups: usize) {
+        self.threads += attempt.threads;
+        self.memory += attempt.memory;
+        self.warm_groups.retain(|&g| g != attempt.request.group);
+        self.warm_groups.push_front(attempt.request.group);
+        self.warm_groups.truncate(max_warm_groups);
     }
 
-    /// An attempt has ended here.
-    pub fn finish(&mut self, flight: &Flight) {
-        let standing = &mut self.standing[flight.request.class.0];
-        *standing = (*standing - flight.cost).max(0.0);
-        self.threads = (self.threads - flight.threads).max(0.0);
-        self.memory = (self.memory - flight.memory).max(0.0);
+    /// Records that an attempt has ended here.
+    pub fn attempt_finished(&mut self, attempt: &Attempt) {
+        let unfinished = &mut self.unfinished_work[attempt.request.class.0];
+        *unfinished = (*unfinished - attempt.charged_work).max(0.0);
+        self.threads = (self.threads - attempt.threads).max(0.0);
+        self.memory = (self.memory - attempt.memory).max(0.0);
     }
 
-    /// Its process may have started anew, whatever the list says so far.
-    pub fn broke_off(&mut self, now: Micros) {
-        self.started = now;
-        self.warm.clear();
-        self.load = None;
-        self.slow = Ratio::default();
+    /// Records that its connections broke: its process may have restarted, even if the list does not say so
+    /// yet.
+    pub fn connection_lost(&mut self, now: Micros) {
+        self.disconnected_at = now;
+        self.warm_groups.clear();
+        self.reported_load = None;
+        self.slowdown = DecayedRatio::default();
     }
 
-    /// Forgets what held for the process before.
-    pub fn restart(&mut self) {
-        self.warm.clear();
-        self.fails = 0.0;
-        self.sick = None;
-        self.load = None;
-        self.slow = Ratio::default();
+    /// Discards what was known of its previous process.
+    pub fn process_restarted(&mut self) {
+        self.warm_groups.clear();
+        self.failure_rate = 0.0;
+        self.quarantine = None;
+        self.reported_load = None;
+        self.slowdown = DecayedRatio::default();
     }
 }
 
-/// How an engine that is left alone gets back.
-pub(crate) struct Sick {
-    /// Good trials in a row.
-    pub good: u32,
-    pub wait: Micros,
-    pub next: Micros,
-    pub trial: Option<RequestId>,
-    /// A request may try it.
-    pub ready: bool,
+/// The state of a quarantined engine, which gets back into use by successful trials.
+pub(crate) struct Quarantine {
+    /// Successful trials in a row.
+    pub successes: u32,
+    /// The time between two trials.
+    pub interval: Micros,
+    pub next_trial_at: Micros,
+    /// The request that is sent as the current trial.
+    pub trial_request: Option<RequestId>,
+    /// A request may be sent to it as a trial.
+    pub accepts_trial: bool,
 }
 
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum Place {
-    /// Waits for its key's turn.
-    Parked,
-    Line(EngineId),
-    Out,
-    /// Its stream belongs to the client.
-    Bound,
+pub(crate) enum RequestState {
+    /// Not assigned to an engine; waits for the turn of its order key.
+    Waiting,
+    /// In the queue of an engine.
+    Queued(EngineId),
+    /// Its latest attempt is in flight.
+    InFlight,
+    /// Its answer is being streamed to the client.
+    Streaming,
 }
 
 /// A request that is not over.
-pub(crate) struct Open {
+pub(crate) struct OpenRequest {
     pub request: Request,
-    pub place: Place,
-    /// When its worth falls.
-    pub goal: Micros,
-    pub over_share: bool,
+    pub state: RequestState,
+    /// When its worth falls to that of a late answer.
+    pub soft_deadline: Micros,
+    /// It is beyond its tenant's quota.
+    pub over_quota: bool,
+    /// The number of attempts made so far.
     pub attempts: u32,
-    /// The first attempt that may have run: its number, zone, cell, and when it was sent.
-    pub maybe: Option<(u32, ZoneId, CellId, Micros)>,
-    /// Another gateway took it.
+    /// The first attempt that may have run: its number, zone and cell, and when it was sent.
+    pub first_uncertain: Option<(u32, ZoneId, CellId, Micros)>,
+    /// It was taken over from another gateway.
     pub adopted: bool,
-    /// Others spent attempts of which nothing is known: any may have run, anywhere, at any time.
-    pub unknown: bool,
-    /// The engine of the last failed attempt.
-    pub avoid: Option<EngineId>,
-    /// What it has added to the debt of its engine.
-    pub charged: f64,
+    /// Other gateways made attempts of which nothing is known: each may have run, on any engine, at any time.
+    pub has_unknown_attempts: bool,
+    /// The engine of the last attempt that ended without completing the request.
+    pub last_failed_on: Option<EngineId>,
+    /// The predicted work that it has added to the debt of the engine it is queued for.
+    pub charged_work: f64,
 }
 
-impl Open {
-    pub fn new(request: Request, goal: Micros, over_share: bool) -> Self {
-        Open {
+impl OpenRequest {
+    pub fn new(request: Request, soft_deadline: Micros, over_quota: bool) -> Self {
+        OpenRequest {
             request,
-            place: Place::Parked,
-            goal,
-            over_share,
+            state: RequestState::Waiting,
+            soft_deadline,
+            over_quota,
             attempts: 0,
-            maybe: None,
+            first_uncertain: None,
             adopted: false,
-            unknown: false,
-            avoid: None,
-            charged: 0.0,
+            has_unknown_attempts: false,
+            last_failed_on: None,
+            charged_work: 0.0,
         }
     }
 
     pub fn may_have_run(&self) -> bool {
-        self.unknown || self.maybe.is_some()
+        self.has_unknown_attempts || self.first_uncertain.is_some()
     }
 
     pub fn waits(&self) -> bool {
-        matches!(self.place, Place::Parked | Place::Line(_))
+        matches!(self.state, RequestState::Waiting | RequestState::Queued(_))
     }
 }
 
-/// An attempt that is out.
-pub(crate) struct Flight {
+/// An attempt in flight.
+pub(crate) struct Attempt {
     pub engine: EngineId,
     pub request: Request,
-    pub sent: Micros,
-    /// Another gateway sent it: when this one began to wait for it.
-    pub adopted: Option<Micros>,
-    pub until: Micros,
-    pub cost: f64,
+    pub sent_at: Micros,
+    /// When this gateway took it over, if another one sent it.
+    pub adopted_at: Option<Micros>,
+    pub timeout_at: Micros,
+    /// The predicted work that it has added to the debt of its engine.
+    pub charged_work: f64,
     pub memory: f64,
     pub threads: f64,
-    /// How long it should take.
-    pub usual: f64,
+    /// How long it is expected to take, in microseconds.
+    pub expected_duration: f64,
     pub cancelled: bool,
-    /// It stands in the engine's line for memory.
-    pub waits: bool,
-    /// The first note of progress: when, and the share done.
-    pub seen: Option<(Micros, f64)>,
+    /// It waits in the engine's queue for memory.
+    pub waits_for_memory: bool,
+    /// The first progress note: its time and the fraction done.
+    pub first_progress: Option<(Micros, f64)>,
 }
 
-impl Flight {
-    /// An attempt of `open` on `engine` from one time to another, with its threads and memory.
-    pub fn new(open: &Open, engine: EngineId, span: (Micros, Micros), holds: (f64, f64), usual: f64) -> Self {
-        Flight {
+impl Attempt {
+    /// An attempt of `open` on `engine`. `period` is its start and time-out, `holds` its threads and memory.
+    pub fn new(
+        open: &OpenRequest,
+        engine: EngineId,
+        period: (Micros, Micros),
+        holds: (f64, f64),
+        expected_duration: f64,
+    ) -> Self {
+        Attempt {
             engine,
             request: open.request.clone(),
-            sent: span.0,
-            adopted: None,
-            until: span.1,
-            cost: open.charged,
+            sent_at: period.0,
+            adopted_at: None,
+            timeout_at: period.1,
+            charged_work: open.charged_work,
             memory: holds.1,
             threads: holds.0,
-            usual,
+            expected_duration,
             cancelled: false,
-            waits: false,
-            seen: None,
+            waits_for_memory: false,
+            first_progress: None,
         }
     }
 
-    /// Takes a note down; how long it still needs at the pace seen so far, where that can be told.
-    pub fn note(&mut self, note: Note, now: Micros) -> Option<f64> {
+    /// Records a progress note. Returns the remaining time at the pace seen so far, in microseconds; infinity
+    /// while the attempt makes no progress and `None` if it can't be told.
+    pub fn record_note(&mut self, note: Note, now: Micros) -> Option<f64> {
         let done = match note {
             Note::Spills(_) => return None,
             Note::WaitsForLoad => return Some(f64::INFINITY),
             Note::WaitsForMemory => {
-                self.waits = true;
+                self.waits_for_memory = true;
                 return Some(f64::INFINITY);
             }
-            Note::Progress(done) => finite(done, 0.0, 1.0),
+            Note::Progress(done) => clamp_finite(done, 0.0, 1.0),
         };
-        let from = self.seen.or((!self.waits).then_some((self.sent, 0.0)));
-        self.waits = false;
-        self.seen = self.seen.or(Some((now, done)));
-        let (at, before) = from?;
-        Some((1.0 - done) * now.saturating_sub(at) as f64 / (done - before).max(1e-6))
+        // Time spent waiting for memory says nothing of the pace, so after it the first note is the start.
+        let start = self.first_progress.or((!self.waits_for_memory).then_some((self.sent_at, 0.0)));
+        self.waits_for_memory = false;
+        self.first_progress = self.first_progress.or(Some((now, done)));
+        let (start_time, start_done) = start?;
+        Some((1.0 - done) * now.saturating_sub(start_time) as f64 / (done - start_done).max(1e-6))
     }
 }
 
-/// The handle of the tick's timer.
+/// The handle of the timer that drives the periodic work.
 pub(crate) const TICK_HANDLE: u64 = 0;
 
-/// The turns of a key.
+/// The requests of one order key, in the order in which they run.
 #[derive(Default)]
-pub(crate) struct Turns {
+pub(crate) struct KeyQueue {
     pub queue: VecDeque<RequestId>,
-    pub rest_until: Micros,
+    pub blocked_until: Micros,
 }
 
 impl Effect {
-    /// A repeat on any engine does no harm.
-    pub(crate) fn repeats_anywhere(&self) -> bool {
+    /// Whether a repeat is harmless on any engine.
+    pub(crate) fn is_repeatable_anywhere(&self) -> bool {
         matches!(self, Effect::Repeatable | Effect::Keyed { scope: KeyScope::All, .. })
     }
 }
 
 impl KeyScope {
-    /// The engine drops repeats of what first went to that zone and cell.
-    pub(crate) fn holds(self, entry: &EngineEntry, zone: ZoneId, cell: CellId) -> bool {
+    /// Whether the engine drops repeats of a request that was first sent to that zone and cell.
+    pub(crate) fn covers(self, entry: &EngineEntry, zone: ZoneId, cell: CellId) -> bool {
         match self {
             KeyScope::All => true,
             KeyScope::Zone => entry.zone == zone,
@@ -324,82 +353,90 @@
     }
 }
 
-/// What the guard says of a dispatch: yes, not now, or not on this engine.
+/// Whether a request may be sent to an engine.
 #[derive(PartialEq)]
-pub(crate) enum Leave {
-    Yes,
-    Later,
-    No,
+pub(crate) enum Verdict {
+    Allow,
+    NotNow,
+    /// Not to this engine.
+    NotHere,
 }
 
-/// The decisions of one query gateway. What it decides stands in `src/logic`.
+/// The decision module of one query gateway. The decisions themselves are in `src/logic`.
 pub struct Gateway {
     pub(crate) settings: Settings,
     pub(crate) now: Micros,
-    pub(crate) rng: u64,
-    pub(crate) ticking: bool,
-    /// When this gateway last came back from a stall.
-    pub(crate) awake: Micros,
-    pub(crate) asked_at: Option<Micros>,
-    /// The least slowness seen, and that of late, over all engines.
-    pub(crate) best_slow: f64,
-    pub(crate) slow: Ratio,
-    /// Threads for each core of this gateway's share of the fleet.
-    pub(crate) width: f64,
-    pub(crate) stepped_at: Micros,
-    pub(crate) pressed: bool,
-    /// Looked up once for each event: the median slowness of engines, the fleet's cores for this gateway.
-    pub(crate) usual_slow: f64,
-    pub(crate) fleet_cores: f64,
-    pub(crate) fleet_memory: f64,
-    /// The load reported of late, over all engines.
-    pub(crate) usual_load: f64,
-    /// The part of the fleet that was told.
-    pub(crate) part: Option<f64>,
-    /// The parts of own clients' and of guests' requests that are let in, by class, and how long others are to stay away.
-    pub(crate) kept: [Vec<f64>; 2],
-    pub(crate) back: Micros,
-    pub(crate) learned: Vec<Learned>,
-    /// Each tenant's tokens, and when they were last filled up.
-    pub(crate) tokens: Vec<(f64, Micros)>,
-    pub(crate) engines: BTreeMap<EngineId, Engine>,
-    pub(crate) open: BTreeMap<RequestId, Open>,
-    pub(crate) flights: BTreeMap<(RequestId, u32), Flight>,
-    pub(crate) keys: BTreeMap<OrderKey, Turns>,
-    /// When requests were taken and further attempts sent, as far back as the budget looks.
-    pub(crate) taken: VecDeque<Micros>,
-    pub(crate) extras: VecDeque<Micros>,
+    pub(crate) rng_state: u64,
+    /// The tick timer is set.
+    pub(crate) timer_set: bool,
+    /// When this process last resumed after a stall.
+    pub(crate) resumed_at: Micros,
+    /// When the list of engines was last requested.
+    pub(crate) list_requested_at: Option<Micros>,
+    /// The smallest value of `slowdown`.
+    pub(crate) best_slowdown: f64,
+    /// The recent slowdown over all engines: latency × threads divided by actual work.
+    pub(crate) slowdown: DecayedRatio,
+    /// The limit of threads for each core of this gateway's share of the fleet.
+    pub(crate) threads_per_core: f64,
+    pub(crate) limit_changed_at: Micros,
+    /// A request had to wait for the fleet since the limit was last adjusted.
+    pub(crate) limit_reached: bool,
+    /// The median slowdown of the engines. This and the next two are refreshed by events, not by ticks.
+    pub(crate) median_slowdown: f64,
+    /// Cores and memory of the fleet that this gateway may use.
+    pub(crate) usable_cores: f64,
+    pub(crate) usable_memory: f64,
+    /// The average of recently reported loads over all engines.
+    pub(crate) mean_load: f64,
+    /// The fraction of the fleet's capacity that the host has assigned to this gateway.
+    pub(crate) assigned_share: Option<f64>,
+    /// The fractions of own clients' and of guests' requests to admit, by class.
+    pub(crate) admit_fractions: [Vec<f64>; 2],
+    pub(crate) min_retry_after: Micros,
+    pub(crate) class_stats: Vec<ClassStats>,
+    /// The token bucket of each tenant, and when it was last refilled.
+    pub(crate) tenant_tokens: Vec<(f64, Micros)>,
+    pub(crate) engines: BTreeMap<EngineId, EngineState>,
+    pub(crate) open_requests: BTreeMap<RequestId, OpenRequest>,
+    /// Attempts in flight by request and number.
+    pub(crate) in_flight: BTreeMap<(RequestId, u32), Attempt>,
+    pub(crate) key_queues: BTreeMap<OrderKey, KeyQueue>,
+    /// When requests were accepted, as far back as the window of the attempt budget.
+    pub(crate) arrivals: VecDeque<Micros>,
+    /// When attempts beyond a request's first were sent, as far back as the window of the attempt budget.
+    pub(crate) further_attempts: VecDeque<Micros>,
 }
 
 impl Gateway {
-    pub(crate) fn empty(settings: Settings, seed: u64) -> Self {
+    pub(crate) fn with_initial_state(settings: Settings, seed: u64) -> Self {
         Gateway {
-            learned: vec![Learned::default(); settings.classes.len()],
-            tokens: vec![(f64::INFINITY, 0); settings.tenants.len()],
+            class_stats: vec![ClassStats::default(); settings.classes.len()],
+            tenant_tokens: vec![(f64::INFINITY, 0); settings.tenants.len()],
             settings,
             now: 0,
-            rng: seed,
-            ticking: false,
-            awake: 0,
-            asked_at: None,
-            best_slow: f64::INFINITY,
-            slow: Ratio::default(),
-            width: 1.0,
-            stepped_at: 0,
-            pressed: false,
-            usual_slow: 1.0,
-            fleet_cores: 0.0,
-            fleet_memory: 0.0,
-            usual_load: 0.0,
-            part: None,
-            kept: Default::default(),
-            back: 0,
+            rng_state: seed,
+            timer_set: false,
+            resumed_at: 0,
+            list_requested_at: None,
+            best_slowdown: f64::INFINITY,
+            slowdown: DecayedRatio::default(),
+            threads_per_core: 1.0,
+            limit_changed_at: 0,
+            limit_reached: false,
+            median_slowdown: 1.0,
+            usable_cores: 0.0,
+            usable_memory: 0.0,
+            mean_load: 0.0,
+            assigned_share: None,
+            admit_fractions: Default::default(),
+            min_retry_after: 0,
             engines: BTreeMap::new(),
-            open: BTreeMap::new(),
-            flights: BTreeMap::new(),
-            keys: BTreeMap::new(),
-            taken: VecDeque::new(),
-            extras: VecDeque::new(),
+            open_requests: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
+            key_queues: BTreeMap::new(),
+            arrivals: VecDeque::new(),
+            further_attempts: VecDeque::new(),
         }
     }
 
@@ -411,305 +448,332 @@
         f64::from(self.class(request).threads.max(1))
     }
 
-    pub(crate) fn cores(&self, e: &Engine) -> f64 {
-        finite(self.settings.kinds.get(e.entry.kind.0).map_or(1.0, |k| k.cores), 1.0, 4096.0)
+    pub(crate) fn cores(&self, state: &EngineState) -> f64 {
+        clamp_finite(self.settings.kinds.get(state.entry.kind.0).map_or(1.0, |k| k.cores), 1.0, 4096.0)
     }
 
-    pub(crate) fn is_out(&self, id: RequestId) -> bool {
-        self.flights.range((id, 0)..=(id, u32::MAX)).next().is_some()
+    pub(crate) fn is_in_flight(&self, id: RequestId) -> bool {
+        self.in_flight.range((id, 0)..=(id, u32::MAX)).next().is_some()
     }
 
-    /// A random draw (splitmix64).
-    pub(crate) fn draw(&mut self) -> u64 {
-        self.rng = self.rng.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        mix(self.rng)
+    /// The next number of the seeded random generator (splitmix64).
+    pub(crate) fn next_random(&mut self) -> u64 {
+        self.rng_state = self.rng_state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        mix_bits(self.rng_state)
     }
 
-    pub(crate) fn memory(&self, e: &Engine) -> f64 {
-        self.settings.kinds.get(e.entry.kind.0).map_or(0.0, |k| k.memory_mb)
+    pub(crate) fn memory(&self, state: &EngineState) -> f64 {
+        self.settings.kinds.get(state.entry.kind.0).map_or(0.0, |k| k.memory_mb)
     }
 
-    pub(crate) fn sick(&mut self, engine: EngineId) -> Option<&mut Sick> {
-        self.engines.get_mut(&engine)?.sick.as_mut()
+    pub(crate) fn quarantine_mut(&mut self, engine: EngineId) -> Option<&mut Quarantine> {
+        self.engines.get_mut(&engine)?.quarantine.as_mut()
     }
 
-    /// A load stands still while another holds its group there, and so do classes that wait for loads.
-    pub(crate) fn is_blocked(&self, open: &Open, engine: EngineId) -> bool {
+    /// Whether the request would have to wait on the engine for a load that holds its group of tables. Loads
+    /// wait for each other, and so do the classes with [`Class::waits_for_loads`].
+    pub(crate) fn is_blocked_by_load(&self, open: &OpenRequest, engine: EngineId) -> bool {
         let class = self.class(&open.request);
         let waits = class.is_load || class.waits_for_loads;
         let group = open.request.group;
-        let is_load = |f: &Flight| self.class(&f.request).is_load;
-        let holds = |f: &Flight| f.engine == engine && f.request.group == group && is_load(f);
-        waits && self.flights.values().any(holds)
+        let is_load = |a: &Attempt| self.class(&a.request).is_load;
+        let holds = |a: &Attempt| a.engine == engine && a.request.group == group && is_load(a);
+        waits && self.in_flight.values().any(holds)
     }
 
-    /// The part of the span in which an engine may still be cold that has passed; none once it is over.
-    pub(crate) fn cold_age(&self, e: &Engine) -> Option<f64> {
-        let (start, span) = (e.entry.came_up.max(e.started), self.settings.cold_span);
+    /// The fraction of [`Settings::cold_span`] that has passed since the engine started, or may have
+    /// restarted; `None` if it is warm.
+    pub(crate) fn warm_up_progress(&self, state: &EngineState) -> Option<f64> {
+        let start = state.entry.came_up.max(state.disconnected_at);
+        let span = self.settings.cold_span;
         let age = self.now.saturating_sub(start);
         (start > 0 && age < span).then(|| age as f64 / span as f64)
     }
 
-    pub(crate) fn is_cold(&self, e: &Engine) -> bool {
-        self.cold_age(e).is_some()
+    pub(crate) fn is_cold(&self, state: &EngineState) -> bool {
+        self.warm_up_progress(state).is_some()
     }
 
-    /// Threads of the widest class.
-    pub(crate) fn widest(&self) -> f64 {
+    /// The largest number of threads of a query of any class.
+    pub(crate) fn max_query_threads(&self) -> f64 {
         f64::from(self.settings.classes.iter().map(|c| c.threads).max().unwrap_or(1).max(1))
     }
 
-    /// Puts a request into an engine's line, charged with its predicted cost.
-    pub(crate) fn line_up(&mut self, id: RequestId, engine: EngineId, cost: f64) {
-        let (Some(open), Some(e)) = (self.open.get_mut(&id), self.engines.get_mut(&engine)) else { return };
-        open.place = Place::Line(engine);
-        open.charged = cost;
-        e.charge(open.request.class, cost);
-        e.waiting += cost;
-        e.line.insert((open.goal, id));
-    }
-
-    /// Takes a request out of the line it waits in and lifts its charge.
-    pub(crate) fn leave(&mut self, id: RequestId) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let Place::Line(engine) = open.place else { return };
-        open.place = Place::Parked;
-        if let Some(e) = self.engines.get_mut(&engine) {
-            e.line.remove(&(open.goal, id));
-            e.waiting = (e.waiting - open.charged).max(0.0);
-            e.discharge(open.request.class, open.charged);
+    /// Puts a request into an engine's queue and adds its predicted work to the engine's debt.
+    pub(crate) fn enqueue(&mut self, id: RequestId, engine: EngineId, work: f64) {
+        let (Some(open), Some(state)) = (self.open_requests.get_mut(&id), self.engines.get_mut(&engine))
+        else {
+            return;
+        };
+        open.state = RequestState::Queued(engine);
+        open.charged_work = work;
+        state.charge(open.request.class, work);
+        state.queued_work += work;
+        state.queue.insert((open.soft_deadline, id));
+    }
+
+    /// Takes a request out of the queue that it waits in and subtracts its work from the engine's debt.
+    pub(crate) fn dequeue(&mut self, id: RequestId) {
+        let Some(open) = self.open_requests.get_mut(&id) else { return };
+        let RequestState::Queued(engine) = open.state else { return };
+        open.state = RequestState::Waiting;
+        if let Some(state) = self.engines.get_mut(&engine) {
+            state.queue.remove(&(open.soft_deadline, id));
+            state.queued_work = (state.queued_work - open.charged_work).max(0.0);
+            state.discharge(open.request.class, open.charged_work);
         }
     }
 
-    /// An attempt has gone out; `weight` is its weight on a cold engine, if this gateway sent it.
-    pub(crate) fn sent(&mut self, id: RequestId, flight: Flight, weight: Option<f64>, keep: usize) {
-        let (now, at) = (self.now, flight.sent);
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let Some(e) = self.engines.get_mut(&flight.engine) else { return };
-        e.line.remove(&(open.goal, id));
-        e.waiting = (e.waiting - open.charged).max(0.0);
-        e.start(&flight, keep);
-        e.recent.extend(weight.map(|weight| (now, weight, open.request.class.0)));
-        self.extras.extend((open.attempts > 0 && flight.adopted.is_none()).then_some(now));
-        open.place = Place::Out;
-        open.charged = 0.0;
-        open.maybe = open.maybe.or(Some((open.attempts, e.entry.zone, e.entry.cell, at)));
-        self.flights.insert((id, open.attempts), flight);
+    /// Records that an attempt is in flight. `cold_weight` is the work that it counts for on a cold engine,
+    /// if this gateway sent it.
+    pub(crate) fn record_send(
+        &mut self,
+        id: RequestId,
+        attempt: Attempt,
+        cold_weight: Option<f64>,
+        max_warm_groups: usize,
+    ) {
+        let (now, sent_at) = (self.now, attempt.sent_at);
+        let Some(open) = self.open_requests.get_mut(&id) else { return };
+        let Some(state) = self.engines.get_mut(&attempt.engine) else { return };
+        state.queue.remove(&(open.soft_deadline, id));
+        state.queued_work = (state.queued_work - open.charged_work).max(0.0);
+        state.attempt_started(&attempt, max_warm_groups);
+        state.recent_sends.extend(cold_weight.map(|weight| (now, weight, open.request.class.0)));
+        self.further_attempts.extend((open.attempts > 0 && attempt.adopted_at.is_none()).then_some(now));
+        open.state = RequestState::InFlight;
+        open.charged_work = 0.0;
+        let uncertain = (open.attempts, state.entry.zone, state.entry.cell, sent_at);
+        open.first_uncertain = open.first_uncertain.or(Some(uncertain));
+        self.in_flight.insert((id, open.attempts), attempt);
         open.attempts += 1;
     }
 
-    /// Averages of the work and worth asked for, each class's part of them.
-    pub(crate) fn note_asked(&mut self, class: usize, cost: f64, worth: f64, weight: f64) {
-        for (i, learned) in self.learned.iter_mut().enumerate() {
-            let asked = if i == class { (cost, worth) } else { (0.0, 0.0) };
-            learned.asked += weight * (asked.0 - learned.asked);
-            learned.worth += weight * (asked.1 - learned.worth);
+    /// Adds a request to the averages of demanded work and worth, which are split by class.
+    pub(crate) fn record_demand(&mut self, class: usize, work: f64, worth: f64, weight: f64) {
+        for (i, stats) in self.class_stats.iter_mut().enumerate() {
+            let demanded = if i == class { (work, worth) } else { (0.0, 0.0) };
+            stats.demanded_work += weight * (demanded.0 - stats.demanded_work);
+            stats.demanded_worth += weight * (demanded.1 - stats.demanded_worth);
         }
     }
 
-    /// Threads and memory held on all engines.
-    pub(crate) fn held(&self) -> (f64, f64) {
-        self.engines.values().map(Engine::held).fold((0.0, 0.0), |sum, h| (sum.0 + h.0, sum.1 + h.1))
+    /// Threads and memory that this gateway holds on all engines.
+    pub(crate) fn held_resources(&self) -> (f64, f64) {
+        let held = self.engines.values().map(EngineState::held_resources);
+        held.fold((0.0, 0.0), |sum, h| (sum.0 + h.0, sum.1 + h.1))
     }
 
-    /// Debt on all engines.
     pub(crate) fn fleet_debt(&self) -> f64 {
-        self.engines.values().map(Engine::total_debt).sum()
+        self.engines.values().map(EngineState::total_debt).sum()
     }
 
-    pub(crate) fn any_line(&self) -> bool {
-        self.open.values().any(Open::waits)
+    pub(crate) fn any_waiting(&self) -> bool {
+        self.open_requests.values().any(OpenRequest::waits)
     }
 
-    /// What another gateway took came before all that waits here for a turn of its key; what is `out` comes first. What the
-    /// key rested for is not known: it rests anew.
-    pub(crate) fn queue_adopted(&mut self, id: RequestId, key: &OrderKey, out: bool) {
-        let turns = self.keys.entry(key.clone()).or_default();
-        let begun = |id: &&RequestId| self.open.get(id).is_none_or(|o| o.adopted || o.attempts > 0);
-        let at = if out { 0 } else { turns.queue.iter().take_while(begun).count() };
-        let first = turns.queue.front().copied().filter(|_| at == 0);
-        turns.queue.insert(at, id);
-        first.into_iter().for_each(|first| self.leave(first));
-        self.rest_key(Some(key));
+    /// Inserts an adopted request into the queue of its order key: first if its attempt is `in_flight`,
+    /// otherwise before all requests that have only waited here, since another gateway accepted it before
+    /// them. Whether the key is still blocked by an earlier attempt is not known here, so it is blocked
+    /// again.
+    pub(crate) fn enqueue_adopted_for_key(&mut self, id: RequestId, key: &OrderKey, in_flight: bool) {
+        let key_queue = self.key_queues.entry(key.clone()).or_default();
+        let begun = |id: &&RequestId| self.open_requests.get(id).is_none_or(|o| o.adopted || o.attempts > 0);
+        let position = if in_flight { 0 } else { key_queue.queue.iter().take_while(begun).count() };
+        let displaced = key_queue.queue.front().copied().filter(|_| position == 0);
+        key_queue.queue.insert(position, id);
+        displaced.into_iter().for_each(|displaced| self.dequeue(displaced));
+        self.block_key(Some(key));
     }
 
-    /// Drops what is over from a key's queue; its first request, if that is parked and nothing of it is out.
-    pub(crate) fn next_of(&mut self, key: &OrderKey) -> Option<RequestId> {
+    /// Removes requests that are over from the front of a key's queue. Returns the first remaining request if
+    /// it waits for its turn and has no attempt in flight.
+    pub(crate) fn next_for_key(&mut self, key: &OrderKey) -> Option<RequestId> {
         loop {
-            let turns = self.keys.get(key)?;
-            let Some(&first) = turns.queue.front() else {
-                if self.now >= turns.rest_until {
-                    self.keys.remove(key);
+            let key_queue = self.key_queues.get(key)?;
+            let Some(&first) = key_queue.queue.front() else {
+                if self.now >= key_queue.blocked_until {
+                    self.key_queues.remove(key);
                 }
                 return None;
             };
-            if self.open.contains_key(&first) || self.is_out(first) {
-                let parked = self.open.get(&first).is_some_and(|o| o.place == Place::Parked);
-                return (parked && !self.is_out(first)).then_some(first);
+            if self.open_requests.contains_key(&first) || self.is_in_flight(first) {
+                let open = self.open_requests.get(&first);
+                let waiting = open.is_some_and(|o| o.state == RequestState::Waiting);
+                return (waiting && !self.is_in_flight(first)).then_some(first);
             }
-            self.keys.get_mut(key)?.queue.pop_front();
+            self.key_queues.get_mut(key)?.queue.pop_front();
         }
     }
 
-    /// The average share of failures at the other engines.
-    pub(crate) fn fails_elsewhere(&self, engine: EngineId) -> f64 {
+    /// The average failure rate of the other engines.
+    pub(crate) fn failure_rate_elsewhere(&self, engine: EngineId) -> f64 {
         let others = self.engines.iter().filter(|(&id, _)| id != engine);
-        others.map(|(_, e)| e.fails).sum::<f64>() / (self.engines.len() as f64 - 1.0).max(1.0)
+        others.map(|(_, state)| state.failure_rate).sum::<f64>() / (self.engines.len() as f64 - 1.0).max(1.0)
     }
 
-    /// Threads of the average query in flight, by the mix of late.
-    pub(crate) fn usual_threads(&self) -> f64 {
-        let work: f64 = self.learned.iter().map(|l| l.asked).sum();
-        let spans = self.learned.iter().zip(&self.settings.classes);
-        let spans: f64 = spans.map(|(l, c)| l.asked / f64::from(c.threads.max(1))).sum();
-        finite(work / spans, 1.0, 1e3)
+    /// The average number of threads of a query in flight, estimated from the recent demand of each class.
+    pub(crate) fn mean_threads(&self) -> f64 {
+        let work: f64 = self.class_stats.iter().map(|stats| stats.demanded_work).sum();
+        let classes = self.class_stats.iter().zip(&self.settings.classes);
+        let duration: f64 =
+            classes.map(|(stats, class)| stats.demanded_work / f64::from(class.threads.max(1))).sum();
+        clamp_finite(work / duration, 1.0, 1e3)
     }
 
-    /// Worth for each unit of predicted work, of all that was asked for.
-    pub(crate) fn usual_density(&self) -> f64 {
-        let sums = self.learned.iter().fold((0.0, 0.0), |s, l| (s.0 + l.worth, s.1 + l.asked));
-        finite(sums.0 / sums.1, 1e-12, 1e12)
+    /// The worth per unit of predicted work, averaged over the recent demand.
+    pub(crate) fn mean_density(&self) -> f64 {
+        let (worth, work) = self
+            .class_stats
+            .iter()
+            .fold((0.0, 0.0), |sum, stats| (sum.0 + stats.demanded_worth, sum.1 + stats.demanded_work));
+        clamp_finite(worth / work, 1e-12, 1e12)
     }
 
-    /// The average worth of a request.
-    pub(crate) fn usual_worth(&self) -> f64 {
-        self.learned.iter().map(|l| l.worth).sum()
+    /// The average worth of a recent request.
+    pub(crate) fn mean_worth(&self) -> f64 {
+        self.class_stats.iter().map(|stats| stats.demanded_worth).sum()
     }
 
-    /// Every engine that is listed up and not left alone.
-    pub(crate) fn well(&self) -> Vec<EngineId> {
-        self.engines.iter().filter(|(_, e)| e.is_well()).map(|(&id, _)| id).collect()
+    pub(crate) fn usable_engines(&self) -> Vec<EngineId> {
+        self.engines.iter().filter(|(_, state)| state.is_usable()).map(|(&id, _)| id).collect()
     }
 
-    /// Nothing is open, out, ordered or left alone.
-    pub(crate) fn is_still(&self) -> bool {
-        let idle = self.open.is_empty() && self.flights.is_empty() && self.keys.is_empty();
-        idle && self.engines.values().all(|e| e.sick.is_none())
+    /// Nothing needs the tick: no request, attempt, order key or quarantined engine is left.
+    pub(crate) fn is_idle(&self) -> bool {
+        let idle = self.open_requests.is_empty() && self.in_flight.is_empty() && self.key_queues.is_empty();
+        idle && self.engines.values().all(|state| state.quarantine.is_none())
     }
 
-    /// Every engine with a line, the one with the earliest deadline first.
-    pub(crate) fn lines(&self) -> Vec<EngineId> {
-        let heads = self.engines.iter().filter_map(|(&id, e)| e.line.first().map(|&head| (head, id)));
+    /// The engines with queued requests, ordered by the earliest soft deadline in their queues.
+    pub(crate) fn engines_with_queue(&self) -> Vec<EngineId> {
+        let head = |(&id, state): (&EngineId, &EngineState)| state.queue.first().map(|&head| (head, id));
+        let heads = self.engines.iter().filter_map(head);
         heads.collect::<BTreeSet<_>>().into_iter().map(|(_, engine)| engine).collect()
     }
 
-    /// Moves what waits in a line to another deadline.
-    pub(crate) fn put_back(&mut self, id: RequestId, goal: Micros) {
-        let Some(open) = self.open.get_mut(&id) else { return };
-        let Place::Line(engine) = open.place else { return };
-        if let Some(e) = self.engines.get_mut(&engine) {
-            e.line.remove(&(open.goal, id));
-            open.goal = goal;
-            e.line.insert((open.goal, id));
+    /// Gives a queued request another soft deadline, and with it another position in its queue.
+    pub(crate) fn reschedule(&mut self, id: RequestId, soft_deadline: Micros) {
+        let Some(open) = self.open_requests.get_mut(&id) else { return };
+        let RequestState::Queued(engine) = open.state else { return };
+        if let Some(state) = self.engines.get_mut(&engine) {
+            state.queue.remove(&(open.soft_deadline, id));
+            open.soft_deadline = soft_deadline;
+            state.queue.insert((open.soft_deadline, id));
         }
     }
 
-    /// Takes entries of a list over; what has started anew is forgotten. No list takes a start back: an older one would make
-    /// a cold engine look warm.
-    pub(crate) fn enlist(&mut self, entries: Vec<EngineEntry>, width: f64) {
+    /// Applies the entries of a list. An engine that has restarted loses what was known of its previous
+    /// process. A start never moves back in time: an outdated list would make a cold engine look warm.
+    pub(crate) fn apply_entries(&mut self, entries: Vec<EngineEntry>, threads_per_core: f64) {
         let classes = self.settings.classes.len();
         for mut entry in entries {
-            let fresh = || Engine::new(entry.clone(), classes, width, self.now);
-            let e = self.engines.entry(entry.engine).or_insert_with(fresh);
-            if entry.came_up > e.entry.came_up {
-                e.restart();
-                e.started = 0;
+            let fresh = || EngineState::new(entry.clone(), classes, threads_per_core, self.now);
+            let state = self.engines.entry(entry.engine).or_insert_with(fresh);
+            if entry.came_up > state.entry.came_up {
+                state.process_restarted();
+                state.disconnected_at = 0;
             }
-            entry.came_up = entry.came_up.max(e.entry.came_up);
-            e.entry = entry;
+            entry.came_up = entry.came_up.max(state.entry.came_up);
+            state.entry = entry;
         }
     }
 
-    /// An engine that was left alone is as good as new.
-    pub(crate) fn recovered(&mut self, engine: EngineId) {
-        let Some(e) = self.engines.get_mut(&engine) else { return };
-        e.sick = None;
-        e.fails = 0.0;
-        e.heard_at = self.now;
+    pub(crate) fn end_quarantine(&mut self, engine: EngineId) {
+        let Some(state) = self.engines.get_mut(&engine) else { return };
+        state.quarantine = None;
+        state.failure_rate = 0.0;
+        state.last_heard_at = self.now;
     }
 
-    /// The attempts of a request that are out and were not withdrawn yet; now they are.
-    pub(crate) fn withdraw(&mut self, id: RequestId) -> Vec<u32> {
-        let out = self.flights.range_mut((id, 0)..=(id, u32::MAX));
-        let mine = out.map(|(&(_, attempt), f)| (attempt, std::mem::replace(&mut f.cancelled, true)));
-        mine.filter(|(_, before)| !before).map(|(attempt, _)| attempt).collect()
+    /// Marks all attempts of a request as cancelled and returns the numbers of those that were not before.
+    pub(crate) fn mark_cancelled(&mut self, id: RequestId) -> Vec<u32> {
+        let attempts = self.in_flight.range_mut((id, 0)..=(id, u32::MAX));
+        let marked = attempts.map(|(&(_, number), a)| (number, std::mem::replace(&mut a.cancelled, true)));
+        marked.filter(|(_, before)| !before).map(|(number, _)| number).collect()
     }
 
-    /// A key's rest begins.
-    pub(crate) fn rest_key(&mut self, key: Option<&OrderKey>) {
+    /// Blocks an order key for [`Settings::key_cooldown`].
+    pub(crate) fn block_key(&mut self, key: Option<&OrderKey>) {
         let until = self.now.saturating_add(self.settings.key_cooldown);
-        if let Some(turns) = key.and_then(|k| self.keys.get_mut(k)) {
-            turns.rest_until = turns.rest_until.max(until);
+        if let Some(key_queue) = key.and_then(|k| self.key_queues.get_mut(k)) {
+            key_queue.blocked_until = key_queue.blocked_until.max(until);
         }
     }
 
-    /// Moves what has passed its goal while it waited to its deadline.
-    pub(crate) fn put_back_late(&mut self) {
-        let late =
-            |o: &Open| o.goal < self.now && o.goal < o.request.deadline && matches!(o.place, Place::Line(_));
-        let late: Vec<_> =
-            self.open.iter().filter(|(_, o)| late(o)).map(|(&id, o)| (id, o.request.deadline)).collect();
-        late.into_iter().for_each(|(id, due)| self.put_back(id, due));
+    /// Orders queued requests that have passed their soft deadline by their hard deadline instead.
+    pub(crate) fn demote_late(&mut self) {
+        let is_late = |o: &OpenRequest| {
+            o.soft_deadline < self.now
+                && o.soft_deadline < o.request.deadline
+                && matches!(o.state, RequestState::Queued(_))
+        };
+        let late = self.open_requests.iter().filter(|(_, o)| is_late(o));
+        let late: Vec<_> = late.map(|(&id, o)| (id, o.request.deadline)).collect();
+        late.into_iter().for_each(|(id, deadline)| self.reschedule(id, deadline));
     }
 
-    /// What a whole list does not name is gone.
-    pub(crate) fn mark_missing(&mut self, entries: &[EngineEntry]) {
-        let named: BTreeSet<EngineId> = entries.iter().map(|e| e.engine).collect();
-        for (_, e) in self.engines.iter_mut().filter(|(id, _)| !named.contains(id)) {
-            e.entry.listed = Listed::Removed;
+    /// Marks the engines that a whole list does not contain as removed.
+    pub(crate) fn mark_unlisted_removed(&mut self, entries: &[EngineEntry]) {
+        let listed: BTreeSet<EngineId> = entries.iter().map(|entry| entry.engine).collect();
+        for (_, state) in self.engines.iter_mut().filter(|(id, _)| !listed.contains(id)) {
+            state.entry.listed = Listed::Removed;
         }
     }
 
-    pub(crate) fn not_up(&self) -> Vec<EngineId> {
-        self.engines.iter().filter(|(_, e)| e.entry.listed != Listed::Up).map(|(&id, _)| id).collect()
+    pub(crate) fn engines_not_up(&self) -> Vec<EngineId> {
+        self.engines.iter().filter(|(_, state)| state.entry.listed != Listed::Up).map(|(&id, _)| id).collect()
     }
 
-    /// Forgets engines that are gone, owe no answer and were sent nothing of late: a list that lacks one for a moment must
-    /// not give a cold engine its part a second time.
+    /// Drops removed engines without attempts in flight and recent sends. Recent sends are kept because a
+    /// list may lack an engine for a moment: if that engine is cold, what it was sent must still count
+    /// against its budget.
     pub(crate) fn drop_removed(&mut self) {
-        let owing: BTreeSet<EngineId> = self.flights.values().map(|f| f.engine).collect();
-        self.engines
-            .retain(|id, e| e.entry.listed != Listed::Removed || owing.contains(id) || !e.recent.is_empty());
+        let busy: BTreeSet<EngineId> = self.in_flight.values().map(|a| a.engine).collect();
+        self.engines.retain(|id, state| {
+            state.entry.listed != Listed::Removed || busy.contains(id) || !state.recent_sends.is_empty()
+        });
     }
 
-    /// Forgets what no rule needs any more, and attempts `unanswered` for so long past their time.
-    pub(crate) fn drop_old(&mut self, unanswered: Micros) {
+    /// Drops records that are no longer needed, and attempts that are still unanswered `max_overdue` after
+    /// their time-out.
+    pub(crate) fn drop_old(&mut self, max_overdue: Micros) {
         let now = self.now;
-        let lost = self.flights.iter().filter(|(_, f)| now >= f.until.saturating_add(unanswered));
+        let lost = self.in_flight.iter().filter(|(_, a)| now >= a.timeout_at.saturating_add(max_overdue));
         for key in lost.map(|(&key, _)| key).collect::<Vec<_>>() {
-            let flight = self.flights.remove(&key);
-            flight.and_then(|f| self.engines.get_mut(&f.engine).map(|e| e.finish(&f)));
+            let attempt = self.in_flight.remove(&key);
+            attempt.and_then(|a| self.engines.get_mut(&a.engine).map(|state| state.attempt_finished(&a)));
         }
         let window = self.settings.budget.as_ref().map_or(0, |b| b.window);
-        let from = self.now.saturating_sub(window.saturating_add(2 * self.settings.quantum));
-        trim(&mut self.taken, from, |&t| t);
-        trim(&mut self.extras, from, |&t| t);
-        let recent_from = self.now.saturating_sub(self.settings.overload_span.saturating_mul(2));
-        for e in self.engines.values_mut() {
-            trim(&mut e.recent, recent_from, |c| c.0);
+        let budget_from = self.now.saturating_sub(window.saturating_add(2 * self.settings.quantum));
+        drop_older(&mut self.arrivals, budget_from, |&time| time);
+        drop_older(&mut self.further_attempts, budget_from, |&time| time);
+        let sends_from = self.now.saturating_sub(self.settings.overload_span.saturating_mul(2));
+        for state in self.engines.values_mut() {
+            drop_older(&mut state.recent_sends, sends_from, |send| send.0);
         }
-        if self.engines.values().any(|e| e.entry.listed == Listed::Removed) {
+        if self.engines.values().any(|state| state.entry.listed == Listed::Removed) {
             self.drop_removed();
         }
     }
 }
 
-/// Drops what is older than `from` at the front of a queue.
-pub(crate) fn trim<T>(queue: &mut VecDeque<T>, from: Micros, time: impl Fn(&T) -> Micros) {
+/// Drops the items at the front of a queue whose time is before `from`.
+pub(crate) fn drop_older<T>(queue: &mut VecDeque<T>, from: Micros, time: impl Fn(&T) -> Micros) {
     while queue.front().is_some_and(|item| time(item) < from) {
         queue.pop_front();
     }
 }
 
-/// The median.
+/// The median, or the upper of the two middle values.
 pub(crate) fn median(values: impl Iterator<Item = f64>) -> Option<f64> {
     let mut all: Vec<f64> = values.collect();
     all.sort_by(f64::total_cmp);
     all.get(all.len() / 2).copied()
 }
 
-/// `x` within bounds; the least if it is no number.
-pub(crate) fn finite(x: f64, least: f64, most: f64) -> f64 {
+/// `x` limited to the bounds, or `least` if it is not finite.
+pub(crate) fn clamp_finite(x: f64, least: f64, most: f64) -> f64 {
     if x.is_finite() {
         x.clamp(least, most)
     } else {
@@ -717,13 +781,13 @@
     }
 }
 
-/// A number from 0 to 1 made of random bits.
-pub(crate) fn unit(bits: u64) -> f64 {
+/// Turns random bits into a number from 0 up to but not including 1.
+pub(crate) fn unit_fraction(bits: u64) -> f64 {
     (bits >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// Scatters the bits of a number (the last step of splitmix64).
-pub(crate) fn mix(x: u64) -> u64 {
+/// Hashes a number: the output function of splitmix64.
+pub(crate) fn mix_bits(x: u64) -> u64 {
     let x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
