--- a/src/logic/attempts.rs
+++ b/src/logic/attempts.rs
@@ -1,52 +1,63 @@
-//! Sending, how attempts get on and end, and the end of a request.
+//! Sending attempts, their progress and end, and the end of a request.
 
 use super::*;
 
 impl Gateway {
+    /// Sends the next attempt of a request that `check_dispatch` allows.
     pub(super) fn send(&mut self, id: RequestId, engine: EngineId, out: &mut Vec<Action>) {
         let (Some(open), Some(state)) = (self.open_requests.get(&id), self.engines.get(&engine)) else {
             return;
         };
         let request = &open.request;
         let (threads, grant) = (self.threads(request), self.memory_grant(request, state));
-        let usual = self.expected_duration(request, state);
-        let until = self.attempt_timeout(open, usual);
-        let attempt = Attempt::new(open, engine, (self.now, until), (threads, grant), usual);
-        let weight = self.cold_weight(open);
+        let expected_duration = self.expected_duration(request, state);
+        let until = self.attempt_timeout(open, expected_duration);
+        let attempt = Attempt::new(open, engine, (self.now, until), (threads, grant), expected_duration);
+        let cold_weight = self.cold_weight(open);
         if self.settings.grants || self.settings.priorities {
             let memory_mb = if self.settings.grants { grant } else { 0.0 };
             out.push(Action::Terms { id, memory_mb, rank: self.priority(request) });
         }
         out.push(Action::Dispatch { id, engine, until });
-        self.record_send(id, attempt, Some(weight), WARM_GROUPS);
+        self.record_send(id, attempt, Some(cold_weight), WARM_GROUPS_PER_ENGINE);
     }
 
-    /// How long an attempt should take.
+    /// How long an attempt is expected to take, in microseconds.
     pub(super) fn expected_duration(&self, request: &Request, state: &EngineState) -> f64 {
-        let class = &self.class_stats[request.class.0];
-        let slow =
-            class.slowdown.blended_with(1.0, LEAN).max(state.slowdown.blended_with(1.0, LEAN)).max(1.0);
-        self.predicted_work(request, Some(state)) / self.threads(request) * slow / self.warm_capacity(state)
+        let class_slowdown = self.class_stats[request.class.0].slowdown.blended_with(1.0, PRIOR_SAMPLES);
+        let engine_slowdown = state.slowdown.blended_with(1.0, PRIOR_SAMPLES);
+        let slowdown = class_slowdown.max(engine_slowdown).max(1.0);
+        self.predicted_work(request, Some(state)) / self.threads(request) * slowdown
+            / self.warm_capacity(state)
     }
 
-    /// When to give an attempt up: with the client, or earlier where another may follow and has time.
-    fn attempt_timeout(&self, open: &OpenRequest, usual: f64) -> Micros {
-        let due = open.request.deadline;
-        let last = open.attempts + 1 >= self.settings.attempts_cap || self.budget_left() < 1.0;
-        let stubborn = if self.settings.may_cancel { 1.0 } else { STUBBORN };
-        let patience = stubborn * (PATIENCE * usual + PATIENCE_SPAN as f64);
-        let until = self.now.saturating_add(patience as Micros);
-        let again = !last && self.class(&open.request).effect != Effect::Once && open.request.pin.is_none();
-        let in_time = again && until.saturating_add(usual as Micros) < due;
-        [due, until][usize::from(in_time)]
+    /// When an attempt times out: at the request's deadline, or earlier if another attempt may follow and has
+    /// enough time left.
+    fn attempt_timeout(&self, open: &OpenRequest, expected_duration: f64) -> Micros {
+        let deadline = open.request.deadline;
+        let is_last = open.attempts + 1 >= self.settings.attempts_cap || self.budget_left() < 1.0;
+        let factor = if self.settings.may_cancel { 1.0 } else { NO_CANCEL_TIMEOUT_FACTOR };
+        let timeout = factor * (TIMEOUT_FACTOR * expected_duration + TIMEOUT_MARGIN_US as f64);
+        let timeout_at = self.now.saturating_add(timeout as Micros);
+        let is_once = self.class(&open.request).effect == Effect::Once;
+        let may_retry = !is_last && !is_once && open.request.pin.is_none();
+        let retry_fits = may_retry && timeout_at.saturating_add(expected_duration as Micros) < deadline;
+        if retry_fits {
+            timeout_at
+        } else {
+            deadline
+        }
     }
 
-    /// Light queries first, by worth for each unit of work against the average.
+    /// The priority of a query, by its worth per unit of work relative to the average: light queries go
+    /// first.
     fn priority(&self, request: &Request) -> u8 {
-        let ratio = self.worth_density(request) / self.mean_density();
-        1 + RANKS.iter().filter(|&&r| self.settings.priorities && ratio >= r).count() as u8
+        let density = self.worth_density(request) / self.mean_density();
+        let exceeded = PRIORITY_DENSITIES.iter().filter(|&&limit| density >= limit).count() as u8;
+        1 + if self.settings.priorities { exceeded } else { 0 }
     }
 
+    /// Handles the end of an attempt: the request is closed or placed again, and the freed capacity used.
     pub(super) fn on_answer(&mut self, answer: Answer, out: &mut Vec<Action>) {
         let Some(attempt) = self.in_flight.remove(&(answer.id, answer.attempt)) else { return };
         let engine = attempt.engine;
@@ -54,12 +65,10 @@
         self.release_attempt(&attempt, &answer);
         self.update_health(&attempt, &answer, out);
         if let Some(open) = self.open_requests.get_mut(&answer.id) {
-            let proved = matches!(answer.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
-            // Nothing tells of another gateway's attempt that it was never written.
-            if proved
-                && attempt.adopted_at.is_none()
-                && open.first_uncertain.is_some_and(|m| m.0 == answer.attempt)
-            {
+            let not_run = matches!(answer.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+            // No outcome proves that another gateway's attempt was never written to its connection.
+            let proves = not_run && attempt.adopted_at.is_none();
+            if proves && open.first_uncertain.is_some_and(|first| first.0 == answer.attempt) {
                 open.first_uncertain = None;
             }
             open.last_failed_on = Some(engine);
@@ -76,44 +85,43 @@
         self.engines_with_queue().into_iter().for_each(|engine| self.start_queued(engine, out));
     }
 
-    /// Frees what the attempt held and learns from it.
+    /// Releases the resources of an attempt and learns from its answer.
     fn release_attempt(&mut self, attempt: &Attempt, answer: &Answer) {
-        let unsure = [Outcome::Timeout, Outcome::Reset, Outcome::Broken, Outcome::Cancelled];
-        if unsure.contains(&answer.outcome) {
+        let may_still_run = [Outcome::Timeout, Outcome::Reset, Outcome::Broken, Outcome::Cancelled];
+        if may_still_run.contains(&answer.outcome) {
             self.block_key(attempt.request.key.as_ref());
         }
         if let Some(state) = self.engines.get_mut(&attempt.engine) {
             state.attempt_finished(attempt);
-            // It turns away at once and so looks idle: it would draw all that the others can't take.
-            state.reported_load = if answer.outcome == Outcome::Full {
-                Some((FULL_LOAD, self.now))
-            } else {
-                state.reported_load
-            };
+            // A full engine rejects at once and so looks idle: it would attract all requests that others
+            // can't take.
+            if answer.outcome == Outcome::Full {
+                state.reported_load = Some((FULL_LOAD, self.now));
+            }
             if !self.settings.may_cancel && answer.outcome == Outcome::Timeout {
-                // Nothing stops the work of an attempt given up here: it holds its threads a while yet.
-                state.abandoned.push((
-                    self.now + attempt.expected_duration as Micros,
-                    attempt.threads,
-                    attempt.memory,
-                ));
+                // The attempt can't be stopped, so it still holds its threads for a while.
+                let until = self.now + attempt.expected_duration as Micros;
+                state.abandoned.push((until, attempt.threads, attempt.memory));
             }
         }
-        // Between two gateways nobody asked for its pages: its time would say that engines are slow.
+        // An adopted attempt paused while no gateway fetched its pages: its duration would make engines look
+        // slow.
         if answer.outcome == Outcome::Ok && attempt.adopted_at.is_none() {
             self.learn_from(attempt, answer);
         }
     }
 
-    /// The one place that ends requests: refused where a further try is harmless, else failed.
+    /// Ends a request without an answer, the only function that does: refuses it if a retry by the client is
+    /// harmless, otherwise fails it.
     pub(super) fn end_unserved(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.open_requests.get(&id) else { return };
         let effect = self.class(&open.request).effect;
-        // A client's next try is a repeat to the engines only if it carries the same mark.
+        // Engines only recognise a client's retry as a repeat if it carries the same deduplication key.
         let deduplicated = effect.is_repeatable_anywhere() && open.request.has_dedup_key;
         let harmless = (effect == Effect::Repeatable || deduplicated) && open.request.pin.is_none();
         if harmless || !open.may_have_run() {
-            // When the debt of now has drained, spread by half so that clients don't return together.
+            // The time until the present debt has drained, varied by half so that clients don't retry all at
+            // once.
             let wait = (self.fleet_debt() / self.fleet_drain_rate()).max(self.min_retry_after as f64);
             let wait = wait * (0.5 + unit_fraction(self.next_random()));
             let retry_after = (wait as Micros).min(self.settings.max_retry_after.unwrap_or(0));
@@ -124,7 +132,8 @@
         self.close_request(id, out);
     }
 
-    /// A request is over: what of it is out is withdrawn, and its key may go on.
+    /// Removes a request that is over: cancels its attempts in flight and lets the next request of its key
+    /// run.
     pub(super) fn close_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
         self.dequeue(id);
         let Some(open) = self.open_requests.remove(&id) else { return };
@@ -134,38 +143,42 @@
         self.advance_key(open.request.key.as_ref(), out);
     }
 
-    /// An engine tells how an attempt gets on. One that does little for its age (a bad plan, a slow engine, a
-    /// load in its way) gives way to a fresh one; one that can't end in time is ended. Estimates far too low
-    /// could make the same query start again up to its cap.
-    pub(super) fn on_note(&mut self, id: RequestId, attempt: u32, note: Note, out: &mut Vec<Action>) {
+    /// Handles a progress note. An attempt that is slow for its age (a bad plan, a slow engine, a load in its
+    /// way) is replaced by a new one, and a request that can't finish in time is ended. If its estimate is
+    /// far too low, a query may be restarted until it reaches the limit of attempts.
+    pub(super) fn on_note(&mut self, id: RequestId, number: u32, note: Note, out: &mut Vec<Action>) {
         let now = self.now;
-        let Some(f) = self.in_flight.get_mut(&(id, attempt)) else { return };
-        let left = f.record_note(note, now);
-        let Some(state) = self.engines.get_mut(&f.engine) else { return };
+        let Some(attempt) = self.in_flight.get_mut(&(id, number)) else { return };
+        let remaining = attempt.record_note(note, now);
+        let Some(state) = self.engines.get_mut(&attempt.engine) else { return };
         state.last_heard_at = now;
-        state.reported_load =
-            if note == Note::WaitsForMemory { Some((FULL_LOAD, now)) } else { state.reported_load };
-        left.into_iter().for_each(|left| self.act_on_remaining_time(id, attempt, left, out));
+        if note == Note::WaitsForMemory {
+            state.reported_load = Some((FULL_LOAD, now));
+        }
+        if let Some(remaining) = remaining {
+            self.act_on_remaining_time(id, number, remaining, out);
+        }
     }
 
-    /// Decides on an attempt that seems to need `left` more.
-    fn act_on_remaining_time(&mut self, id: RequestId, attempt: u32, left: f64, out: &mut Vec<Action>) {
+    /// Replaces an attempt or ends its request if the estimated `remaining` time, in microseconds, is too
+    /// long.
+    fn act_on_remaining_time(&mut self, id: RequestId, number: u32, remaining: f64, out: &mut Vec<Action>) {
         let Some(open) = self.open_requests.get(&id) else { return };
-        let slow = self.slowdown.blended_with(1.0, 3.0).max(1.0);
-        let fresh = self.predicted_work(&open.request, None) / self.threads(&open.request) * slow;
-        let rest = open.request.deadline.saturating_sub(self.now) as f64;
-        let again = self.class(&open.request).effect == Effect::Repeatable
+        let slowdown = self.slowdown.blended_with(1.0, FLEET_PRIOR_SAMPLES).max(1.0);
+        let new_attempt = self.predicted_work(&open.request, None) / self.threads(&open.request) * slowdown;
+        let to_deadline = open.request.deadline.saturating_sub(self.now) as f64;
+        let may_restart = self.class(&open.request).effect == Effect::Repeatable
             && open.request.pin.is_none()
             && open.attempts < self.settings.attempts_cap
             && self.budget_left() >= 1.0;
-        let Some(f) = self.in_flight.get_mut(&(id, attempt)) else { return };
-        if !self.settings.may_cancel || f.cancelled {
+        let Some(attempt) = self.in_flight.get_mut(&(id, number)) else { return };
+        if !self.settings.may_cancel || attempt.cancelled {
             return;
         }
-        if again && left > RESTART * fresh && fresh < rest {
-            f.cancelled = true;
-            out.push(Action::Cancel { id, attempt });
-        } else if left.is_finite() && left * HOPELESS > rest {
+        if may_restart && remaining > RESTART_FACTOR * new_attempt && new_attempt < to_deadline {
+            attempt.cancelled = true;
+            out.push(Action::Cancel { id, attempt: number });
+        } else if remaining.is_finite() && remaining * HOPELESS_FACTOR > to_deadline {
             self.end_unserved(id, out);
         }
     }
--- a/src/logic/health.rs
+++ b/src/logic/health.rs
@@ -1,10 +1,11 @@
-//! Engines: the list, symptoms, silence, trials.
+//! The list of engines and their health: failures, silence, quarantine and trials.
 
 use std::collections::BTreeSet;
 
 use super::*;
 
 impl Gateway {
+    /// Applies a list of engines and places requests again that are queued for engines no longer up.
     pub(super) fn on_engine_list(
         &mut self,
         kind: ListKind,
@@ -22,52 +23,60 @@
             ListKind::Changes => {}
             ListKind::Whole | ListKind::WarmCopy => self.mark_unlisted_removed(&entries),
         }
-        self.apply_entries(entries, THREADS_PER_CORE);
+        self.apply_entries(entries, INITIAL_THREADS_PER_CORE);
         self.engines_not_up().into_iter().for_each(|engine| self.requeue_all(engine, out));
         self.drop_removed();
     }
 
-    /// What an outcome tells of an engine's health.
+    /// Updates the health of an engine with the outcome of an attempt.
     pub(super) fn update_health(&mut self, attempt: &Attempt, answer: &Answer, out: &mut Vec<Action>) {
         let now = self.now;
-        // A wrong statement is the client's: its engine answered well, but its cost teaches nothing.
+        // A declined request is a fault of the client: its engine is healthy, though nothing is learned of
+        // its cost.
         let good = matches!(answer.outcome, Outcome::Ok | Outcome::Declined);
-        let broke = [Outcome::Error, Outcome::ConnectFailed, Outcome::Reset, Outcome::Broken];
-        let bad = broke.contains(&answer.outcome);
-        let usual = self.failure_rate_elsewhere(attempt.engine);
+        let failures = [Outcome::Error, Outcome::ConnectFailed, Outcome::Reset, Outcome::Broken];
+        let bad = failures.contains(&answer.outcome);
+        let fleet_failure_rate = self.failure_rate_elsewhere(attempt.engine);
         let Some(state) = self.engines.get_mut(&attempt.engine) else { return };
-        // The process is gone, and when it is back it is cold, seconds before the list says so: trials by all
-        // gateways would push it over. It hurts a sound engine that breaks connections: that gets turns only.
+        // The process is probably gone. When it is back it is cold, seconds before the list says so, and
+        // trials by all gateways would crash it. The price is that a healthy engine with broken connections
+        // counts as cold, too, and only gets requests in turns.
         if matches!(answer.outcome, Outcome::ConnectFailed | Outcome::Reset) {
             state.connection_lost(now);
         }
         if good || bad {
-            let sample = match answer.outcome {
-                Outcome::ConnectFailed => NO_CONNECTION,
-                Outcome::Broken => BROKEN,
-                _ => FAIL_SAMPLE,
+            let weight = match answer.outcome {
+                Outcome::ConnectFailed => CONNECT_FAILURE_WEIGHT,
+                Outcome::Broken => BROKEN_CONNECTION_WEIGHT,
+                _ => FAILURE_SAMPLE_WEIGHT,
             };
-            state.failure_rate += sample * (if bad { 1.0 } else { 0.0 } - state.failure_rate);
+            state.failure_rate += weight * (if bad { 1.0 } else { 0.0 } - state.failure_rate);
+        }
+        if good {
+            state.last_heard_at = now;
         }
-        state.last_heard_at = if good { now } else { state.last_heard_at };
         match &mut state.quarantine {
             Some(quarantine) if quarantine.trial_request == Some(answer.id) => {
                 quarantine.trial_request = None;
                 self.on_trial_result(attempt.engine, good, out);
             }
-            None if bad && state.failure_rate > FAIL_OVER + FLEET_FAILS * usual => {
-                self.quarantine_engine(attempt.engine, "fails", out)
+            None if bad => {
+                let limit = QUARANTINE_FAILURE_RATE + FLEET_FAILURE_FACTOR * fleet_failure_rate;
+                if state.failure_rate > limit {
+                    self.quarantine_engine(attempt.engine, "fails", out);
+                }
             }
             _ => {}
         }
     }
 
+    /// Stops the use of an engine until trials succeed.
     fn quarantine_engine(&mut self, engine: EngineId, why: &str, out: &mut Vec<Action>) {
-        let next_trial_at = self.now + TRIAL_FIRST;
+        let next_trial_at = self.now + FIRST_TRIAL_DELAY_US;
         let Some(state) = self.engines.get_mut(&engine) else { return };
         state.quarantine = Some(Quarantine {
             successes: 0,
-            interval: TRIAL_FIRST,
+            interval: FIRST_TRIAL_DELAY_US,
             next_trial_at,
             trial_request: None,
             accepts_trial: false,
@@ -76,53 +85,53 @@
         self.requeue_all(engine, out);
     }
 
+    /// Records the result of a trial. Failed trials double the time to the next one.
     fn on_trial_result(&mut self, engine: EngineId, good: bool, out: &mut Vec<Action>) {
         let now = self.now;
         let Some(quarantine) = self.quarantine_mut(engine) else { return };
         quarantine.successes = if good { quarantine.successes + 1 } else { 0 };
         quarantine.interval =
-            if good { TRIAL_FIRST / 2 } else { (quarantine.interval * 2).min(TRIAL_LONGEST) };
+            if good { FIRST_TRIAL_DELAY_US / 2 } else { (quarantine.interval * 2).min(MAX_TRIAL_DELAY_US) };
         quarantine.next_trial_at = now + quarantine.interval;
-        if quarantine.successes >= TRIALS {
+        if quarantine.successes >= TRIALS_TO_RECOVER {
             self.end_quarantine(engine);
             out.push(Action::Log(format!("engine {:x} is used again", engine.0)));
         }
     }
 
-    /// A probe tells whether a quiet engine still answers, and is the first step of a sick one's trial.
+    /// Handles the result of a probe: whether a silent engine still answers, or the first step of a trial.
     pub(super) fn on_probe_result(&mut self, engine: EngineId, ok: bool, out: &mut Vec<Action>) {
         let Some(state) = self.engines.get_mut(&engine).filter(|state| state.probe_in_flight) else { return };
-        let suspect = std::mem::take(&mut state.suspected);
+        let suspected = std::mem::take(&mut state.suspected);
         state.probe_in_flight = false;
-        state.last_heard_at = if ok { self.now } else { state.last_heard_at };
-        state.reported_load = if ok { state.reported_load } else { Some((FULL_LOAD, self.now)) };
-        match (state.quarantine.is_some(), ok) {
-            (false, _) if ok || !suspect => {}
-            (false, _) => self.quarantine_engine(engine, "no answers", out),
-            (true, true) => {
-                self.quarantine_mut(engine).into_iter().for_each(|quarantine| quarantine.accepts_trial = true)
-            }
-            (true, false) => self.on_trial_result(engine, false, out),
+        if ok {
+            state.last_heard_at = self.now;
+        } else {
+            state.reported_load = Some((FULL_LOAD, self.now));
+        }
+        match (&mut state.quarantine, ok) {
+            (None, true) => {}
+            (None, false) if suspected => self.quarantine_engine(engine, "no answers", out),
+            (None, false) => {}
+            (Some(quarantine), true) => quarantine.accepts_trial = true,
+            (Some(_), false) => self.on_trial_result(engine, false, out),
         }
     }
 
-    /// A trial of a sick engine: a probe where allowed, then one light repeatable request.
+    /// Starts a trial of a quarantined engine when it is due: a probe where allowed, then one light
+    /// repeatable request.
     pub(super) fn start_trial(&mut self, engine: EngineId, out: &mut Vec<Action>) {
         let Some(state) = self.engines.get_mut(&engine) else { return };
         let Some(quarantine) = &mut state.quarantine else { return };
-        // Where no light request comes to try it, it would be left alone for ever: its good probe has to do.
-        if self.settings.may_probe
-            && quarantine.accepts_trial
-            && self.now > quarantine.next_trial_at + TRIAL_LONGEST
-        {
+        // If no light request arrives, the quarantine would never end: then the successful probe counts as
+        // the trial.
+        let expired = self.now > quarantine.next_trial_at + MAX_TRIAL_DELAY_US;
+        if self.settings.may_probe && quarantine.accepts_trial && expired {
             quarantine.accepts_trial = false;
             return self.on_trial_result(engine, true, out);
         }
-        if self.now < quarantine.next_trial_at
-            || quarantine.accepts_trial
-            || quarantine.trial_request.is_some()
-            || state.entry.listed != Listed::Up
-        {
+        let in_trial = quarantine.accepts_trial || quarantine.trial_request.is_some();
+        if self.now < quarantine.next_trial_at || in_trial || state.entry.listed != Listed::Up {
             return;
         }
         quarantine.next_trial_at = self.now + quarantine.interval;
@@ -131,41 +140,43 @@
         out.extend(self.settings.may_probe.then_some(Action::Probe(engine)));
     }
 
-    /// A sick engine that a light, repeatable request may try as it arrives: at scale none waits in a line.
+    /// A quarantined engine for which this request can be the trial. It is chosen when a light, repeatable
+    /// request arrives, because in a large fleet such requests are hardly ever found waiting.
     pub(super) fn engine_to_try(&self, id: RequestId) -> Option<EngineId> {
-        let mut ready = self
-            .engines
-            .iter()
-            .filter(|(_, state)| state.quarantine.as_ref().is_some_and(|s| s.accepts_trial));
+        let accepts_trial = |state: &EngineState| state.quarantine.as_ref().is_some_and(|q| q.accepts_trial);
+        let mut candidates = self.engines.iter().filter(|(_, state)| accepts_trial(state));
         let open = self.open_requests.get(&id)?;
         let light = self.worth_density(&open.request) >= self.mean_density();
-        let repeats = self.class(&open.request).effect == Effect::Repeatable && open.request.pin.is_none();
-        // What ends a transaction has nowhere else to go, and locks to free.
-        let ends = open.request.pin.is_some_and(|p| p.uses_reserve);
-        let may = (light && repeats || ends) && open.attempts + 1 < self.settings.attempts_cap;
-        ready
-            .find(|(&engine, _)| may && self.check_dispatch(id, engine) == Verdict::Allow)
-            .map(|(&engine, _)| engine)
+        let repeatable = self.class(&open.request).effect == Effect::Repeatable && open.request.pin.is_none();
+        // The end of a transaction can't go to another engine and releases locks.
+        let ends_transaction = open.request.pin.is_some_and(|p| p.uses_reserve);
+        let suitable =
+            (light && repeatable || ends_transaction) && open.attempts + 1 < self.settings.attempts_cap;
+        let engine =
+            candidates.find(|(&engine, _)| suitable && self.check_dispatch(id, engine) == Verdict::Allow);
+        engine.map(|(&engine, _)| engine)
     }
 
-    /// An engine is silent if attempts there are overdue and nothing has come from it since they should
-    /// have been answered. Where more than half are, the trouble is shared and none is condemned.
+    /// Probes or quarantines silent engines. An engine is silent if attempts there are overdue and nothing
+    /// has come from it since they should have been answered. If more than half of the engines are silent the
+    /// cause is a shared one, and none is suspected.
     pub(super) fn suspect_silent_engines(&mut self, out: &mut Vec<Action>) {
-        let probes = self.settings.may_probe;
-        let missed = self.settings.note_period.map(|period| NOTES_MISSED * period as f64);
-        let quiet = |f: &&Attempt| {
-            let heard = self
-                .engines
-                .get(&f.engine)
-                .filter(|state| state.quarantine.is_none())
-                .map(|state| state.last_heard_at);
-            let overdue = OVERDUE * f.expected_duration + OVERDUE_SPAN as f64;
-            // A probe shows who was suspected for nothing; without one, only missing notes are sure.
-            let patience = missed.map_or(overdue, |m| if probes { m.min(overdue) } else { m });
-            let since = |at: Micros| f.adopted_at.unwrap_or(f.sent_at).max(at).max(self.resumed_at) as f64;
-            !f.waits_for_memory && heard.is_some_and(|at| self.now as f64 > since(at) + patience)
+        let may_probe = self.settings.may_probe;
+        let note_limit = self.settings.note_period.map(|period| MAX_MISSED_NOTES * period as f64);
+        let is_silent = |attempt: &&Attempt| {
+            let state = self.engines.get(&attempt.engine).filter(|state| state.quarantine.is_none());
+            let Some(state) = state else { return false };
+            let overdue = OVERDUE_FACTOR * attempt.expected_duration + OVERDUE_MARGIN_US as f64;
+            // A probe clears an engine that was wrongly suspected. Without probes, only missing notes are
+            // reliable.
+            let limit =
+                note_limit.map_or(overdue, |limit| if may_probe { limit.min(overdue) } else { limit });
+            let started_at = attempt.adopted_at.unwrap_or(attempt.sent_at);
+            let silent_since = started_at.max(state.last_heard_at).max(self.resumed_at) as f64;
+            !attempt.waits_for_memory && self.now as f64 > silent_since + limit
         };
-        let silent: BTreeSet<EngineId> = self.in_flight.values().filter(quiet).map(|f| f.engine).collect();
+        let silent: BTreeSet<EngineId> =
+            self.in_flight.values().filter(is_silent).map(|attempt| attempt.engine).collect();
         if silent.len() * 2 > self.engines.len() {
             return;
         }
--- a/src/logic/learn.rs
+++ b/src/logic/learn.rs
@@ -1,51 +1,58 @@
-//! What answers teach.
+//! Learning from answers: cost ratios, slowdowns, memory grants.
 
 use super::*;
 
 impl Gateway {
-    /// Only what was served teaches: a fast error costs little and proves nothing.
+    /// Updates the statistics with a served attempt. Errors are left out: a fast error says nothing of the
+    /// cost.
     pub(super) fn learn_from(&mut self, attempt: &Attempt, answer: &Answer) {
-        let took = answer.took as f64 * attempt.threads;
-        let (class, told) = (attempt.request.class.0, self.estimated_work(&attempt.request));
-        let work = answer.work.filter(|&w| w > 0 && self.settings.reports_cost);
-        let truth = work.map_or_else(|| self.work_from_latency(&attempt.request, took), |w| w as f64);
-        self.slowdown.add_sample(took, truth, FLEET_SAMPLE * (2.0 - (4.0 * self.fleet_share()).min(1.0)));
+        let thread_time = answer.took as f64 * attempt.threads;
+        let (class, estimate) = (attempt.request.class.0, self.estimated_work(&attempt.request));
+        let reported = answer.work.filter(|&work| work > 0 && self.settings.reports_cost);
+        let work = reported
+            .map_or_else(|| self.work_from_latency(&attempt.request, thread_time), |work| work as f64);
+        let fleet_weight = FLEET_SAMPLE_WEIGHT * (2.0 - (4.0 * self.fleet_share()).min(1.0));
+        self.slowdown.add_sample(thread_time, work, fleet_weight);
         let stats = &mut self.class_stats[class];
-        let k = stats.cost_ratio.value().unwrap_or(truth / told);
-        let clipped = truth.clamp(told * k / CLIP, told * k * CLIP);
-        stats.cost_ratio.add_sample(clipped, told, SAMPLE);
-        stats.mean_work.add_sample(truth, 1.0, SAMPLE);
-        stats.slowdown.add_sample(took, truth, SAMPLE);
-        let slow = self.slowdown.value().unwrap_or(1.0);
-        self.best_slowdown = (self.best_slowdown * (1.0 + SAMPLE / 100.0)).min(slow).clamp(1.0, BEST_MOST);
+        let ratio = stats.cost_ratio.value().unwrap_or(work / estimate);
+        let clipped = work.clamp(estimate * ratio / MAX_SAMPLE_FACTOR, estimate * ratio * MAX_SAMPLE_FACTOR);
+        stats.cost_ratio.add_sample(clipped, estimate, SAMPLE_WEIGHT);
+        stats.mean_work.add_sample(work, 1.0, SAMPLE_WEIGHT);
+        stats.slowdown.add_sample(thread_time, work, SAMPLE_WEIGHT);
+        let slowdown = self.slowdown.value().unwrap_or(1.0);
+        // The best value slowly rises, so that it follows a lasting change.
+        let risen = self.best_slowdown * (1.0 + SAMPLE_WEIGHT / 100.0);
+        self.best_slowdown = risen.min(slowdown).clamp(1.0, MAX_BEST_SLOWDOWN);
         if let (Some(need), true) = (answer.memory_mb, attempt.request.memory_mb > 0.0) {
             let over = (need / attempt.request.memory_mb).ln() > stats.log_grant_ratio;
-            // Quick at first: a class whose estimates lie low would spill for long.
+            // Large steps at first: otherwise a class with low estimates would spill to disk for a long time.
             let step = GRANT_STEPS[0] + GRANT_STEPS[1] / (1.0 + stats.mean_work.samples);
             stats.log_grant_ratio += step * if over { GRANT_QUANTILE } else { GRANT_QUANTILE - 1.0 };
         }
         if let Some(state) = self.engines.get_mut(&attempt.engine) {
-            state.cost_ratio[class].add_sample(clipped, told, SAMPLE);
-            state.slowdown.add_sample(took, truth, SAMPLE);
+            state.cost_ratio[class].add_sample(clipped, estimate, SAMPLE_WEIGHT);
+            state.slowdown.add_sample(thread_time, work, SAMPLE_WEIGHT);
             state.debt[class] = (state.debt[class] + clipped - attempt.charged_work).max(0.0);
         }
         self.adjust_thread_limits(attempt.engine);
     }
 
-    /// Where no cost is told: the estimate times the least that latency × threads was against it. Latency
-    /// alone would make a slow engine's queries look costly and the engine as fast as ever. An estimate is
-    /// trusted to be no less than `1 / BEST_MOST` of the work.
-    fn work_from_latency(&mut self, request: &Request, took: f64) -> f64 {
-        let told = self.estimated_work(request);
-        let trusted = if request.cost > 0 { BEST_MOST } else { f64::INFINITY };
+    /// Estimates the work where engines do not report it: the estimate times the smallest ratio of
+    /// `thread_time` (latency × threads) to the estimate. The latency alone would make a slow engine's
+    /// queries look costly and the engine itself as fast as ever. Estimates are assumed to be at least `1 /
+    /// MAX_BEST_SLOWDOWN` of the work.
+    fn work_from_latency(&mut self, request: &Request, thread_time: f64) -> f64 {
+        let estimate = self.estimated_work(request);
+        let max_ratio = if request.cost > 0 { MAX_BEST_SLOWDOWN } else { f64::INFINITY };
         let stats = &mut self.class_stats[request.class.0];
-        let most = CLIP * told * stats.best_latency_ratio.unwrap_or(took / told);
-        stats.latency_ratio.add_sample(took.min(most), told, SAMPLE);
-        let pace = stats.latency_ratio.value().unwrap_or(1.0).min(trusted);
-        let best =
-            stats.best_latency_ratio.filter(|_| stats.latency_ratio.samples > LEAN / 2.0).unwrap_or(pace);
-        let best = pace.min(best * (1.0 + SAMPLE / 100.0));
+        let max_sample =
+            MAX_SAMPLE_FACTOR * estimate * stats.best_latency_ratio.unwrap_or(thread_time / estimate);
+        stats.latency_ratio.add_sample(thread_time.min(max_sample), estimate, SAMPLE_WEIGHT);
+        let ratio = stats.latency_ratio.value().unwrap_or(1.0).min(max_ratio);
+        let has_samples = stats.latency_ratio.samples > PRIOR_SAMPLES / 2.0;
+        let best = stats.best_latency_ratio.filter(|_| has_samples).unwrap_or(ratio);
+        let best = ratio.min(best * (1.0 + SAMPLE_WEIGHT / 100.0));
         stats.best_latency_ratio = Some(best);
-        told * best
+        estimate * best
     }
 }
--- a/src/logic/place.rs
+++ b/src/logic/place.rs
@@ -1,12 +1,14 @@
-//! Where a request waits: choosing its engine, the engines' lines, and the load that engines report.
+//! The choice of an engine, the engines' queues and the load that engines report.
 
 use super::*;
 
 impl Gateway {
-    /// Finds an engine's line for a request that has its turn; ends it at once if none passes.
+    /// Puts a request whose order key has its turn into the queue of an engine, or ends it if no engine can
+    /// take it.
     pub(super) fn place(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        // Whoever waits is looked at once a tick: what is due before the next one would get no answer.
-        let next_tick = self.now + WATCH + self.settings.quantum;
+        // Waiting requests are only checked by ticks: one that is due before the next tick would get no
+        // answer.
+        let next_tick = self.now + IDLE_TICK_US + self.settings.quantum;
         if self.open_requests.get(&id).is_some_and(|o| o.request.deadline <= next_tick) {
             return self.end_unserved(id, out);
         }
@@ -15,9 +17,9 @@
         }
         if let Some(engine) = self.engine_to_try(id) {
             self.join_queue(id, engine);
-            self.quarantine_mut(engine).into_iter().for_each(|quarantine| {
-                (quarantine.accepts_trial, quarantine.trial_request) = (false, Some(id))
-            });
+            if let Some(quarantine) = self.quarantine_mut(engine) {
+                (quarantine.accepts_trial, quarantine.trial_request) = (false, Some(id));
+            }
             return self.send(id, engine, out);
         }
         let Some(engine) = self.choose_engine(id) else {
@@ -28,26 +30,26 @@
         self.start_queued(engine, out);
     }
 
-    /// The passing engine with the least debt against its drain, with the reading that it would cost where it
-    /// is not warm for the group. A hash that all gateways share breaks ties.
+    /// Of the engines that may take the request, the one with the smallest debt relative to its drain rate.
+    /// The debt includes the request and the cost of reading its group of tables where that is not warm. Ties
+    /// are broken by a hash that all gateways share.
     fn choose_engine(&mut self, id: RequestId) -> Option<EngineId> {
-        self.engines
-            .keys()
-            .copied()
-            .collect::<Vec<_>>()
-            .into_iter()
-            .for_each(|engine| self.drain_debt(engine));
-        let dice = self.next_random();
+        let engines: Vec<EngineId> = self.engines.keys().copied().collect();
+        engines.into_iter().for_each(|engine| self.drain_debt(engine));
+        let random = self.next_random();
         let open = self.open_requests.get(&id)?;
         let fleet_wait = self.fleet_wait(open);
-        let dear = self.settings.prices.cross_zone * self.mean_worth() / self.class(&open.request).worth;
-        let crossing = clamp_finite(CROSSING * dear, 0.0, 1e3);
+        let relative_price =
+            self.settings.prices.cross_zone * self.mean_worth() / self.class(&open.request).worth;
+        let cross_zone_cost = clamp_finite(CROSS_ZONE_WEIGHT * relative_price, 0.0, 1e3);
         let mut homes = self.usable_engines();
         homes.sort_by_cached_key(|id| mix_bits(open.request.group.0 ^ mix_bits(id.0)));
-        // A load at home would hold up all that waits for it; where no load is told, homes would overflow.
+        // A load on a home engine would delay all queries of its group that wait for loads. Without load
+        // reports the home engines would be overloaded.
         let class = self.class(&open.request);
-        let blind = self.settings.load_reports == LoadReports::None;
-        homes.truncate(if blind || class.is_load || class.waits_for_loads { 0 } else { HOMES });
+        let no_reports = self.settings.load_reports == LoadReports::None;
+        let no_homes = no_reports || class.is_load || class.waits_for_loads;
+        homes.truncate(if no_homes { 0 } else { HOME_ENGINES });
         let mut best: Option<(bool, f64, u64, EngineId)> = None;
         for (&engine, state) in &self.engines {
             if state.quarantine.is_some()
@@ -57,18 +59,20 @@
                 continue;
             }
             let group = open.request.group;
-            let (own, home) = (state.warm_groups.contains(&group), homes.contains(&engine));
-            let warm = [
-                if own { self.fleet_share() } else { 0.0 },
-                if home { 1.0 - self.fleet_share() } else { 0.0 },
-            ];
-            let read = 1.0 + COLD_READ * (1.0 - warm[0] - warm[1]);
-            let debt = state.total_debt() + read * self.predicted_work(&open.request, Some(state));
-            let blocked = if self.is_blocked_by_load(open, engine) { 2.0 } else { 1.0 };
-            let spread = 1.0 + SPREAD * (1.0 - self.fleet_share()) * unit_fraction(mix_bits(dice ^ engine.0));
-            let away = if state.entry.zone == self.settings.zone { 1.0 } else { 1.0 + crossing };
-            let score =
-                away * spread * blocked * debt * self.foreign_load_factor(state) / self.drain_rate(state);
+            // How likely the group is warm: this gateway has read it here, or others have because of the
+            // home.
+            let (read_here, is_home) = (state.warm_groups.contains(&group), homes.contains(&engine));
+            let warm_by_own = if read_here { self.fleet_share() } else { 0.0 };
+            let warm_by_others = if is_home { 1.0 - self.fleet_share() } else { 0.0 };
+            let read_factor = 1.0 + COLD_READ_COST * (1.0 - warm_by_own - warm_by_others);
+            let debt = state.total_debt() + read_factor * self.predicted_work(&open.request, Some(state));
+            let blocked_factor = if self.is_blocked_by_load(open, engine) { 2.0 } else { 1.0 };
+            let random_factor =
+                1.0 + RANDOM_SPREAD * (1.0 - self.fleet_share()) * unit_fraction(mix_bits(random ^ engine.0));
+            let zone_factor =
+                if state.entry.zone == self.settings.zone { 1.0 } else { 1.0 + cross_zone_cost };
+            let score = zone_factor * random_factor * blocked_factor * debt * self.foreign_load_factor(state)
+                / self.drain_rate(state);
             let rank =
                 (open.last_failed_on == Some(engine), score, mix_bits(group.0 ^ mix_bits(engine.0)), engine);
             if best.is_none_or(|b| rank < b) {
@@ -78,13 +82,16 @@
         best.map(|b| b.3)
     }
 
-    /// Debt fits its bucket and the query can finish by its goal; on an idle engine, by its deadline.
+    /// Whether the engine can take the request: its class's debt bucket has room and the query can finish by
+    /// its soft deadline. If engine and fleet are idle, or the soft deadline has passed, the hard deadline
+    /// counts.
     fn admits(&self, open: &OpenRequest, state: &EngineState, fleet_wait: f64) -> bool {
         let request = &open.request;
         let class = request.class.0;
-        let cost = self.predicted_work(request, Some(state));
+        let work = self.predicted_work(request, Some(state));
         let threads = self.threads(request);
-        let run = cost / threads / self.relative_speed(state) * self.slowdown.blended_with(1.0, 3.0).max(1.0);
+        let run = work / threads / self.relative_speed(state)
+            * self.slowdown.blended_with(1.0, FLEET_PRIOR_SAMPLES).max(1.0);
         if fleet_wait == 0.0
             && state.threads == 0.0
             && state.queue.is_empty()
@@ -92,62 +99,73 @@
         {
             return run < request.deadline.saturating_sub(self.now) as f64;
         }
-        let reserve = request.pin.is_some_and(|p| p.uses_reserve);
-        let soft_deadline =
-            if self.now < open.soft_deadline && !reserve { open.soft_deadline } else { request.deadline };
-        let slack = soft_deadline.saturating_sub(self.now) as f64;
+        let uses_reserve = request.pin.is_some_and(|p| p.uses_reserve);
+        let soft = self.now < open.soft_deadline && !uses_reserve;
+        let deadline = if soft { open.soft_deadline } else { request.deadline };
+        let slack = deadline.saturating_sub(self.now) as f64;
         let rate = self.drain_rate(state);
-        let free = self.fits_thread_limit(state, threads) && state.queue.is_empty();
-        let wait = if free { fleet_wait } else { fleet_wait.max(self.work_ahead(open, state) / rate) };
-        let costliest = self.class_stats.iter().filter_map(|l| l.mean_work.value()).fold(1.0, f64::max);
-        let depth = (DEPTH * rate * self.demand_share(class) * slack).max(costliest);
-        let depth = if open.over_quota { depth * OVER_SHARE_DEPTH } else { depth };
-        let shared = if fleet_wait > 0.0 { self.fleet_debt() / self.fleet_drain_rate() } else { 0.0 };
-        let backlog = shared.max(state.total_debt() / rate);
-        let pinch = (self.worth_density(request) / self.mean_density()).powf(PINCH);
-        let pinched = wait > 0.0 && pinch < 1.0 && backlog > slack * pinch;
-        (reserve || state.debt[class] + cost <= depth && !pinched) && wait + run <= slack
+        let starts_at_once = self.fits_thread_limit(state, threads) && state.queue.is_empty();
+        let engine_wait = if starts_at_once { 0.0 } else { self.work_ahead(open, state) / rate };
+        let wait = if starts_at_once { fleet_wait } else { fleet_wait.max(engine_wait) };
+        let mean_work = self.class_stats.iter().filter_map(|stats| stats.mean_work.value());
+        let largest_work = mean_work.fold(1.0, f64::max);
+        let depth = (DEBT_DEPTH * rate * self.demand_share(class) * slack).max(largest_work);
+        let depth = if open.over_quota { depth * OVER_QUOTA_DEPTH_FRACTION } else { depth };
+        let fleet_backlog = if fleet_wait > 0.0 { self.fleet_debt() / self.fleet_drain_rate() } else { 0.0 };
+        let backlog = fleet_backlog.max(state.total_debt() / rate);
+        // A query of little worth for its work is only admitted while the backlog is short.
+        let backlog_factor = (self.worth_density(request) / self.mean_density()).powf(BACKLOG_EXPONENT);
+        let outranked = wait > 0.0 && backlog_factor < 1.0 && backlog > slack * backlog_factor;
+        let fits_debt = state.debt[class] + work <= depth && !outranked;
+        (uses_reserve || fits_debt) && wait + run <= slack
     }
 
-    /// Work before a request in an engine's line, and half of what runs there.
+    /// The work before a request in an engine's queue, and half of the work in flight there.
     pub(super) fn work_ahead(&self, open: &OpenRequest, state: &EngineState) -> f64 {
         let before = state.queue.range(..(open.soft_deadline, open.request.id));
-        let line: f64 = before.filter_map(|(_, id)| self.open_requests.get(id)).map(|o| o.charged_work).sum();
-        line + STANDING * (state.unfinished_work.iter().sum::<f64>() - state.queued_work).max(0.0)
+        let queued: f64 =
+            before.filter_map(|(_, id)| self.open_requests.get(id)).map(|o| o.charged_work).sum();
+        let in_flight = (state.unfinished_work.iter().sum::<f64>() - state.queued_work).max(0.0);
+        queued + UNFINISHED_DEBT_FRACTION * in_flight
     }
 
-    /// Others' work, by the load that an engine reported; an old report fades into what is usual.
+    /// The factor on an engine's score for the work of other gateways, by the load that it reported. An old
+    /// report decays towards the mean load.
     fn foreign_load_factor(&self, state: &EngineState) -> f64 {
-        // A cold engine that has told nothing yet gets turns only: it draws them, or would stand idle.
-        let unheard = if self.is_cold(state) { 0.0 } else { self.mean_load };
-        let Some((load, at)) = state.reported_load else { return 1.0 + OTHERS * unheard };
-        let fresh = (-((self.now - at) as f64) / REPORT_FADES).exp();
-        1.0 + OTHERS * (self.mean_load + (load - self.mean_load) * fresh) * (1.0 - self.fleet_share())
+        // A cold engine gets requests only in turns. Until it reports it counts as idle, so that it gets
+        // them.
+        let default = if self.is_cold(state) { 0.0 } else { self.mean_load };
+        let Some((load, at)) = state.reported_load else { return 1.0 + REPORTED_LOAD_WEIGHT * default };
+        let freshness = (-((self.now - at) as f64) / REPORT_DECAY_US).exp();
+        let load = self.mean_load + (load - self.mean_load) * freshness;
+        1.0 + REPORTED_LOAD_WEIGHT * load * (1.0 - self.fleet_share())
     }
 
-    /// Keeps the load that an engine reports: the busiest of its cores, its disks and its threads against the
-    /// bound. What is in flight shows how far a busy engine is overrun; shares end at 1.
+    /// Records the load that an engine reports: the largest of its cores, its disks and its threads relative
+    /// to the thread limit. Only the threads show how far an engine is overloaded, since the others end at 1.
     pub(super) fn record_load(&mut self, engine: EngineId, load: Load) {
         let threads = self.mean_threads();
         let Some(state) = self.engines.get(&engine) else { return };
-        let running = load.in_flight.map(|n| n * threads / (self.cores(state) * THREADS_PER_CORE));
-        let most = [load.cores, load.disks, running].into_iter().flatten().fold(f64::NAN, f64::max);
-        if most.is_nan() {
+        let running = load.in_flight.map(|n| n * threads / (self.cores(state) * INITIAL_THREADS_PER_CORE));
+        let largest = [load.cores, load.disks, running].into_iter().flatten().fold(f64::NAN, f64::max);
+        if largest.is_nan() {
             return;
         }
-        let told = clamp_finite(most, 0.0, FULL_LOAD);
-        self.mean_load += FLEET_SAMPLE * (told - self.mean_load);
-        self.engines.get_mut(&engine).expect("looked up above").reported_load = Some((told, self.now));
+        let load = clamp_finite(largest, 0.0, FULL_LOAD);
+        self.mean_load += FLEET_SAMPLE_WEIGHT * (load - self.mean_load);
+        self.engines.get_mut(&engine).expect("looked up above").reported_load = Some((load, self.now));
     }
 
-    /// Where load comes with probes alone, each request pays for one, to the engine not heard of for longest.
+    /// Where only probes carry load reports, sends one for each request, to the engine with the oldest
+    /// report.
     pub(super) fn probe_for_load(&mut self, out: &mut Vec<Action>) {
         if !self.settings.may_probe || self.settings.load_reports != LoadReports::WithProbes {
             return;
         }
-        let up = self.engines.iter_mut().filter(|(_, state)| state.is_usable() && !state.probe_in_flight);
-        let oldest = up.min_by_key(|(id, state)| {
-            (state.reported_load.map(|l| l.1), mix_bits(id.0 ^ mix_bits(self.settings.own_id.0)))
+        let idle = self.engines.iter_mut().filter(|(_, state)| state.is_usable() && !state.probe_in_flight);
+        let oldest = idle.min_by_key(|(id, state)| {
+            let reported_at = state.reported_load.map(|(_, at)| at);
+            (reported_at, mix_bits(id.0 ^ mix_bits(self.settings.own_id.0)))
         });
         if let Some((&engine, state)) = oldest {
             state.probe_in_flight = true;
@@ -159,11 +177,11 @@
         let (Some(open), Some(state)) = (self.open_requests.get(&id), self.engines.get(&engine)) else {
             return;
         };
-        let cost = self.predicted_work(&open.request, Some(state));
-        self.enqueue(id, engine, cost);
+        let work = self.predicted_work(&open.request, Some(state));
+        self.enqueue(id, engine, work);
     }
 
-    /// Starts what may start on an engine, earliest deadline first.
+    /// Starts as many queued requests of an engine as possible, earliest soft deadline first.
     pub(super) fn start_queued(&mut self, engine: EngineId, out: &mut Vec<Action>) {
         self.drain_debt(engine);
         loop {
@@ -177,10 +195,11 @@
             }
             let threads = self.threads(&open.request);
             let grant = self.memory_grant(&open.request, state);
-            let full = self.fleet_is_full(&open.request);
-            let room = self.fits_thread_limit(state, threads) && self.has_memory(state, grant) && !full;
-            self.limit_reached |= full;
-            if !room || self.check_dispatch(id, engine) == Verdict::NotNow {
+            let fleet_full = self.fleet_is_full(&open.request);
+            let has_room =
+                self.fits_thread_limit(state, threads) && self.has_memory(state, grant) && !fleet_full;
+            self.limit_reached |= fleet_full;
+            if !has_room || self.check_dispatch(id, engine) == Verdict::NotNow {
                 self.engines.get_mut(&engine).expect("looked up above").limit_reached = true;
                 return;
             }
@@ -188,7 +207,8 @@
         }
     }
 
-    /// An engine with room and nothing waiting takes over the most urgent request that waits elsewhere.
+    /// Moves the queued request with the earliest soft deadline to an engine that has room and an empty
+    /// queue.
     pub(super) fn steal_work(&mut self, engine: EngineId, out: &mut Vec<Action>) {
         let Some(state) = self.engines.get(&engine) else { return };
         if !state.queue.is_empty() || !self.fits_thread_limit(state, 1.0) || !state.is_usable() {
@@ -211,14 +231,13 @@
         }
     }
 
-    /// Places again what waits for an engine that it may not go to any more.
+    /// Places requests again that are queued for an engine that they may no longer use.
     pub(super) fn requeue_disallowed(&mut self, out: &mut Vec<Action>) {
-        let waiting: Vec<(EngineId, RequestId)> = self
-            .engines
-            .iter()
-            .flat_map(|(&engine, state)| state.queue.iter().map(move |l| (engine, l.1)))
-            .collect();
-        for (engine, id) in waiting {
+        let ids = |(&engine, state): (&EngineId, &EngineState)| {
+            state.queue.iter().map(move |&(_, id)| (engine, id)).collect::<Vec<_>>()
+        };
+        let queued: Vec<(EngineId, RequestId)> = self.engines.iter().flat_map(ids).collect();
+        for (engine, id) in queued {
             if self.check_dispatch(id, engine) == Verdict::NotHere {
                 self.dequeue(id);
                 self.place(id, out);
@@ -226,28 +245,30 @@
         }
     }
 
-    /// Places again all that waits for an engine that is not to be used.
+    /// Places all requests again that are queued for an engine.
     pub(super) fn requeue_all(&mut self, engine: EngineId, out: &mut Vec<Action>) {
-        let line = self.engines.get(&engine).map(|state| state.queue.clone()).unwrap_or_default();
-        for (_, id) in line {
+        let queue = self.engines.get(&engine).map(|state| state.queue.clone()).unwrap_or_default();
+        for (_, id) in queue {
             self.dequeue(id);
             self.place(id, out);
         }
     }
 
-    /// Ends what waits and can no longer be served in time; attempts out have a time-out of their own.
+    /// Ends waiting requests that can no longer be served in time. Attempts in flight have time-outs of their
+    /// own.
     pub(super) fn end_hopeless(&mut self, out: &mut Vec<Action>) {
-        let next_tick = self.now + WATCH + self.settings.quantum;
-        let hopeless = |o: &OpenRequest| {
-            let class = self.class(&o.request);
-            let run = self.predicted_work(&o.request, None) / self.threads(&o.request);
-            let end = if class.late_worth > 0.0 { o.request.deadline } else { o.soft_deadline };
-            o.waits() && (o.request.deadline <= next_tick || self.now as f64 + run > end as f64)
+        let next_tick = self.now + IDLE_TICK_US + self.settings.quantum;
+        let is_hopeless = |open: &OpenRequest| {
+            let request = &open.request;
+            let run = self.predicted_work(request, None) / self.threads(request);
+            let late_counts = self.class(request).late_worth > 0.0;
+            let end = if late_counts { request.deadline } else { open.soft_deadline };
+            open.waits() && (request.deadline <= next_tick || self.now as f64 + run > end as f64)
         };
-        let ended: Vec<_> =
-            self.open_requests.iter().filter(|(_, o)| hopeless(o)).map(|(&id, _)| id).collect();
-        ended.into_iter().for_each(|id| self.end_unserved(id, out));
-        // What is late in its line moves behind: in the order of deadlines it would make the rest late.
+        let hopeless = self.open_requests.iter().filter(|(_, open)| is_hopeless(open));
+        let hopeless: Vec<RequestId> = hopeless.map(|(&id, _)| id).collect();
+        hopeless.into_iter().for_each(|id| self.end_unserved(id, out));
+        // Late requests move back in their queues: by their soft deadlines they would delay the others.
         self.demote_late();
     }
 }
--- a/src/logic/tuned.rs
+++ b/src/logic/tuned.rs
@@ -1,107 +1,134 @@
-//! Tuned values.
+//! The constants of the decisions.
 
 use crate::api::Micros;
 
-/// The tick; also how early before its deadline a waiting request is ended.
-pub(super) const TICK: Micros = 20_000;
-/// The tick while nothing waits in a line: it only watches attempts that are out.
-pub(super) const WATCH: Micros = 60_000;
-/// Weight of one sample in the averages of cost, slowness and use: about the last thirty.
-pub(super) const SAMPLE: f64 = 0.03;
-/// A sample of k counts at most this many times the class's k (or this part): one bad plan is no rule.
-pub(super) const CLIP: f64 = 4.0;
-/// Sample weight in the fleet's slowness, up to twice at small shares; the most that its best may be.
-pub(super) const FLEET_SAMPLE: f64 = 0.1;
-pub(super) const BEST_MOST: f64 = 1.5;
-/// Bounds of the part of the fleet's bound that a query may find held and still start.
-pub(super) const REACH: [f64; 2] = [0.5, 4.0];
-/// Part of the share of the fleet's memory that may be granted before the fleet counts as full.
-pub(super) const MEMORY_PART: f64 = 0.6;
-/// How much a reported load of 1 weighs against own debt, how fast reports fade, and what "full" counts: no
-/// session or no memory left, which reports need not tell of.
-pub(super) const OTHERS: f64 = 2.0;
-pub(super) const REPORT_FADES: f64 = 2e6;
+/// The time between two ticks while a request waits.
+pub(super) const TICK_US: Micros = 20_000;
+/// The time between two ticks while no request waits and only attempts in flight are watched. A waiting
+/// request is also ended if its deadline is closer than this.
+pub(super) const IDLE_TICK_US: Micros = 60_000;
+/// The weight of a sample in the averages of cost, slowdown and demand: about the last thirty samples count.
+pub(super) const SAMPLE_WEIGHT: f64 = 0.03;
+/// A sample of a class's cost ratio is clipped to the ratio times or divided by this, so that one bad query
+/// plan does not dominate the average.
+pub(super) const MAX_SAMPLE_FACTOR: f64 = 4.0;
+/// The weight of a sample in the fleet's slowdown and mean load. For the slowdown it is up to twice as large
+/// where this gateway's share is small.
+pub(super) const FLEET_SAMPLE_WEIGHT: f64 = 0.1;
+/// The upper limit of the best slowdown seen, and of the work per estimate assumed where work is not
+/// reported.
+pub(super) const MAX_BEST_SLOWDOWN: f64 = 1.5;
+/// The lower and upper limit of the factor by which a query's worth density scales the fleet's limit.
+pub(super) const FLEET_LIMIT_FACTORS: [f64; 2] = [0.5, 4.0];
+/// The fraction of this gateway's share of memory that may be granted before the fleet counts as full.
+pub(super) const FLEET_MEMORY_FRACTION: f64 = 0.6;
+/// How much a reported load of 1 adds to the score of an engine, relative to its own debt.
+pub(super) const REPORTED_LOAD_WEIGHT: f64 = 2.0;
+/// The time constant with which a load report decays towards the mean load.
+pub(super) const REPORT_DECAY_US: f64 = 2e6;
+/// The load assumed of an engine that has no session or no memory left, which its reports may not show.
 pub(super) const FULL_LOAD: f64 = 10.0;
-/// How much the price of crossing zones weighs in a choice, as a part of the worth at stake.
-pub(super) const CROSSING: f64 = 10.0;
-/// Random part of a choice where gateways are many: with the same news they would all choose the same.
-pub(super) const SPREAD: f64 = 0.1;
-/// As many samples of an engine weigh as much as the class's average over all engines.
-pub(super) const LEAN: f64 = 20.0;
-/// Threads for each core of the share at the start; cores stand idle while their query reads.
-pub(super) const THREADS_PER_CORE: f64 = 1.7;
-/// Slowness against the best seen under which the thread bound widens, and over which it is cut.
-pub(super) const WIDEN_UNDER: f64 = 1.5;
-pub(super) const CUT_OVER: f64 = 2.3;
-/// One step of widening and of cutting, and the least time between two steps of an engine.
-pub(super) const WIDEN: f64 = 1.1;
-pub(super) const CUT: f64 = 0.9;
-pub(super) const CUT_MOST: f64 = 0.6;
-pub(super) const STEP_EVERY: Micros = 150_000;
-/// How far this gateway's share of an idle fleet is lifted, and the reported load at which that ends.
-pub(super) const LIFT: f64 = 1.0;
-pub(super) const ROOM: f64 = 0.9;
-/// How far the bound may be cut under its start, and how far it may pass one gateway's whole engine.
-pub(super) const NARROWEST: f64 = 1.0;
-pub(super) const WIDEST: f64 = 1.8;
-/// Work that a group of tables costs more where it is not warm, in the choice of an engine.
-pub(super) const COLD_READ: f64 = 0.35;
-/// Engines that all gateways take for a group's homes, warm for it; what one read itself counts by its share.
-pub(super) const HOMES: usize = 2;
-/// Groups that an engine is thought to keep warm.
-pub(super) const WARM_GROUPS: usize = 4;
-/// Share of the debt that stays until answered: an engine that does not get on keeps it, for any reason.
-pub(super) const STANDING: f64 = 0.5;
-/// Drain share that a class keeps however seldom it comes.
-pub(super) const LEAST_USE: f64 = 0.05;
-/// An attempt is given up after this many times its usual time and a span; later where that frees nothing.
-pub(super) const PATIENCE: f64 = 8.0;
-pub(super) const PATIENCE_SPAN: Micros = 1_000_000;
-pub(super) const STUBBORN: f64 = 2.0;
-/// An attempt is overdue after this many times its usual time, and this span more.
-pub(super) const OVERDUE: f64 = 3.0;
-pub(super) const OVERDUE_SPAN: Micros = 700_000;
-/// Where engines tell of attempts: silent after this many periods without a word.
-pub(super) const NOTES_MISSED: f64 = 2.5;
-/// A fresh attempt takes the place of one that has this many times the fresh one's time still to run.
-pub(super) const RESTART: f64 = 4.0;
-/// It is ended if even this part of the time that it still seems to need is more than its client waits.
-pub(super) const HOPELESS: f64 = 0.6;
-/// A gap between events as long as this is our own stall: what came meanwhile proves no silence.
-pub(super) const STALL: Micros = 4 * WATCH;
-/// Weight of one outcome in an engine's share of failures, and the share over which it is sick.
-pub(super) const FAIL_SAMPLE: f64 = 0.2;
-pub(super) const NO_CONNECTION: f64 = 0.5;
-/// A connection that broke while its engine's process goes on tells more of the way there than of the engine.
-pub(super) const BROKEN: f64 = 0.05;
-pub(super) const FAIL_OVER: f64 = 0.35;
-/// How much of its peers' share of failures an engine is granted: what all share condemns none.
-pub(super) const FLEET_FAILS: f64 = 2.0;
-/// Good trials in a row before a sick engine is well; the first wait for a trial, and the longest.
-pub(super) const TRIALS: u32 = 3;
-pub(super) const TRIAL_FIRST: Micros = 500_000;
-pub(super) const TRIAL_LONGEST: Micros = 4_000_000;
-/// How long an attempt may stay unanswered past its time before its record is dropped.
-pub(super) const FORGET: Micros = 60_000_000;
-/// The quantile of need against estimate that a memory grant covers; its start, a step, more at the first.
+/// The weight of the price of crossing zones in the choice of an engine, relative to the worth at stake.
+pub(super) const CROSS_ZONE_WEIGHT: f64 = 10.0;
+/// The random part of an engine's score: many gateways with the same information would all choose the same
+/// engine.
+pub(super) const RANDOM_SPREAD: f64 = 0.1;
+/// The average over all engines counts as much as this many samples of a single engine.
+pub(super) const PRIOR_SAMPLES: f64 = 20.0;
+/// The initial value of the fleet's slowdown counts as much as this many samples.
+pub(super) const FLEET_PRIOR_SAMPLES: f64 = 3.0;
+/// The initial limit of threads for each core; more than 1 because cores idle while their query reads.
+pub(super) const INITIAL_THREADS_PER_CORE: f64 = 1.7;
+/// The thread limit is raised while the slowdown is below this multiple of the best seen.
+pub(super) const RAISE_LIMIT_BELOW: f64 = 1.5;
+/// The thread limit is cut while the slowdown is above this multiple of the best seen.
+pub(super) const CUT_LIMIT_ABOVE: f64 = 2.3;
+/// The factor of one raise of the thread limit.
+pub(super) const LIMIT_RAISE_FACTOR: f64 = 1.1;
+/// The bounds of the factor of one cut of the thread limit.
+pub(super) const LIMIT_CUT_FACTOR: f64 = 0.9;
+pub(super) const MIN_LIMIT_CUT_FACTOR: f64 = 0.6;
+/// The shortest time between two changes of the same thread limit.
+pub(super) const LIMIT_INTERVAL_US: Micros = 150_000;
+/// How much this gateway's share grows on an idle fleet, as a fraction of the share.
+pub(super) const MAX_SHARE_BOOST: f64 = 1.0;
+/// The mean load from which the share does not grow any more.
+pub(super) const SHARE_BOOST_END_LOAD: f64 = 0.9;
+/// The bounds of the thread limit: the lower for each core of this gateway's share, the upper for each core
+/// in total.
+pub(super) const MIN_THREADS_PER_CORE: f64 = 1.0;
+pub(super) const MAX_THREADS_PER_CORE: f64 = 1.8;
+/// The extra cost of reading a group of tables that is not warm, as a fraction of the query's work.
+pub(super) const COLD_READ_COST: f64 = 0.35;
+/// The number of engines that all gateways choose as the homes of a group of tables and expect to be warm for
+/// it.
+pub(super) const HOME_ENGINES: usize = 2;
+/// The number of groups of tables that an engine is assumed to keep warm.
+pub(super) const WARM_GROUPS_PER_ENGINE: usize = 4;
+/// The fraction of unfinished work that stays in the debt until it is answered: an engine that makes no
+/// progress keeps its debt, for whatever reason.
+pub(super) const UNFINISHED_DEBT_FRACTION: f64 = 0.5;
+/// The smallest share of the drain that a class has, however rare its requests are.
+pub(super) const MIN_DEMAND_SHARE: f64 = 0.05;
+/// An attempt times out after this multiple of its expected duration plus a margin.
+pub(super) const TIMEOUT_FACTOR: f64 = 8.0;
+pub(super) const TIMEOUT_MARGIN_US: Micros = 1_000_000;
+/// The factor on that time-out where attempts can't be cancelled, so that giving one up frees nothing.
+pub(super) const NO_CANCEL_TIMEOUT_FACTOR: f64 = 2.0;
+/// An attempt is overdue after this multiple of its expected duration plus a margin.
+pub(super) const OVERDUE_FACTOR: f64 = 3.0;
+pub(super) const OVERDUE_MARGIN_US: Micros = 700_000;
+/// Where engines send notes, an engine is silent after this many note periods without a message.
+pub(super) const MAX_MISSED_NOTES: f64 = 2.5;
+/// An attempt is replaced if its remaining time exceeds this multiple of a new attempt's expected duration.
+pub(super) const RESTART_FACTOR: f64 = 4.0;
+/// A request is ended if this fraction of its attempt's estimated remaining time exceeds the time to its
+/// deadline.
+pub(super) const HOPELESS_FACTOR: f64 = 0.6;
+/// A gap between events of this length means that this process stalled: that nothing arrived in it does not
+/// show that an engine was silent.
+pub(super) const STALL_US: Micros = 4 * IDLE_TICK_US;
+/// The weight of one outcome in an engine's failure rate.
+pub(super) const FAILURE_SAMPLE_WEIGHT: f64 = 0.2;
+/// The same for a failure to connect.
+pub(super) const CONNECT_FAILURE_WEIGHT: f64 = 0.5;
+/// The same for a broken connection to a live process, which is more likely a fault of the network.
+pub(super) const BROKEN_CONNECTION_WEIGHT: f64 = 0.05;
+/// The failure rate above which an engine is quarantined,
+pub(super) const QUARANTINE_FAILURE_RATE: f64 = 0.35;
+/// plus this multiple of the other engines' failure rate: a fault that all engines share quarantines none.
+pub(super) const FLEET_FAILURE_FACTOR: f64 = 2.0;
+/// The number of successful trials in a row that end a quarantine.
+pub(super) const TRIALS_TO_RECOVER: u32 = 3;
+/// The time to the first trial, and the longest time between two trials.
+pub(super) const FIRST_TRIAL_DELAY_US: Micros = 500_000;
+pub(super) const MAX_TRIAL_DELAY_US: Micros = 4_000_000;
+/// How long the record of an unanswered attempt is kept after its time-out.
+pub(super) const UNANSWERED_RETENTION_US: Micros = 60_000_000;
+/// The quantile of a class's memory need, relative to the estimate, that a grant covers.
 pub(super) const GRANT_QUANTILE: f64 = 0.9;
-pub(super) const GRANT_START: f64 = 1.25;
+/// The initial memory grant, relative to the estimate.
+pub(super) const INITIAL_GRANT_RATIO: f64 = 1.25;
+/// The step by which a sample moves the logarithm of that ratio, and the addition to it for the first sample,
+/// which shrinks as samples come in.
 pub(super) const GRANT_STEPS: [f64; 2] = [0.06, 0.3];
-/// Part of the cold budget used: a window may touch two turns.
-pub(super) const COLD_MARGIN: f64 = 0.5;
-/// Variance of the work within a class, against the square of its mean; nothing tells it.
-pub(super) const WORK_VARIANCE: f64 = 2.0;
-/// How far a cold engine is thought to have warmed by the end of its span: how it gets there is not told.
-pub(super) const COLD_RAMP: f64 = 0.5;
-/// Power of worth for work against the average by which the backlog that a request may find shrinks.
-pub(super) const PINCH: f64 = 2.0;
-/// Depth of a bucket against what it drains in the time that a request has.
-pub(super) const DEPTH: f64 = 2.5;
-/// Worth for its work against the average that lifts a query one rank, and another.
-pub(super) const RANKS: [f64; 2] = [0.5, 1.0];
-/// Requests beyond their tenant's share find buckets of this depth against the usual.
-pub(super) const OVER_SHARE_DEPTH: f64 = 0.25;
-/// Seconds of a tenant's quota that may come at once.
-pub(super) const QUOTA_BURST: f64 = 2.0;
-/// Stand-in for a class's work while nothing is told or learned: this part of its aim, on each thread.
-pub(super) const UNKNOWN_COST: f64 = 0.25;
+/// The fraction of a cold engine's budget that is used, because a window may overlap two turns.
+pub(super) const COLD_BUDGET_FRACTION: f64 = 0.5;
+/// The assumed variance of the work within a class, relative to the square of its mean; it is not reported.
+pub(super) const RELATIVE_WORK_VARIANCE: f64 = 2.0;
+/// The fraction of the missing capacity that a cold engine is assumed to gain during its cold span. How it
+/// warms up is unknown.
+pub(super) const COLD_WARM_UP_FRACTION: f64 = 0.5;
+/// The exponent by which a worth density below the average shrinks the backlog in front of which a request is
+/// admitted.
+pub(super) const BACKLOG_EXPONENT: f64 = 2.0;
+/// The depth of a class's debt bucket, relative to what drains from it in the time that the request has.
+pub(super) const DEBT_DEPTH: f64 = 2.5;
+/// The worth densities, relative to the average, from which a query's priority is one and two levels higher.
+pub(super) const PRIORITY_DENSITIES: [f64; 2] = [0.5, 1.0];
+/// The depth of the debt bucket for requests beyond their tenant's quota, relative to the usual depth.
+pub(super) const OVER_QUOTA_DEPTH_FRACTION: f64 = 0.25;
+/// The burst of a tenant's token bucket, in seconds of its quota.
+pub(super) const QUOTA_BURST_S: f64 = 2.0;
+/// The work assumed of a class without estimates, as a fraction of its latency target on each thread.
+pub(super) const UNKNOWN_WORK_FRACTION: f64 = 0.25;
--- a/src/state.rs
+++ b/src/state.rs
@@ -69,7 +69,7 @@
     pub slowdown: DecayedRatio,
     /// The limit of threads for each core of this gateway's share of the engine.
     pub threads_per_core: f64,
-    pub limit_changed_at: Micros,
+    pub limit_checked_at: Micros,
     /// A request had to wait for this engine since the limit was last adjusted.
     pub limit_reached: bool,
     /// The predicted work of the requests in `queue`.
@@ -108,7 +108,7 @@
             cost_ratio: vec![DecayedRatio::default(); classes],
             slowdown: DecayedRatio::default(),
             threads_per_core,
-            limit_changed_at: now,
+            limit_checked_at: now,
             limit_reached: false,
             queued_work: 0.0,
             queue: BTreeSet::new(),
@@ -379,7 +379,7 @@
     pub(crate) slowdown: DecayedRatio,
     /// The limit of threads for each core of this gateway's share of the fleet.
     pub(crate) threads_per_core: f64,
-    pub(crate) limit_changed_at: Micros,
+    pub(crate) limit_checked_at: Micros,
     /// A request had to wait for the fleet since the limit was last adjusted.
     pub(crate) limit_reached: bool,
     /// The median slowdown of the engines. This and the next two are refreshed by events, not by ticks.
@@ -422,7 +422,7 @@
             best_slowdown: f64::INFINITY,
             slowdown: DecayedRatio::default(),
             threads_per_core: 1.0,
-            limit_changed_at: 0,
+            limit_checked_at: 0,
             limit_reached: false,
             median_slowdown: 1.0,
             usable_cores: 0.0,
