--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,6 +1,7 @@
-//! violetward decides for a query gateway: what runs, on which engine, with how much memory.
+//! violetward makes the decisions of a query gateway: which requests to admit, to which engine to send them
+//! and how much memory to grant.
 //!
-//! It is a library of decisions. The host owns the clock, the network and the timers; it passes each
+//! It has no input or output of its own. The host owns the clock, the network and the timers; it passes each
 //! [`Event`] with the time to [`Gateway::handle`] and carries out the [`Action`]s in order.
 //!
 //! ```
@@ -81,15 +82,18 @@
 //!
 //! # The contract
 //!
-//! - **Time** is the host's and goes forward; a time before the last one counts as the last one.
-//! - **Order**: events are passed in the order in which they arrive, actions are carried out as listed.
-//! - **Timers**: each [`Action::Arm`] comes back once as [`Event::Elapsed`]; late is allowed, early is not.
-//! - **Over**: a request is over after [`Action::Refuse`], [`Action::Fail`], [`Event::Lapsed`] or an
-//!   [`Answer`] marked complete. Attempts still out get their [`Answer`] nonetheless.
-//! - **Notes and loads**: [`Event::Note`] tells of an attempt that is out, [`Load`] what an engine reports, as told
-//!   and however late; what is missing stays `None`, what is absurd or of an unknown attempt does no harm.
+//! - **Time** comes from the host and is monotonic; a time before the last one counts as the last one.
+//! - **Order**: events are passed in the order in which they arrive, actions are carried out in the order
+//!   listed.
+//! - **Timers**: each [`Action::Arm`] comes back once as [`Event::Elapsed`], possibly late but never early.
+//! - **End of a request**: a request is over after [`Action::Refuse`], [`Action::Fail`], [`Event::Lapsed`] or
+//!   an [`Answer`] with `complete`. Attempts still in flight get their [`Answer`] nonetheless.
+//! - **Reports**: the host passes on what engines report, as it is and however late: [`Event::Note`] for an
+//!   attempt in flight, [`Load`] for an engine. Missing values are `None`; implausible values and notes on
+//!   unknown attempts are harmless.
 //! - **Determinism**: the same settings, seed and events give the same actions.
-//! - Events that name something unknown, over or repeated are ignored.
+//! - **Unknown ids**: events on requests, attempts or engines that are unknown or over are ignored, and so
+//!   are repeated events.
 
 mod api;
 mod logic;
@@ -98,13 +102,13 @@
 pub use api::*;
 pub use state::Gateway;
 
-/// Who decides. In service that is the module's [`Gateway`] and nothing else; experiments put a baseline in its place,
-/// to run the same day through the same gateway.
+/// A decision module. In production it is always [`Gateway`]. Experiments substitute a baseline, to run the
+/// same load through the same host with other decisions.
 pub trait Decide {
-    /// Decides on one event; see [`Gateway::handle`].
+    /// Decides on one event as [`Gateway::handle`] does.
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>);
 
-    /// Engines that are left alone since they are sick; none where that is not known.
+    /// The engines that get no requests because they seem sick; none if the module does not track that.
     fn quarantined_engines(&self) -> Vec<EngineId> {
         Vec::new()
     }
