--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -236,9 +236,9 @@
             group: vw::GroupId(source_set as u64),
             key: order_key.map(vw::OrderKey),
             is_retry,
-            marked: true,
+            has_dedup_key: true,
             pin: None,
-            due: due_us,
+            deadline: due_us,
         }),
         News::Lapsed { job } => vw::Event::Lapsed(request(&job)?),
         News::Streaming { job } => vw::Event::Streaming(request(&job)?),
@@ -247,7 +247,9 @@
             ok: reason == "ok",
             load: load_from_stats(&server_stats),
         },
-        News::NoteFrom { neighbour, data } => vw::Event::Heard { from: vw::PeerId(neighbour), text: data },
+        News::NoteFrom { neighbour, data } => {
+            vw::Event::PeerMessage { from: vw::PeerId(neighbour), text: data }
+        }
         News::Answer { job, send_no, reason, time_taken_us, complete, stats, server_stats } => {
             vw::Event::Answer(vw::Answer {
                 id: request(&job)?,
@@ -305,7 +307,7 @@
         vw::Action::Fail(id) => Output::Abort { job: job(id) },
         vw::Action::Cancel { id, attempt } => Output::Cancel { job: job(id), send_no: attempt },
         vw::Action::Probe(engine) => Output::SoundOut { node: nodes.get(&engine)?.clone() },
-        vw::Action::Tell(text) => Output::Announce { dst: "all", data: text },
+        vw::Action::Broadcast(text) => Output::Announce { dst: "all", data: text },
         vw::Action::Arm { handle, span } => Output::Arm { handle, span_us: span },
         vw::Action::Subscribe => Output::Tail { active: true },
         vw::Action::FetchList => Output::Lookup {},
--- a/crates/gateway/src/core/sights.rs
+++ b/crates/gateway/src/core/sights.rs
@@ -80,7 +80,7 @@
             costs: BTreeMap::new(),
             waits: vec![(0.0, 0); classes.len()],
             totals: BTreeMap::new(),
-            aims: classes.iter().map(|c| c.aim.max(1) as f64).collect(),
+            aims: classes.iter().map(|c| c.latency_target.max(1) as f64).collect(),
         }
     }
 
@@ -186,10 +186,10 @@
         self.sights.as_deref_mut()
     }
 
-    /// The parts of requests that are let in: see [`Event::Keep`].
+    /// The parts of requests that are let in: see [`Event::AdmitFractions`].
     pub fn keep(&mut self, now: Micros, [own, guests]: [Vec<f64>; 2], back: Micros) {
         self.pass(now);
-        self.inbox.push_back(Event::Keep { own, guests, back });
+        self.inbox.push_back(Event::AdmitFractions { own, guests, min_retry_after: back });
         self.run();
     }
 
@@ -234,9 +234,9 @@
             group: GroupId(0),
             key: None,
             is_retry: false,
-            marked: false,
+            has_dedup_key: false,
             pin: None,
-            due: 1,
+            deadline: 1,
         }
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,18 +1,19 @@
-//! violetward decides for a query gateway: what runs, on which engine, with how much memory.
+//! violetward makes the decisions of a query gateway: which requests to admit, to which engine to send them
+//! and how much memory to grant.
 //!
-//! It is a library of decisions. The host owns the clock, the network and the timers; it passes each
+//! It has no input or output of its own. The host owns the clock, the network and the timers; it passes each
 //! [`Event`] with the time to [`Gateway::handle`] and carries out the [`Action`]s in order.
 //!
 //! ```
 //! use violetward::*;
 //!
 //! let settings = Settings {
-//!     me: PeerId(0),
+//!     own_id: PeerId(0),
 //!     gateways: 1,
 //!     classes: vec![Class {
-//!         aim: 1_000_000,
-//!         aim_stretch: 2.0,
-//!         give_up: 5_000_000,
+//!         latency_target: 1_000_000,
+//!         target_stretch: 2.0,
+//!         client_timeout: 5_000_000,
 //!         worth: 1.0,
 //!         late_worth: 0.0,
 //!         effect: Effect::Repeatable,
@@ -29,21 +30,21 @@
 //!     grants: true,
 //!     priorities: false,
 //!     grant_cap: 0.4,
-//!     when_short: WhenShort::LineUp,
-//!     tells_cost: true,
-//!     ask_within: None,
-//!     cold_from: 0.3,
+//!     memory_shortage: MemoryShortage::Queue,
+//!     reports_cost: true,
+//!     list_poll_interval: None,
+//!     cold_capacity: 0.3,
 //!     cold_span: 15_000_000,
-//!     fall_multiple: 4.0,
-//!     fall_span: 1_500_000,
-//!     key_rest: 0,
+//!     overload_multiple: 4.0,
+//!     overload_span: 1_500_000,
+//!     key_cooldown: 0,
 //!     budget: None,
 //!     attempts_cap: 3,
 //!     may_cancel: true,
 //!     may_duplicate: false,
 //!     may_probe: true,
 //!     peer_messages: false,
-//!     retry_advice: None,
+//!     max_retry_after: None,
 //!     quantum: 5_000,
 //!     zone: ZoneId(0),
 //!     note_period: None,
@@ -71,9 +72,9 @@
 //!     group: GroupId(3),
 //!     key: None,
 //!     is_retry: false,
-//!     marked: true,
+//!     has_dedup_key: true,
 //!     pin: None,
-//!     due: 5_000_000,
+//!     deadline: 5_000_000,
 //! };
 //! gateway.handle(10, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|a| matches!(a, Action::Dispatch { engine: EngineId(1), .. })));
@@ -81,15 +82,18 @@
 //!
 //! # The contract
 //!
-//! - **Time** is the host's and goes forward; a time before the last one counts as the last one.
-//! - **Order**: events are passed in the order in which they arrive, actions are carried out as listed.
-//! - **Timers**: each [`Action::Arm`] comes back once as [`Event::Elapsed`]; late is allowed, early is not.
-//! - **Over**: a request is over after [`Action::Refuse`], [`Action::Fail`], [`Event::Lapsed`] or an
-//!   [`Answer`] marked complete. Attempts still out get their [`Answer`] nonetheless.
-//! - **Notes and loads**: [`Event::Note`] tells of an attempt that is out, [`Load`] what an engine reports, as told
-//!   and however late; what is missing stays `None`, what is absurd or of an unknown attempt does no harm.
+//! - **Time** comes from the host and is monotonic; a time before the last one counts as the last one.
+//! - **Order**: events are passed in the order in which they arrive, actions are carried out in the order
+//!   listed.
+//! - **Timers**: each [`Action::Arm`] comes back once as [`Event::Elapsed`], possibly late but never early.
+//! - **End of a request**: a request is over after [`Action::Refuse`], [`Action::Fail`], [`Event::Lapsed`] or
+//!   an [`Answer`] with `complete`. Attempts still in flight get their [`Answer`] nonetheless.
+//! - **Reports**: the host passes on what engines report, as it is and however late: [`Event::Note`] for an
+//!   attempt in flight, [`Load`] for an engine. Missing values are `None`; implausible values and notes on
+//!   unknown attempts are harmless.
 //! - **Determinism**: the same settings, seed and events give the same actions.
-//! - Events that name something unknown, over or repeated are ignored.
+//! - **Unknown ids**: events on requests, attempts or engines that are unknown or over are ignored, and so
+//!   are repeated events.
 
 mod api;
 mod logic;
@@ -98,14 +102,14 @@
 pub use api::*;
 pub use state::Gateway;
 
-/// Who decides. In service that is the module's [`Gateway`] and nothing else; experiments put a baseline in its place,
-/// to run the same day through the same gateway.
+/// A decision module. In production it is always [`Gateway`]. Experiments substitute a baseline, to run the
+/// same load through the same host with other decisions.
 pub trait Decide {
-    /// Decides on one event; see [`Gateway::handle`].
+    /// Decides on one event as [`Gateway::handle`] does.
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>);
 
-    /// Engines that are left alone since they are sick; none where that is not known.
-    fn left_alone(&self) -> Vec<EngineId> {
+    /// The engines that get no requests because they seem sick; none if the module does not track that.
+    fn quarantined_engines(&self) -> Vec<EngineId> {
         Vec::new()
     }
 }
@@ -115,7 +119,7 @@
         Gateway::handle(self, now, event, out);
     }
 
-    fn left_alone(&self) -> Vec<EngineId> {
-        self.engines.iter().filter(|(_, e)| e.sick.is_some()).map(|(id, _)| *id).collect()
+    fn quarantined_engines(&self) -> Vec<EngineId> {
+        self.engines.iter().filter(|(_, e)| e.quarantine.is_some()).map(|(id, _)| *id).collect()
     }
 }
--- a/src/logic/place.rs
+++ b/src/logic/place.rs
@@ -1,61 +1,80 @@
-//! Where a request waits: choosing its engine, the engines' lines, and the load that engines report.
+//! The choice of an engine, the engines' queues and the load that engines report.
 
 use super::*;
 
 impl Gateway {
-    /// Finds an engine's line for a request that has its turn; ends it at once if none passes.
+    /// Puts a request whose order key has its turn into the queue of an engine, or ends it if no engine can
+    /// take it.
     pub(super) fn place(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        // Whoever waits is looked at once a tick: what is due before the next one would get no answer.
-        let next_tick = self.now + WATCH + self.settings.quantum;
-        if self.open.get(&id).is_some_and(|o| o.request.due <= next_tick) {
-            return self.end(id, out);
+        // Waiting requests are only checked by ticks: one that is due before the next tick would get no
+        // answer.
+        let next_tick = self.now + IDLE_TICK_US + self.settings.quantum;
+        if self.open_requests.get(&id).is_some_and(|o| o.request.deadline <= next_tick) {
+            return self.end_unserved(id, out);
         }
         if !self.has_turn(id) {
             return;
         }
-        if let Some(engine) = self.trial_for(id) {
-            self.join(id, engine);
-            self.sick(engine).into_iter().for_each(|sick| (sick.ready, sick.trial) = (false, Some(id)));
+        if let Some(engine) = self.engine_to_try(id) {
+            self.join_queue(id, engine);
+            if let Some(quarantine) = self.quarantine_mut(engine) {
+                (quarantine.accepts_trial, quarantine.trial_request) = (false, Some(id));
+            }
             return self.send(id, engine, out);
         }
-        let Some(engine) = self.choose(id) else {
-            self.pressed |= self.open.get(&id).is_some_and(|o| self.fleet_is_full(&o.request));
-            return self.end(id, out);
+        let Some(engine) = self.choose_engine(id) else {
+            self.limit_reached |= self.open_requests.get(&id).is_some_and(|o| self.fleet_is_full(&o.request));
+            return self.end_unserved(id, out);
         };
-        self.join(id, engine);
-        self.pump(engine, out);
+        self.join_queue(id, engine);
+        self.start_queued(engine, out);
     }
 
-    /// The passing engine with the least debt against its drain, with the reading that it would cost where it
-    /// is not warm for the group. A hash that all gateways share breaks ties.
-    fn choose(&mut self, id: RequestId) -> Option<EngineId> {
-        self.engines.keys().copied().collect::<Vec<_>>().into_iter().for_each(|engine| self.drain(engine));
-        let dice = self.draw();
-        let open = self.open.get(&id)?;
+    /// Of the engines that may take the request, the one with the smallest debt relative to its drain rate.
+    /// The debt includes the request and the cost of reading its group of tables where that is not warm. Ties
+    /// are broken by a hash that all gateways share.
+    fn choose_engine(&mut self, id: RequestId) -> Option<EngineId> {
+        let engines: Vec<EngineId> = self.engines.keys().copied().collect();
+        engines.into_iter().for_each(|engine| self.drain_debt(engine));
+        let random = self.next_random();
+        let open = self.open_requests.get(&id)?;
         let fleet_wait = self.fleet_wait(open);
-        let dear = self.settings.prices.cross_zone * self.usual_worth() / self.class(&open.request).worth;
-        let crossing = finite(CROSSING * dear, 0.0, 1e3);
-        let mut homes = self.well();
-        homes.sort_by_cached_key(|id| mix(open.request.group.0 ^ mix(id.0)));
-        // A load at home would hold up all that waits for it; where no load is told, homes would overflow.
+        let relative_price =
+            self.settings.prices.cross_zone * self.mean_worth() / self.class(&open.request).worth;
+        let cross_zone_cost = clamp_finite(CROSS_ZONE_WEIGHT * relative_price, 0.0, 1e3);
+        let mut homes = self.usable_engines();
+        homes.sort_by_cached_key(|id| mix_bits(open.request.group.0 ^ mix_bits(id.0)));
+        // A load on a home engine would delay all queries of its group that wait for loads. Without load
+        // reports the home engines would be overloaded.
         let class = self.class(&open.request);
-        let blind = self.settings.load_reports == LoadReports::None;
-        homes.truncate(if blind || class.is_load || class.waits_for_loads { 0 } else { HOMES });
+        let no_reports = self.settings.load_reports == LoadReports::None;
+        let no_homes = no_reports || class.is_load || class.waits_for_loads;
+        homes.truncate(if no_homes { 0 } else { HOME_ENGINES });
         let mut best: Option<(bool, f64, u64, EngineId)> = None;
-        for (&engine, e) in &self.engines {
-            if e.sick.is_some() || self.guard(id, engine) == Leave::No || !self.passes(open, e, fleet_wait) {
+        for (&engine, state) in &self.engines {
+            if state.quarantine.is_some()
+                || self.check_dispatch(id, engine) == Verdict::NotHere
+                || !self.admits(open, state, fleet_wait)
+            {
                 continue;
             }
             let group = open.request.group;
-            let (own, home) = (e.warm.contains(&group), homes.contains(&engine));
-            let warm = [if own { self.share() } else { 0.0 }, if home { 1.0 - self.share() } else { 0.0 }];
-            let read = 1.0 + COLD_READ * (1.0 - warm[0] - warm[1]);
-            let debt = e.total_debt() + read * self.cost(&open.request, Some(e));
-            let blocked = if self.is_blocked(open, engine) { 2.0 } else { 1.0 };
-            let spread = 1.0 + SPREAD * (1.0 - self.share()) * unit(mix(dice ^ engine.0));
-            let away = if e.entry.zone == self.settings.zone { 1.0 } else { 1.0 + crossing };
-            let score = away * spread * blocked * debt * self.others(e) / self.drain_rate(e);
-            let rank = (open.avoid == Some(engine), score, mix(group.0 ^ mix(engine.0)), engine);
+            // How likely the group is warm: this gateway has read it here, or others have because of the
+            // home.
+            let (read_here, is_home) = (state.warm_groups.contains(&group), homes.contains(&engine));
+            let warm_by_own = if read_here { self.fleet_share() } else { 0.0 };
+            let warm_by_others = if is_home { 1.0 - self.fleet_share() } else { 0.0 };
+            let read_factor = 1.0 + COLD_READ_COST * (1.0 - warm_by_own - warm_by_others);
+            let debt = state.total_debt() + read_factor * self.predicted_work(&open.request, Some(state));
+            let blocked_factor = if self.is_blocked_by_load(open, engine) { 2.0 } else { 1.0 };
+            let random_factor =
+                1.0 + RANDOM_SPREAD * (1.0 - self.fleet_share()) * unit_fraction(mix_bits(random ^ engine.0));
+            let zone_factor =
+                if state.entry.zone == self.settings.zone { 1.0 } else { 1.0 + cross_zone_cost };
+            let score = zone_factor * random_factor * blocked_factor * debt * self.foreign_load_factor(state)
+                / self.drain_rate(state);
+            let rank =
+                (open.last_failed_on == Some(engine), score, mix_bits(group.0 ^ mix_bits(engine.0)), engine);
             if best.is_none_or(|b| rank < b) {
                 best = Some(rank);
             }
@@ -63,163 +82,193 @@
         best.map(|b| b.3)
     }
 
-    /// Debt fits its bucket and the query can finish by its goal; on an idle engine, by its deadline.
-    fn passes(&self, open: &Open, e: &Engine, fleet_wait: f64) -> bool {
+    /// Whether the engine can take the request: its class's debt bucket has room and the query can finish by
+    /// its soft deadline. If engine and fleet are idle, or the soft deadline has passed, the hard deadline
+    /// counts.
+    fn admits(&self, open: &OpenRequest, state: &EngineState, fleet_wait: f64) -> bool {
         let request = &open.request;
         let class = request.class.0;
-        let cost = self.cost(request, Some(e));
+        let work = self.predicted_work(request, Some(state));
         let threads = self.threads(request);
-        let run = cost / threads / self.speed(e) * self.slow.leaning(1.0, 3.0).max(1.0);
-        if fleet_wait == 0.0 && e.threads == 0.0 && e.line.is_empty() && e.debt.iter().all(|&d| d <= 0.0) {
-            return run < request.due.saturating_sub(self.now) as f64;
+        let run = work / threads / self.relative_speed(state)
+            * self.slowdown.blended_with(1.0, FLEET_PRIOR_SAMPLES).max(1.0);
+        if fleet_wait == 0.0
+            && state.threads == 0.0
+            && state.queue.is_empty()
+            && state.debt.iter().all(|&d| d <= 0.0)
+        {
+            return run < request.deadline.saturating_sub(self.now) as f64;
         }
-        let reserve = request.pin.is_some_and(|p| p.reserve);
-        let goal = if self.now < open.goal && !reserve { open.goal } else { request.due };
-        let slack = goal.saturating_sub(self.now) as f64;
-        let rate = self.drain_rate(e);
-        let free = self.fits(e, threads) && e.line.is_empty();
-        let wait = if free { fleet_wait } else { fleet_wait.max(self.ahead(open, e) / rate) };
-        let costliest = self.learned.iter().filter_map(|l| l.usual.get()).fold(1.0, f64::max);
-        let depth = (DEPTH * rate * self.use_of(class) * slack).max(costliest);
-        let depth = if open.over_share { depth * OVER_SHARE_DEPTH } else { depth };
-        let shared = if fleet_wait > 0.0 { self.fleet_debt() / self.fleet_rate() } else { 0.0 };
-        let backlog = shared.max(e.total_debt() / rate);
-        let pinch = (self.density(request) / self.usual_density()).powf(PINCH);
-        let pinched = wait > 0.0 && pinch < 1.0 && backlog > slack * pinch;
-        (reserve || e.debt[class] + cost <= depth && !pinched) && wait + run <= slack
+        let uses_reserve = request.pin.is_some_and(|p| p.uses_reserve);
+        let soft = self.now < open.soft_deadline && !uses_reserve;
+        let deadline = if soft { open.soft_deadline } else { request.deadline };
+        let slack = deadline.saturating_sub(self.now) as f64;
+        let rate = self.drain_rate(state);
+        let starts_at_once = self.fits_thread_limit(state, threads) && state.queue.is_empty();
+        let engine_wait = if starts_at_once { 0.0 } else { self.work_ahead(open, state) / rate };
+        let wait = if starts_at_once { fleet_wait } else { fleet_wait.max(engine_wait) };
+        let mean_work = self.class_stats.iter().filter_map(|stats| stats.mean_work.value());
+        let largest_work = mean_work.fold(1.0, f64::max);
+        let depth = (DEBT_DEPTH * rate * self.demand_share(class) * slack).max(largest_work);
+        let depth = if open.over_quota { depth * OVER_QUOTA_DEPTH_FRACTION } else { depth };
+        let fleet_backlog = if fleet_wait > 0.0 { self.fleet_debt() / self.fleet_drain_rate() } else { 0.0 };
+        let backlog = fleet_backlog.max(state.total_debt() / rate);
+        // A query of little worth for its work is only admitted while the backlog is short.
+        let backlog_factor = (self.worth_density(request) / self.mean_density()).powf(BACKLOG_EXPONENT);
+        let outranked = wait > 0.0 && backlog_factor < 1.0 && backlog > slack * backlog_factor;
+        let fits_debt = state.debt[class] + work <= depth && !outranked;
+        (uses_reserve || fits_debt) && wait + run <= slack
     }
 
-    /// Work before a request in an engine's line, and half of what runs there.
-    pub(super) fn ahead(&self, open: &Open, e: &Engine) -> f64 {
-        let before = e.line.range(..(open.goal, open.request.id));
-        let line: f64 = before.filter_map(|(_, id)| self.open.get(id)).map(|o| o.charged).sum();
-        line + STANDING * (e.standing.iter().sum::<f64>() - e.waiting).max(0.0)
+    /// The work before a request in an engine's queue, and half of the work in flight there.
+    pub(super) fn work_ahead(&self, open: &OpenRequest, state: &EngineState) -> f64 {
+        let before = state.queue.range(..(open.soft_deadline, open.request.id));
+        let queued: f64 =
+            before.filter_map(|(_, id)| self.open_requests.get(id)).map(|o| o.charged_work).sum();
+        let in_flight = (state.unfinished_work.iter().sum::<f64>() - state.queued_work).max(0.0);
+        queued + UNFINISHED_DEBT_FRACTION * in_flight
     }
 
-    /// Others' work, by the load that an engine reported; an old report fades into what is usual.
-    fn others(&self, e: &Engine) -> f64 {
-        // A cold engine that has told nothing yet gets turns only: it draws them, or would stand idle.
-        let unheard = if self.is_cold(e) { 0.0 } else { self.usual_load };
-        let Some((load, at)) = e.load else { return 1.0 + OTHERS * unheard };
-        let fresh = (-((self.now - at) as f64) / REPORT_FADES).exp();
-        1.0 + OTHERS * (self.usual_load + (load - self.usual_load) * fresh) * (1.0 - self.share())
+    /// The factor on an engine's score for the work of other gateways, by the load that it reported. An old
+    /// report decays towards the mean load.
+    fn foreign_load_factor(&self, state: &EngineState) -> f64 {
+        // A cold engine gets requests only in turns. Until it reports it counts as idle, so that it gets
+        // them.
+        let default = if self.is_cold(state) { 0.0 } else { self.mean_load };
+        let Some((load, at)) = state.reported_load else { return 1.0 + REPORTED_LOAD_WEIGHT * default };
+        let freshness = (-((self.now - at) as f64) / REPORT_DECAY_US).exp();
+        let load = self.mean_load + (load - self.mean_load) * freshness;
+        1.0 + REPORTED_LOAD_WEIGHT * load * (1.0 - self.fleet_share())
     }
 
-    /// Keeps the load that an engine reports: the busiest of its cores, its disks and its threads against the
-    /// bound. What is in flight shows how far a busy engine is overrun; shares end at 1.
-    pub(super) fn reported(&mut self, engine: EngineId, load: Load) {
-        let threads = self.usual_threads();
-        let Some(e) = self.engines.get(&engine) else { return };
-        let running = load.in_flight.map(|n| n * threads / (self.cores(e) * THREADS_PER_CORE));
-        let most = [load.cores, load.disks, running].into_iter().flatten().fold(f64::NAN, f64::max);
-        if most.is_nan() {
+    /// Records the load that an engine reports: the largest of its cores, its disks and its threads relative
+    /// to the thread limit. Only the threads show how far an engine is overloaded, since the others end at 1.
+    pub(super) fn record_load(&mut self, engine: EngineId, load: Load) {
+        let threads = self.mean_threads();
+        let Some(state) = self.engines.get(&engine) else { return };
+        let running = load.in_flight.map(|n| n * threads / (self.cores(state) * INITIAL_THREADS_PER_CORE));
+        let largest = [load.cores, load.disks, running].into_iter().flatten().fold(f64::NAN, f64::max);
+        if largest.is_nan() {
             return;
         }
-        let told = finite(most, 0.0, FULL_LOAD);
-        self.usual_load += FLEET_SAMPLE * (told - self.usual_load);
-        self.engines.get_mut(&engine).expect("looked up above").load = Some((told, self.now));
+        let load = clamp_finite(largest, 0.0, FULL_LOAD);
+        self.mean_load += FLEET_SAMPLE_WEIGHT * (load - self.mean_load);
+        self.engines.get_mut(&engine).expect("looked up above").reported_load = Some((load, self.now));
     }
 
-    /// Where load comes with probes alone, each request pays for one, to the engine not heard of for longest.
-    pub(super) fn scout(&mut self, out: &mut Vec<Action>) {
+    /// Where only probes carry load reports, sends one for each request, to the engine with the oldest
+    /// report.
+    pub(super) fn probe_for_load(&mut self, out: &mut Vec<Action>) {
         if !self.settings.may_probe || self.settings.load_reports != LoadReports::WithProbes {
             return;
         }
-        let up = self.engines.iter_mut().filter(|(_, e)| e.is_well() && !e.probing);
-        let oldest = up.min_by_key(|(id, e)| (e.load.map(|l| l.1), mix(id.0 ^ mix(self.settings.me.0))));
-        if let Some((&engine, e)) = oldest {
-            e.probing = true;
+        let idle = self.engines.iter_mut().filter(|(_, state)| state.is_usable() && !state.probe_in_flight);
+        let oldest = idle.min_by_key(|(id, state)| {
+            let reported_at = state.reported_load.map(|(_, at)| at);
+            (reported_at, mix_bits(id.0 ^ mix_bits(self.settings.own_id.0)))
+        });
+        if let Some((&engine, state)) = oldest {
+            state.probe_in_flight = true;
             out.push(Action::Probe(engine));
         }
     }
 
-    pub(super) fn join(&mut self, id: RequestId, engine: EngineId) {
-        let (Some(open), Some(e)) = (self.open.get(&id), self.engines.get(&engine)) else { return };
-        let cost = self.cost(&open.request, Some(e));
-        self.line_up(id, engine, cost);
+    pub(super) fn join_queue(&mut self, id: RequestId, engine: EngineId) {
+        let (Some(open), Some(state)) = (self.open_requests.get(&id), self.engines.get(&engine)) else {
+            return;
+        };
+        let work = self.predicted_work(&open.request, Some(state));
+        self.enqueue(id, engine, work);
     }
 
-    /// Starts what may start on an engine, earliest deadline first.
-    pub(super) fn pump(&mut self, engine: EngineId, out: &mut Vec<Action>) {
-        self.drain(engine);
+    /// Starts as many queued requests of an engine as possible, earliest soft deadline first.
+    pub(super) fn start_queued(&mut self, engine: EngineId, out: &mut Vec<Action>) {
+        self.drain_debt(engine);
         loop {
-            let Some(e) = self.engines.get(&engine) else { return };
-            let Some(&(_, id)) = e.line.first() else { return };
-            let Some(open) = self.open.get(&id) else { return };
-            if self.guard(id, engine) == Leave::No {
-                self.leave(id);
+            let Some(state) = self.engines.get(&engine) else { return };
+            let Some(&(_, id)) = state.queue.first() else { return };
+            let Some(open) = self.open_requests.get(&id) else { return };
+            if self.check_dispatch(id, engine) == Verdict::NotHere {
+                self.dequeue(id);
                 self.place(id, out);
                 continue;
             }
             let threads = self.threads(&open.request);
-            let grant = self.grant(&open.request, e);
-            let full = self.fleet_is_full(&open.request);
-            let room = self.fits(e, threads) && self.has_memory(e, grant) && !full;
-            self.pressed |= full;
-            if !room || self.guard(id, engine) == Leave::Later {
-                self.engines.get_mut(&engine).expect("looked up above").pressed = true;
+            let grant = self.memory_grant(&open.request, state);
+            let fleet_full = self.fleet_is_full(&open.request);
+            let has_room =
+                self.fits_thread_limit(state, threads) && self.has_memory(state, grant) && !fleet_full;
+            self.limit_reached |= fleet_full;
+            if !has_room || self.check_dispatch(id, engine) == Verdict::NotNow {
+                self.engines.get_mut(&engine).expect("looked up above").limit_reached = true;
                 return;
             }
             self.send(id, engine, out);
         }
     }
 
-    /// An engine with room and nothing waiting takes over the most urgent request that waits elsewhere.
-    pub(super) fn fetch_work(&mut self, engine: EngineId, out: &mut Vec<Action>) {
-        let Some(e) = self.engines.get(&engine) else { return };
-        if !e.line.is_empty() || !self.fits(e, 1.0) || !e.is_well() {
+    /// Moves the queued request with the earliest soft deadline to an engine that has room and an empty
+    /// queue.
+    pub(super) fn steal_work(&mut self, engine: EngineId, out: &mut Vec<Action>) {
+        let Some(state) = self.engines.get(&engine) else { return };
+        if !state.queue.is_empty() || !self.fits_thread_limit(state, 1.0) || !state.is_usable() {
             return;
         }
-        let heads = self.engines.values().filter_map(|other| other.line.first().copied());
+        let heads = self.engines.values().filter_map(|other| other.queue.first().copied());
         let movable = heads.filter(|&(_, id)| {
-            let open = &self.open[&id];
-            self.fits(e, self.threads(&open.request))
+            let open = &self.open_requests[&id];
+            self.fits_thread_limit(state, self.threads(&open.request))
                 && !self.fleet_is_full(&open.request)
-                && self.has_memory(e, self.grant(&open.request, e))
-                && self.guard(id, engine) == Leave::Yes
-                && open.avoid != Some(engine)
-                && !self.is_blocked(open, engine)
+                && self.has_memory(state, self.memory_grant(&open.request, state))
+                && self.check_dispatch(id, engine) == Verdict::Allow
+                && open.last_failed_on != Some(engine)
+                && !self.is_blocked_by_load(open, engine)
         });
         if let Some((_, id)) = movable.min() {
-            self.leave(id);
-            self.join(id, engine);
-            self.pump(engine, out);
+            self.dequeue(id);
+            self.join_queue(id, engine);
+            self.start_queued(engine, out);
         }
     }
 
-    /// Places again what waits for an engine that it may not go to any more.
-    pub(super) fn replace_barred(&mut self, out: &mut Vec<Action>) {
-        let waiting: Vec<(EngineId, RequestId)> =
-            self.engines.iter().flat_map(|(&engine, e)| e.line.iter().map(move |l| (engine, l.1))).collect();
-        for (engine, id) in waiting {
-            if self.guard(id, engine) == Leave::No {
-                self.leave(id);
+    /// Places requests again that are queued for an engine that they may no longer use.
+    pub(super) fn requeue_disallowed(&mut self, out: &mut Vec<Action>) {
+        let ids = |(&engine, state): (&EngineId, &EngineState)| {
+            state.queue.iter().map(move |&(_, id)| (engine, id)).collect::<Vec<_>>()
+        };
+        let queued: Vec<(EngineId, RequestId)> = self.engines.iter().flat_map(ids).collect();
+        for (engine, id) in queued {
+            if self.check_dispatch(id, engine) == Verdict::NotHere {
+                self.dequeue(id);
                 self.place(id, out);
             }
         }
     }
 
-    /// Places again all that waits for an engine that is not to be used.
-    pub(super) fn empty_line(&mut self, engine: EngineId, out: &mut Vec<Action>) {
-        let line = self.engines.get(&engine).map(|e| e.line.clone()).unwrap_or_default();
-        for (_, id) in line {
-            self.leave(id);
+    /// Places all requests again that are queued for an engine.
+    pub(super) fn requeue_all(&mut self, engine: EngineId, out: &mut Vec<Action>) {
+        let queue = self.engines.get(&engine).map(|state| state.queue.clone()).unwrap_or_default();
+        for (_, id) in queue {
+            self.dequeue(id);
             self.place(id, out);
         }
     }
 
-    /// Ends what waits and can no longer be served in time; attempts out have a time-out of their own.
-    pub(super) fn end_due(&mut self, out: &mut Vec<Action>) {
-        let next_tick = self.now + WATCH + self.settings.quantum;
-        let hopeless = |o: &Open| {
-            let class = self.class(&o.request);
-            let run = self.cost(&o.request, None) / self.threads(&o.request);
-            let end = if class.late_worth > 0.0 { o.request.due } else { o.goal };
-            o.waits() && (o.request.due <= next_tick || self.now as f64 + run > end as f64)
+    /// Ends waiting requests that can no longer be served in time. Attempts in flight have time-outs of their
+    /// own.
+    pub(super) fn end_hopeless(&mut self, out: &mut Vec<Action>) {
+        let next_tick = self.now + IDLE_TICK_US + self.settings.quantum;
+        let is_hopeless = |open: &OpenRequest| {
+            let request = &open.request;
+            let run = self.predicted_work(request, None) / self.threads(request);
+            let late_counts = self.class(request).late_worth > 0.0;
+            let end = if late_counts { request.deadline } else { open.soft_deadline };
+            open.waits() && (request.deadline <= next_tick || self.now as f64 + run > end as f64)
         };
-        let ended: Vec<_> = self.open.iter().filter(|(_, o)| hopeless(o)).map(|(&id, _)| id).collect();
-        ended.into_iter().for_each(|id| self.end(id, out));
-        // What is late in its line moves behind: in the order of deadlines it would make the rest late.
-        self.put_back_late();
+        let hopeless = self.open_requests.iter().filter(|(_, open)| is_hopeless(open));
+        let hopeless: Vec<RequestId> = hopeless.map(|(&id, _)| id).collect();
+        hopeless.into_iter().for_each(|id| self.end_unserved(id, out));
+        // Late requests move back in their queues: by their soft deadlines they would delay the others.
+        self.demote_late();
     }
 }
