--- a/crates/gateway/src/agreed.rs
+++ b/crates/gateway/src/agreed.rs
@@ -23,7 +23,7 @@
 
 use crate::config::{AgreementTerms, Names};
 use crate::host::Host;
-use crate::list::Record;
+use crate::list::EngineRecord;
 use crate::rules::{self, Rules};
 pub(crate) use asking::get;
 pub use asking::{ask, ask_since, clock_is_right, propose, AFTER, CODE, KEY, PATH};
@@ -163,7 +163,7 @@
                     tracing::info!(?claims, at = host.now(), "others' lists");
                     let listed = |(name, (came_up, state))| (name, (came_up, listed(state)));
                     let claims = claims.into_iter().map(listed).collect();
-                    host.core(|core, now| core.claims(now, claims));
+                    host.with_core(|core, now| core.set_remote_states(now, claims));
                 }
                 Some(ListEffect::Mass(gone, of)) => {
                     tracing::error!(
@@ -177,7 +177,7 @@
     }
 
     /// This gateway's own list has been read: what it takes away is told to the others.
-    pub fn listed(&self, host: &Rc<Host>, list: &BTreeMap<String, Record>) {
+    pub fn listed(&self, host: &Rc<Host>, list: &BTreeMap<String, EngineRecord>) {
         let state = |listed| match listed {
             Listed::Up => EngineState::Up,
             Listed::Draining => EngineState::Draining,
@@ -202,7 +202,7 @@
             let member = self.member.borrow();
             (member.acts_on(now), member.voter().until(now))
         };
-        host.rules_until.set(until.unwrap_or(u64::MAX));
+        host.rules_valid_until.set(until.unwrap_or(u64::MAX));
         if self.applied.get() != range {
             windows.iter().for_each(|w| w.versions(range.and_then(|range| self.windows_of(range))));
         }
@@ -225,7 +225,7 @@
         }
         tracing::info!(?range, ?away, at = now, "rules");
         *self.away.borrow_mut() = away;
-        host.core(|core, now| core.rules(now, rules));
+        host.with_core(|core, now| core.set_rules(now, rules));
     }
 
     /// What all versions of a range allow. A version that this gateway does not have or cannot read leaves the floor.
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -22,23 +22,23 @@
 use violetward_statement::session::Context;
 use violetward_statement::text;
 
-use crate::record::{hash, Record};
+use crate::record::{hash, EngineRecord};
 use crate::rules::{self, Rules};
-use crate::sessions::{self, Admit, Member, Sessions};
+use crate::sessions::{self, Admit, SessionUse, Sessions};
 use crate::terms::{Config, HostLimits, Names, Selection};
 
 mod attempts;
 mod deciding;
 mod fronts;
-pub(crate) mod guard;
 mod listing;
+pub mod observations;
+pub(crate) mod protection;
 mod rebuilding;
-pub mod sights;
 mod time;
 
-use guard::Guard;
-pub(crate) use guard::{ended, recorded};
-pub use guard::{Follow, Taken};
+use protection::Protection;
+pub(crate) use protection::{ending_from_record, ending_to_record};
+pub use protection::{ResumedAttempt, StatementRecord};
 
 pub use violetward::Decide;
 
@@ -75,10 +75,10 @@
     /// What travels with it, terms of the attempt included.
     pub context: Context,
     /// When it is given up.
-    pub until: Micros,
+    pub deadline: Micros,
     /// A connection that has been used before must not be taken: if it broke, it would not be known whether the
     /// statement was read.
-    pub fresh: bool,
+    pub new_connection: bool,
 }
 
 /// Something for the host to carry out, in order.
@@ -87,27 +87,27 @@
     /// Begin an attempt.
     Launch(Box<Launch>),
     /// The attempt may ask its engine for one more page.
-    Pull(AttemptId),
+    FetchPage(AttemptId),
     /// Stop the attempt, and its work where the engine heeds that. Nothing more is heard of it.
-    Withdraw(AttemptId),
+    Cancel(AttemptId),
     /// Go on with what another gateway began: ask its engine for the next page.
-    Follow(Box<Follow>),
+    Resume(Box<ResumedAttempt>),
     /// Stop the attempt; its work at the engine goes on, for another gateway.
-    Leave(AttemptId),
+    Detach(AttemptId),
     /// A statement has been taken that is to outlive this gateway.
-    Guard(StatementId),
+    Protect(StatementId),
     /// What is known of such a statement has changed.
-    Noted(StatementId),
+    ProgressChanged(StatementId),
     /// This end was decided here after an attempt was out: it is told once it is recorded, see [`Core::decided`].
-    Decide(StatementId, Ending),
+    RecordEnding(StatementId, Ending),
     /// Nobody will come back for such a statement.
-    Forget(StatementId),
+    ReleaseRecord(StatementId),
     /// Such a statement is not known here any more.
-    Gone(StatementId),
+    Removed(StatementId),
     /// Ask an engine for its status.
     Probe(EngineId, SocketAddr),
     /// An engine holds what nobody will come back for: a transaction to be rolled back, or temporary tables to be dropped.
-    Release {
+    ReleaseSession {
         /// Where.
         address: SocketAddr,
         /// Its name there.
@@ -116,9 +116,9 @@
         transaction: bool,
     },
     /// Pollers of the statement should look again.
-    Wake(StatementId),
+    NotifyPollers(StatementId),
     /// The module has something to say.
-    Say(String),
+    Log(String),
     /// A statement has ended; for logs and counts.
     Ended {
         /// The statement and its public name.
@@ -138,7 +138,7 @@
 
 /// A page of an engine, as a connection read it.
 #[derive(Debug, Clone, Default)]
-pub struct Arrived {
+pub struct EnginePage {
     /// Columns and rows.
     pub part: Part,
     /// How it gets on.
@@ -154,20 +154,20 @@
     /// The life of the engine's process, where it tells that.
     pub epoch: Option<String>,
     /// The engine's own address of the next page.
-    pub next: Option<String>,
+    pub next_uri: Option<String>,
 }
 
 #[derive(Debug)]
 struct Attempt {
     engine: EngineId,
     sent: Micros,
-    until: Micros,
+    deadline: Micros,
     /// The connection waits for leave to fetch the next page.
     paused: bool,
-    heard: Micros,
-    noted: (bool, u64),
+    last_answer: Micros,
+    last_progress: (bool, u64),
     /// The engine's own address of the next page.
-    next: Option<String>,
+    next_uri: Option<String>,
 }
 
 struct Statement {
@@ -175,37 +175,37 @@
     text: Rc<str>,
     context: Context,
     class: usize,
-    taken: Micros,
-    due: Micros,
+    accepted: Micros,
+    deadline: Micros,
     /// Terms for the next attempt: memory in megabytes and priority.
-    terms: (f64, u8),
+    grant: (f64, u8),
     attempts: u32,
     current: Option<u32>,
     pages: Pages,
     /// The last sign of its client, and polls that wait now.
-    polled: Micros,
-    waiting: u32,
+    last_poll: Micros,
+    waiting_polls: u32,
     /// The current attempt belongs to the client: it can be neither repeated nor timed out.
-    bound: bool,
+    rows_sent: bool,
     /// What the last failed attempt said, for people.
-    trouble: Option<String>,
+    last_error: Option<String>,
     /// Begun on the client's first poll, not when posted.
     pending: bool,
     /// What it has to do with a session that lives on one engine.
-    member: Option<Box<Member>>,
+    session_use: Option<Box<SessionUse>>,
     /// Its session is rebuilt first: what is left to do.
     rebuild: Option<Box<Rebuild>>,
     /// It is a step of the rebuilding for that statement.
     step_for: Option<StatementId>,
     /// What it takes to outlive this gateway.
-    guard: Option<Box<Guard>>,
+    protection: Option<Box<Protection>>,
 }
 
 /// A session that is rebuilt before a statement can run in it.
 #[derive(Debug, Default)]
 struct Rebuild {
-    left: VecDeque<String>,
-    done: u32,
+    remaining_statements: VecDeque<String>,
+    steps_done: u32,
     token: Option<String>,
 }
 
@@ -213,7 +213,7 @@
 struct Step {
     client: StatementId,
     step: StatementId,
-    trouble: Option<String>,
+    error: Option<String>,
     token: Option<String>,
 }
 
@@ -224,7 +224,7 @@
     Client(StatementId),
     Overdue(StatementId),
     Stream(AttemptId),
-    Forget(StatementId),
+    ReleaseRecord(StatementId),
 }
 
 /// Counts of what has happened, for the operators.
@@ -251,41 +251,41 @@
     /// Statements taken over from other gateways, and left to them.
     pub adopted: u64,
     /// See `adopted`.
-    pub left: u64,
+    pub handed_over: u64,
 }
 
 /// The state machine. See the module's documentation.
 pub struct Core {
     gateway: Box<dyn Decide>,
     sessions: Sessions,
-    host: HostLimits,
+    limits: HostLimits,
     names: Names,
     selection: Selection,
     classes: Vec<Class>,
-    offered: Vec<f64>,
+    offered_work: Vec<f64>,
     grants: bool,
     priorities: bool,
     /// What is seen of engines and clients, where sites are watched.
-    sights: Option<Box<sights::Sights>>,
+    observations: Option<Box<observations::Observations>>,
     /// Classes whose statements are to outlive this gateway.
-    guarded: Vec<bool>,
+    protected_classes: Vec<bool>,
     /// Who this is, for the keys of repeats.
     life: String,
     statements: HashMap<StatementId, Statement>,
     attempts: HashMap<AttemptId, Attempt>,
-    records: BTreeMap<EngineId, Record>,
+    records: BTreeMap<EngineId, EngineRecord>,
     /// The settings as configured, the rules that narrow them, and the list as it was last told.
     configured: violetward::Settings,
     rules: Rules,
-    list: BTreeMap<String, Record>,
+    engine_list: BTreeMap<String, EngineRecord>,
     /// What other gateways' lists say of engines: in which life at the latest, and their state.
-    claims: BTreeMap<String, (Micros, violetward::Listed)>,
+    remote_states: BTreeMap<String, (Micros, violetward::Listed)>,
     timers: BTreeSet<(Micros, Timer)>,
     next_id: u64,
     open: usize,
     effects: VecDeque<Effect>,
-    inbox: VecDeque<Event>,
-    steps: VecDeque<Step>,
+    events: VecDeque<Event>,
+    finished_steps: VecDeque<Step>,
     now: Micros,
     /// Counts since the start.
     pub counts: Counts,
@@ -310,14 +310,14 @@
         });
         Core {
             sessions: Sessions::new(terms.limits.clone(), terms.reserve, keys, life, 0),
-            offered: vec![0.0; settings.classes.len()],
+            offered_work: vec![0.0; settings.classes.len()],
             classes: settings.classes.clone(),
-            sights: None,
-            guarded: vec![false; settings.classes.len()],
+            observations: None,
+            protected_classes: vec![false; settings.classes.len()],
             grants: settings.grants,
             priorities: settings.priorities,
             gateway,
-            host: config.host.clone(),
+            limits: config.host.clone(),
             names: config.names.clone(),
             selection: config.selection.clone(),
             life: life.to_owned(),
@@ -326,21 +326,21 @@
             records: BTreeMap::new(),
             configured: settings,
             rules: Rules::default(),
-            list: BTreeMap::new(),
-            claims: BTreeMap::new(),
+            engine_list: BTreeMap::new(),
+            remote_states: BTreeMap::new(),
             timers: BTreeSet::new(),
             next_id: 1,
             open: 0,
             effects: VecDeque::new(),
-            inbox: VecDeque::new(),
-            steps: VecDeque::new(),
+            events: VecDeque::new(),
+            finished_steps: VecDeque::new(),
             now: 0,
             counts: Counts::default(),
         }
     }
 
     /// The next effect to be carried out.
-    pub fn effect(&mut self) -> Option<Effect> {
+    pub fn pop_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
@@ -381,7 +381,7 @@
     }
 
     /// The engines as last listed.
-    pub fn engines(&self) -> impl Iterator<Item = &Record> {
+    pub fn engines(&self) -> impl Iterator<Item = &EngineRecord> {
         self.records.values()
     }
 }
--- a/crates/gateway/src/core/attempts.rs
+++ b/crates/gateway/src/core/attempts.rs
@@ -4,38 +4,38 @@
 
 impl Core {
     /// A page of an engine has come.
-    pub fn arrived(&mut self, now: Micros, id: AttemptId, mut arrived: Arrived) {
-        self.pass(now);
+    pub fn page_received(&mut self, now: Micros, id: AttemptId, mut arrived: EnginePage) {
+        self.advance_to(now);
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
-        attempt.heard = now;
+        attempt.last_answer = now;
         attempt.paused = !arrived.last;
         // The last page can still be asked for by the address that it came from.
-        attempt.next = arrived.next.clone().or(attempt.next.take());
-        arrived.part.next = arrived.next.as_deref().and_then(guard::number);
+        attempt.next_uri = arrived.next_uri.clone().or(attempt.next_uri.take());
+        arrived.part.next = arrived.next_uri.as_deref().and_then(protection::page_number);
         let engine = attempt.engine;
-        self.sights.iter_mut().for_each(|s| s.heard(engine));
+        self.observations.iter_mut().for_each(|s| s.engine_answered(engine));
         if let Some(epoch) = &arrived.epoch {
-            self.epoch(now, engine, epoch);
+            self.engine_epoch(now, engine, epoch);
         }
         let Some(s) = self.statements.get_mut(&id.0).filter(|s| s.current == Some(id.1)) else { return };
         s.pages.stats = arrived.stats.clone();
         if let Some(why) = self.read_session(id.0, engine, &mut arrived) {
             self.finish(id.0, why);
-            self.effects.push_back(Effect::Withdraw(id));
-            return self.close(id, Outcome::Cancelled, true, None);
+            self.effects.push_back(Effect::Cancel(id));
+            return self.close_attempt(id, Outcome::Cancelled, true, None);
         }
-        if self.statements.get(&id.0).is_some_and(|s| s.member.is_some()) {
+        if self.statements.get(&id.0).is_some_and(|s| s.session_use.is_some()) {
             // It has become part of a session, which lives here alone.
-            self.forget(id.0);
+            self.release_record(id.0);
         }
         let Some(s) = self.statements.get_mut(&id.0) else { return };
         if let Some(error) = arrived.error {
-            let (outcome, what) = verdict(&error);
+            let (outcome, what) = classify_error(&error);
             if outcome == Outcome::Declined {
                 self.finish(id.0, Ending::Declined(error));
-                return self.close(id, outcome, true, Some(&arrived.stats));
+                return self.close_attempt(id, outcome, true, Some(&arrived.stats));
             }
-            let text = format!("engine {}: {}", self.name(engine), error.message);
+            let text = format!("engine {}: {}", self.engine_name(engine), error.message);
             return self.fail_attempt(id, outcome, what, text);
         }
         s.pages.push(arrived.part);
@@ -45,13 +45,13 @@
         s.pages.session.extend(arrived.session);
         if arrived.last {
             self.finish(id.0, Ending::Served);
-            return self.close(id, Outcome::Ok, true, Some(&arrived.stats));
+            return self.close_attempt(id, Outcome::Ok, true, Some(&arrived.stats));
         }
-        self.effects.push_back(Effect::Wake(id.0));
-        self.noted(id.0);
-        self.note(id, &arrived.stats);
-        self.pull(id.0);
-        self.run();
+        self.effects.push_back(Effect::NotifyPollers(id.0));
+        self.progress_changed(id.0);
+        self.report_progress(id, &arrived.stats);
+        self.fetch_page(id.0);
+        self.process_events();
     }
 
     /// Reads what an engine says of a session. An ending if that could not be kept.
@@ -59,7 +59,7 @@
         &mut self,
         id: StatementId,
         engine: EngineId,
-        arrived: &mut Arrived,
+        arrived: &mut EnginePage,
     ) -> Option<Ending> {
         if arrived.session.is_empty() {
             return None;
@@ -69,12 +69,19 @@
         let name = record.map_or("", |r| r.name.as_str());
         let epoch = arrived.epoch.clone().unwrap_or_default();
         let (user, headers) = (s.context.user.clone(), &mut arrived.session);
-        let read =
-            self.sessions.answered(self.now, id.0, &mut s.member, &user, (engine, name), &epoch, headers);
+        let read = self.sessions.read_answer(
+            self.now,
+            id.0,
+            &mut s.session_use,
+            &user,
+            (engine, name),
+            &epoch,
+            headers,
+        );
         let (full, binding) = read.err()?;
         let address = record?.address;
         let transaction = binding.holds.transaction;
-        self.effects.push_back(Effect::Release { address, inner: binding.inner, transaction });
+        self.effects.push_back(Effect::ReleaseSession { address, inner: binding.inner, transaction });
         Some(Ending::Failed(QueryError::failed(
             FAILED,
             &format!("its session is not kept: {}", full.words()),
@@ -82,56 +89,56 @@
     }
 
     /// An engine tells the life of its process; what its former one held is lost.
-    pub fn epoch(&mut self, now: Micros, engine: EngineId, epoch: &str) {
-        self.pass(now);
-        let lost = self.sessions.epoch(self.now, engine, epoch);
-        self.lose(lost);
+    pub fn engine_epoch(&mut self, now: Micros, engine: EngineId, epoch: &str) {
+        self.advance_to(now);
+        let lost = self.sessions.engine_epoch(self.now, engine, epoch);
+        self.sessions_lost(lost);
     }
 
     /// A client that carried these tokens has left for good: its session ends, and the engine is told.
-    pub fn let_go(&mut self, now: Micros, user: &str, tokens: &[&str]) {
-        self.pass(now);
+    pub fn release_sessions(&mut self, now: Micros, user: &str, tokens: &[&str]) {
+        self.advance_to(now);
         for token in tokens {
-            if let Some(loss) = self.sessions.let_go(self.now, user, token) {
-                self.lose(vec![loss]);
+            if let Some(loss) = self.sessions.release(self.now, user, token) {
+                self.sessions_lost(vec![loss]);
             }
         }
     }
 
     /// Sessions are lost: statements of them that run end now, and what engines may still hold is freed.
-    pub(super) fn lose(&mut self, lost: Vec<Loss>) {
+    pub(super) fn sessions_lost(&mut self, lost: Vec<Loss>) {
         for loss in lost {
             let engine = EngineId(loss.binding.engine);
             if let Some(record) = self.records.get(&engine) {
                 if matches!(loss.why, Why::Idle | Why::Absolute | Why::Drained | Why::Ended) {
                     let (address, inner) = (record.address, loss.binding.inner.clone());
                     let transaction = loss.binding.holds.transaction;
-                    self.effects.push_back(Effect::Release { address, inner, transaction });
+                    self.effects.push_back(Effect::ReleaseSession { address, inner, transaction });
                 }
             }
             let Some(id) = loss.running.map(StatementId) else { continue };
             let told = self
                 .statements
                 .get(&id)
-                .and_then(|s| Some(sessions::loss(s.member.as_ref()?, &loss, s.attempts)));
+                .and_then(|s| Some(sessions::loss_ending(s.session_use.as_ref()?, &loss, s.attempts)));
             if let Some(ending) = told {
                 self.finish(id, ending);
-                self.inbox.push_back(Event::Lapsed(RequestId(id.0)));
+                self.events.push_back(Event::Lapsed(RequestId(id.0)));
             }
         }
-        self.run();
+        self.process_events();
     }
 
     /// An attempt has ended without an answer.
-    pub fn ended(&mut self, now: Micros, id: AttemptId, outcome: Outcome, why: &str) {
-        self.pass(now);
+    pub fn attempt_failed(&mut self, now: Micros, id: AttemptId, outcome: Outcome, why: &str) {
+        self.advance_to(now);
         let Some(attempt) = self.attempts.get(&id) else { return };
-        let text = format!("engine {}: {why}", self.name(attempt.engine));
+        let text = format!("engine {}: {why}", self.engine_name(attempt.engine));
         self.fail_attempt(id, outcome, FAILED, text);
     }
 
     /// News of an attempt's progress reach the module when they say something new.
-    pub(super) fn note(&mut self, id: AttemptId, stats: &Stats) {
+    pub(super) fn report_progress(&mut self, id: AttemptId, stats: &Stats) {
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
         // Only this state tells of the line for memory: a statement just taken is QUEUED too.
         let waits = stats.state == "WAITING_FOR_RESOURCES";
@@ -144,23 +151,23 @@
             return;
         };
         let seen = (waits, done as u64);
-        if std::mem::replace(&mut attempt.noted, seen) != seen {
-            self.inbox.push_back(Event::Note { id: RequestId(id.0 .0), attempt: id.1, note });
+        if std::mem::replace(&mut attempt.last_progress, seen) != seen {
+            self.events.push_back(Event::Note { id: RequestId(id.0 .0), attempt: id.1, note });
         }
     }
 
     /// Lets the connection go on while the client's buffer has room.
-    pub(super) fn pull(&mut self, id: StatementId) {
+    pub(super) fn fetch_page(&mut self, id: StatementId) {
         let Some(s) = self.statements.get(&id) else { return };
-        let (Some(number), true) = (s.current, s.pages.held() < self.host.buffer) else { return };
+        let (Some(number), true) = (s.current, s.pages.held() < self.limits.buffer) else { return };
         // What was read ahead would be lost with this gateway.
-        if s.guard.is_some() && !s.pages.may_advance() {
+        if s.protection.is_some() && !s.pages.may_advance() {
             return;
         }
         let Some(attempt) = self.attempts.get_mut(&AttemptId(id, number)) else { return };
         if std::mem::take(&mut attempt.paused) {
-            attempt.heard = self.now;
-            self.effects.push_back(Effect::Pull(AttemptId(id, number)));
+            attempt.last_answer = self.now;
+            self.effects.push_back(Effect::FetchPage(AttemptId(id, number)));
         }
     }
 
@@ -169,7 +176,7 @@
     pub(super) fn fail_attempt(&mut self, id: AttemptId, outcome: Outcome, name: &str, why: String) {
         let mut over = false;
         if let Some(s) = self.statements.get_mut(&id.0).filter(|s| s.current == Some(id.1)) {
-            if s.bound {
+            if s.rows_sent {
                 over = true;
                 self.finish(
                     id.0,
@@ -177,25 +184,31 @@
                 );
             } else {
                 s.pages.restart();
-                s.trouble = Some(why);
+                s.last_error = Some(why);
             }
         }
-        self.close(id, outcome, over, None);
+        self.close_attempt(id, outcome, over, None);
     }
 
     /// Tells the module how an attempt ended, and forgets it.
-    pub(super) fn close(&mut self, id: AttemptId, outcome: Outcome, complete: bool, stats: Option<&Stats>) {
+    pub(super) fn close_attempt(
+        &mut self,
+        id: AttemptId,
+        outcome: Outcome,
+        complete: bool,
+        stats: Option<&Stats>,
+    ) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
-        self.timers.remove(&(attempt.until, Timer::Attempt(id)));
+        self.timers.remove(&(attempt.deadline, Timer::Attempt(id)));
         if let Some(s) = self.statements.get_mut(&id.0).filter(|s| s.current == Some(id.1)) {
             s.current = None;
         }
-        self.closed(id, &attempt, outcome);
-        self.sighted(id, attempt.engine, outcome, stats);
+        self.record_attempt_end(id, &attempt, outcome);
+        self.observe_attempt_end(id, attempt.engine, outcome, stats);
         let told = stats.filter(|_| outcome == Outcome::Ok);
         let work = told.map(|s| s.cpu_time_millis * 1000).filter(|&w| w > 0);
         let memory_mb = told.map(|s| s.peak_memory_bytes as f64 / f64::from(1 << 20)).filter(|&m| m > 0.0);
-        self.inbox.push_back(Event::Answer(Answer {
+        self.events.push_back(Event::Answer(Answer {
             id: RequestId(id.0 .0),
             attempt: id.1,
             outcome,
@@ -205,16 +218,16 @@
             memory_mb,
             load: Load::default(),
         }));
-        self.run();
+        self.process_events();
     }
 
-    pub(super) fn name(&self, engine: EngineId) -> String {
+    pub(super) fn engine_name(&self, engine: EngineId) -> String {
         self.records.get(&engine).map_or_else(|| format!("{:x}", engine.0), |r| r.name.clone())
     }
 }
 
 /// What an engine's error says: turned away unseen, the statement's own fault, or a failure.
-fn verdict(error: &QueryError) -> (Outcome, &'static str) {
+fn classify_error(error: &QueryError) -> (Outcome, &'static str) {
     match error.error_type {
         _ if error.error_name == QUEUE_FULL || error.error_name == "SERVER_STARTING_UP" => {
             (Outcome::Full, QUEUE_FULL)
--- a/crates/gateway/src/core/fronts.rs
+++ b/crates/gateway/src/core/fronts.rs
@@ -6,12 +6,17 @@
     /// Takes a statement. What is safe to repeat begins at once; the rest when the first page is asked for: until
     /// then its client knows no address of it, and might post it again if our answer were lost.
     pub fn submit(&mut self, now: Micros, submission: Submission) -> StatementId {
-        self.submit_as(now, submission, true)
+        self.submit_with_protection(now, submission, true)
     }
 
     /// The same; `guards` if it may be protected.
-    pub fn submit_as(&mut self, now: Micros, submission: Submission, guards: bool) -> StatementId {
-        self.pass(now);
+    pub fn submit_with_protection(
+        &mut self,
+        now: Micros,
+        submission: Submission,
+        guards: bool,
+    ) -> StatementId {
+        self.advance_to(now);
         let id = StatementId(self.next_id);
         self.next_id += 1;
         let class = self.class_of(&submission);
@@ -23,48 +28,49 @@
         let admit = self.admit(id, &submission.context, &submission.text);
         let (mut member, mut ended, mut rebuild) = (None, None, None);
         match admit {
-            Admit::Plain => {}
-            Admit::Member(its) => member = Some(its),
+            Admit::NoSession => {}
+            Admit::InSession(its) => member = Some(its),
             Admit::Ended(ending, headers) => ended = Some((ending, headers)),
-            Admit::Rebuild(left) => {
-                rebuild = Some(Box::new(Rebuild { left: left.into(), ..Rebuild::default() }))
+            Admit::RebuildFirst(left) => {
+                rebuild = Some(Box::new(Rebuild { remaining_statements: left.into(), ..Rebuild::default() }))
             }
         }
         let rebuilds = rebuild.is_some();
         // Sessions live on one engine and in one gateway's table.
-        let guards = guards && self.guarded[class] && !rebuilds && member.is_none() && ended.is_none();
-        let guard = guards.then(|| Box::new(Guard::taken(format!("{}.{}", self.life, id.0))));
+        let guards =
+            guards && self.protected_classes[class] && !rebuilds && member.is_none() && ended.is_none();
+        let guard = guards.then(|| Box::new(Protection::new(format!("{}.{}", self.life, id.0))));
         // What belongs to a session is never repeated behind its client's back.
         let pending = self.classes[class].effect != violetward::Effect::Repeatable || member.is_some();
         let pending = pending && !rebuilds;
         let statement = Statement {
-            member,
+            session_use: member,
             rebuild,
             step_for: None,
-            guard,
+            protection: guard,
             public_id: submission.public_id,
             text: submission.text.into(),
             context: submission.context,
             class,
-            taken: now,
-            due,
-            terms: (0.0, 1),
+            accepted: now,
+            deadline: due,
+            grant: (0.0, 1),
             attempts: 0,
             current: None,
             pages: Pages::default(),
-            polled: now,
-            waiting: 0,
-            bound: false,
-            trouble: None,
+            last_poll: now,
+            waiting_polls: 0,
+            rows_sent: false,
+            last_error: None,
             pending,
         };
         self.counts.taken += 1;
-        let full = self.open >= self.host.most_open;
+        let full = self.open >= self.limits.most_open;
         self.open += 1;
         self.statements.insert(id, statement);
-        self.arm(now + self.abandon_after(), Timer::Client(id));
+        self.set_timer(now + self.abandon_after(), Timer::Client(id));
         if guards && !full {
-            self.effects.push_back(Effect::Guard(id));
+            self.effects.push_back(Effect::Protect(id));
         }
         if full {
             self.finish(id, Ending::Refused(QueryError::refused("too many statements are open here", 1000)));
@@ -77,15 +83,15 @@
             }
             self.finish(id, ending);
         } else if rebuilds {
-            self.arm(due, Timer::Overdue(id));
-            self.rebuild(id);
+            self.set_timer(due, Timer::Overdue(id));
+            self.next_rebuild_step(id);
         } else {
-            self.arm(due, Timer::Overdue(id));
+            self.set_timer(due, Timer::Overdue(id));
             if !pending {
                 self.begin(id);
             }
         }
-        self.run();
+        self.process_events();
         id
     }
 
@@ -109,35 +115,35 @@
         after: Option<u64>,
         patient: bool,
     ) -> Turn {
-        self.pass(now);
-        self.go_on(id, token, after);
+        self.advance_to(now);
+        self.resume_for_client(id, token, after);
         let Some(statement) = self.statements.get_mut(&id) else { return Turn::Unknown };
-        statement.polled = now;
+        statement.last_poll = now;
         if std::mem::take(&mut statement.pending) {
             self.begin(id);
-            self.run();
+            self.process_events();
         }
         let Some(statement) = self.statements.get_mut(&id) else { return Turn::Unknown };
         let before = statement.pages.begun;
         let turn = statement.pages.take(token, !patient);
         if statement.pages.begun && !before {
-            statement.bound = true;
+            statement.rows_sent = true;
             if let Some(attempt) = statement.current {
                 // From here on the rows are the client's: nothing may start again.
-                self.inbox.push_back(Event::Streaming(RequestId(id.0)));
-                let heard = self.attempts.get(&AttemptId(id, attempt)).map_or(now, |a| a.heard);
-                let idle = self.host.stream_idle.as_micros() as Micros;
-                self.arm(heard + idle, Timer::Stream(AttemptId(id, attempt)));
+                self.events.push_back(Event::Streaming(RequestId(id.0)));
+                let heard = self.attempts.get(&AttemptId(id, attempt)).map_or(now, |a| a.last_answer);
+                let idle = self.limits.stream_idle.as_micros() as Micros;
+                self.set_timer(heard + idle, Timer::Stream(AttemptId(id, attempt)));
             }
         }
         if let Turn::Page(page) = &turn {
-            self.passed_on(id, page.end.is_some());
-            self.pull(id);
-        } else if self.statements.get(&id).is_some_and(|s| s.guard.is_some()) {
+            self.page_delivered(id, page.end.is_some());
+            self.fetch_page(id);
+        } else if self.statements.get(&id).is_some_and(|s| s.protection.is_some()) {
             // That it is asked for says that the page before it has come.
-            self.pull(id);
+            self.fetch_page(id);
         }
-        self.run();
+        self.process_events();
         turn
     }
 
@@ -157,24 +163,24 @@
     }
 
     /// A poll begins or ends to wait; a client that waits is not let go.
-    pub fn waits(&mut self, now: Micros, id: StatementId, waits: bool) {
-        self.pass(now);
+    pub fn set_waiting(&mut self, now: Micros, id: StatementId, waits: bool) {
+        self.advance_to(now);
         if let Some(statement) = self.statements.get_mut(&id) {
-            statement.waiting =
-                if waits { statement.waiting + 1 } else { statement.waiting.saturating_sub(1) };
-            statement.polled = now;
+            statement.waiting_polls =
+                if waits { statement.waiting_polls + 1 } else { statement.waiting_polls.saturating_sub(1) };
+            statement.last_poll = now;
         }
     }
 
     /// The client wants no more.
     pub fn cancel(&mut self, now: Micros, id: StatementId) -> bool {
-        self.pass(now);
+        self.advance_to(now);
         let known = self.statements.contains_key(&id);
         if self.statements.get(&id).is_some_and(|s| s.pages.end().is_none()) {
             let error = QueryError::new(ErrorType::UserError, 3, CANCELED, "cancelled by its client");
             self.finish(id, Ending::Cancelled(error));
-            self.inbox.push_back(Event::Lapsed(RequestId(id.0)));
-            self.run();
+            self.events.push_back(Event::Lapsed(RequestId(id.0)));
+            self.process_events();
         }
         known
     }
@@ -207,7 +213,7 @@
         let group = group.or_else(|| text::first_table(&s.text)).unwrap_or_default();
         let tenant = s.context.tagged(&self.selection.tenant_tag);
         let tenant = tenant.and_then(|t| self.names.tenants.iter().position(|n| n == t)).unwrap_or(0);
-        let margin = micros(self.host.reply_margin);
+        let margin = micros(self.limits.reply_margin);
         let request = Request {
             id: RequestId(id.0),
             class: ClassId(s.class),
@@ -218,15 +224,16 @@
             key: key.map(|k| OrderKey(k.to_owned())),
             is_retry: false,
             marked: s.context.tagged(&self.selection.repeat_tag).is_some(),
-            pin: s.member.as_ref().and_then(|m| m.pin()),
-            due: s.due.saturating_sub(margin),
+            pin: s.session_use.as_ref().and_then(|m| m.pin()),
+            due: s.deadline.saturating_sub(margin),
         };
-        self.offered[s.class] += request.cost as f64 / 1e3;
-        let guest = self.sights.as_mut().is_some_and(|sights| sights.asked(&request, &s.context));
-        let event = match self.begins(id, request) {
+        self.offered_work[s.class] += request.cost as f64 / 1e3;
+        let guest =
+            self.observations.as_mut().is_some_and(|sights| sights.request_started(&request, &s.context));
+        let event = match self.request_event(id, request) {
             Event::Request(request) if guest => Event::Guest(request),
             event => event,
         };
-        self.inbox.push_back(event);
+        self.events.push_back(event);
     }
 }
--- a/crates/gateway/src/core/sights.rs
+++ b/crates/gateway/src/core/observations.rs
@@ -10,11 +10,11 @@
 /// What costs turned out to be is forgotten this many times more slowly than what is asked for.
 const SLOWER: f64 = 15.0;
 
-/// What the clients of one site ask for of a class, as rates; see [`Sights::rates`].
+/// What the clients of one site ask for of a class, as rates; see [`Observations::rates`].
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Tally {
+pub struct Demand {
     /// Requests, their estimated work in core milliseconds, and the sum of its squares.
-    pub asked: f64,
+    pub requests: f64,
     /// See `asked`.
     pub work: f64,
     /// See `asked`.
@@ -26,23 +26,27 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Cost {
     /// By estimate.
-    pub told: f64,
+    pub estimated: f64,
     /// In truth.
-    pub seen: f64,
+    pub actual: f64,
     /// See [`Cost`].
-    pub logs: (f64, f64, f64),
+    pub log_ratio: (f64, f64, f64),
 }
 
 impl Cost {
     /// Together.
-    pub fn with(self, o: Cost) -> Cost {
-        let logs = (self.logs.0 + o.logs.0, self.logs.1 + o.logs.1, self.logs.2 + o.logs.2);
-        Cost { told: self.told + o.told, seen: self.seen + o.seen, logs }
+    pub fn plus(self, o: Cost) -> Cost {
+        let logs = (
+            self.log_ratio.0 + o.log_ratio.0,
+            self.log_ratio.1 + o.log_ratio.1,
+            self.log_ratio.2 + o.log_ratio.2,
+        );
+        Cost { estimated: self.estimated + o.estimated, actual: self.actual + o.actual, log_ratio: logs }
     }
 
     /// Deviation of the logarithm of true over estimated work.
-    pub fn error(&self) -> f64 {
-        let (n, sum, squares) = self.logs;
+    pub fn log_ratio_deviation(&self) -> f64 {
+        let (n, sum, squares) = self.log_ratio;
         if n < 2.0 {
             return 0.0;
         }
@@ -52,12 +56,12 @@
 
 /// See the module's documentation.
 #[derive(Debug)]
-pub struct Sights {
+pub struct Observations {
     tag: String,
     sites: Vec<String>,
     own: usize,
     signs: BTreeMap<EngineId, EngineSign>,
-    asked: BTreeMap<(usize, usize), Tally>,
+    asked: BTreeMap<(usize, usize), Demand>,
     /// Microseconds over which `asked` counts, faded as it is.
     over: f64,
     costs: BTreeMap<(usize, EngineId), Cost>,
@@ -67,10 +71,10 @@
     aims: Vec<f64>,
 }
 
-impl Sights {
+impl Observations {
     /// For clients whose site is told by a tag with this prefix; without it they are those of the site `own`.
-    pub fn new(tag: &str, sites: Vec<String>, own: usize, classes: &[Class]) -> Sights {
-        Sights {
+    pub fn new(tag: &str, sites: Vec<String>, own: usize, classes: &[Class]) -> Observations {
+        Observations {
             tag: tag.to_owned(),
             sites,
             own,
@@ -89,38 +93,38 @@
         told.and_then(|name| self.sites.iter().position(|s| s == name)).unwrap_or(self.own)
     }
 
-    fn sign(&mut self, engine: EngineId, sign: EngineSign) {
+    fn set_sign(&mut self, engine: EngineId, sign: EngineSign) {
         if self.signs.len() < MOST || self.signs.contains_key(&engine) {
             self.signs.insert(engine, sign);
         }
     }
 
-    pub(super) fn heard(&mut self, engine: EngineId) {
-        self.sign(engine, EngineSign::Answered);
+    pub(super) fn engine_answered(&mut self, engine: EngineId) {
+        self.set_sign(engine, EngineSign::Answered);
     }
 
-    pub(super) fn probed(&mut self, engine: EngineId, ok: bool) {
-        self.sign(engine, if ok { EngineSign::Answered } else { EngineSign::Silent });
+    pub(super) fn probe_ended(&mut self, engine: EngineId, ok: bool) {
+        self.set_sign(engine, if ok { EngineSign::Answered } else { EngineSign::Silent });
     }
 
     /// A request is asked for; whether its client is a guest.
-    pub(super) fn asked(&mut self, request: &Request, context: &Context) -> bool {
+    pub(super) fn request_started(&mut self, request: &Request, context: &Context) -> bool {
         let (class, site) = (request.class.0, self.site_of(context));
         let work = request.cost as f64 / 1e3;
         let tally = self.asked.entry((class, site)).or_default();
-        (tally.asked, tally.work, tally.squares) =
-            (tally.asked + 1.0, tally.work + work, tally.squares + work * work);
+        (tally.requests, tally.work, tally.squares) =
+            (tally.requests + 1.0, tally.work + work, tally.squares + work * work);
         self.totals.entry((class, site)).or_default().0 += 1;
         site != self.own
     }
 
-    pub(super) fn sent(&mut self, class: usize, attempt: u32, waited: Micros) {
+    pub(super) fn attempt_sent(&mut self, class: usize, attempt: u32, waited: Micros) {
         if let (0, Some(waits)) = (attempt, self.waits.get_mut(class)) {
             *waits = (waits.0 + waited as f64 / self.aims[class], waits.1.saturating_add(1));
         }
     }
 
-    pub(super) fn ended(&mut self, class: usize, context: &Context, word: &str) {
+    pub(super) fn statement_ended(&mut self, class: usize, context: &Context, word: &str) {
         let site = self.site_of(context);
         if word == "served" {
             self.totals.entry((class, site)).or_default().1 += 1;
@@ -128,30 +132,37 @@
     }
 
     /// The last sign of each engine since they were last taken.
-    pub fn signs(&mut self) -> BTreeMap<EngineId, EngineSign> {
+    pub fn take_signs(&mut self) -> BTreeMap<EngineId, EngineSign> {
         std::mem::take(&mut self.signs)
     }
 
     /// Time has passed: what is old fades over `average`.
-    pub fn fade(&mut self, span: Micros, average: Micros) {
+    pub fn decay(&mut self, span: Micros, average: Micros) {
         let part = span as f64 / average.max(1) as f64;
         let (keep, slowly) = ((-part).exp(), (-part / SLOWER).exp());
         for t in self.asked.values_mut() {
-            (t.asked, t.work, t.squares) = (t.asked * keep, t.work * keep, t.squares * keep);
+            (t.requests, t.work, t.squares) = (t.requests * keep, t.work * keep, t.squares * keep);
         }
         self.over = self.over * keep + span as f64;
         for c in self.costs.values_mut() {
-            (c.told, c.seen) = (c.told * slowly, c.seen * slowly);
-            c.logs = (c.logs.0 * slowly, c.logs.1 * slowly, c.logs.2 * slowly);
+            (c.estimated, c.actual) = (c.estimated * slowly, c.actual * slowly);
+            c.log_ratio = (c.log_ratio.0 * slowly, c.log_ratio.1 * slowly, c.log_ratio.2 * slowly);
         }
-        self.costs.retain(|_, c| c.told > 1e-3);
+        self.costs.retain(|_, c| c.estimated > 1e-3);
     }
 
     /// What is asked for a second, by class and site of clients.
-    pub fn rates(&self) -> impl Iterator<Item = ((usize, usize), Tally)> + '_ {
+    pub fn rates(&self) -> impl Iterator<Item = ((usize, usize), Demand)> + '_ {
         let seconds = (self.over / 1e6).max(1e-3);
         self.asked.iter().map(move |(&key, t)| {
-            (key, Tally { asked: t.asked / seconds, work: t.work / seconds, squares: t.squares / seconds })
+            (
+                key,
+                Demand {
+                    requests: t.requests / seconds,
+                    work: t.work / seconds,
+                    squares: t.squares / seconds,
+                },
+            )
         })
     }
 
@@ -161,7 +172,7 @@
     }
 
     /// Mean waits until the first attempt as parts of the aim, by class, and of how many, since they were last taken.
-    pub fn waits(&mut self) -> Vec<(f64, u32)> {
+    pub fn take_waits(&mut self) -> Vec<(f64, u32)> {
         let mean = |w: &mut (f64, u32)| {
             let (sum, n) = std::mem::take(w);
             (sum / f64::from(n.max(1)), n)
@@ -177,34 +188,36 @@
 
 impl Core {
     /// What is seen is summed up from now on.
-    pub fn watch_sights(&mut self, sights: Sights) {
-        self.sights = Some(Box::new(sights));
+    pub fn observe(&mut self, sights: Observations) {
+        self.observations = Some(Box::new(sights));
     }
 
     /// What has been seen.
-    pub fn sights(&mut self) -> Option<&mut Sights> {
-        self.sights.as_deref_mut()
+    pub fn observations(&mut self) -> Option<&mut Observations> {
+        self.observations.as_deref_mut()
     }
 
     /// The parts of requests that are let in: see [`Event::Keep`].
-    pub fn keep(&mut self, now: Micros, [own, guests]: [Vec<f64>; 2], back: Micros) {
-        self.pass(now);
-        self.inbox.push_back(Event::Keep { own, guests, back });
-        self.run();
+    pub fn set_admission_shares(&mut self, now: Micros, [own, guests]: [Vec<f64>; 2], back: Micros) {
+        self.advance_to(now);
+        self.events.push_back(Event::Keep { own, guests, back });
+        self.process_events();
     }
 
     /// An attempt has ended: what that says of its engine and of its cost.
-    pub(super) fn sighted(
+    pub(super) fn observe_attempt_end(
         &mut self,
         id: AttemptId,
         engine: EngineId,
         outcome: Outcome,
         stats: Option<&Stats>,
     ) {
-        let Some(sights) = &mut self.sights else { return };
+        let Some(sights) = &mut self.observations else { return };
         match outcome {
-            Outcome::Ok | Outcome::Error | Outcome::Declined | Outcome::Full => sights.heard(engine),
-            Outcome::ConnectFailed | Outcome::Reset => sights.sign(engine, EngineSign::Silent),
+            Outcome::Ok | Outcome::Error | Outcome::Declined | Outcome::Full => {
+                sights.engine_answered(engine)
+            }
+            Outcome::ConnectFailed | Outcome::Reset => sights.set_sign(engine, EngineSign::Silent),
             // A slow answer is no silence: whether the engine is there a probe tells.
             Outcome::Timeout | Outcome::Broken | Outcome::Cancelled | Outcome::Moot => {}
         }
@@ -215,7 +228,7 @@
         if seen > 0.0 && told > 0.0 && (sights.costs.len() < MOST || sights.costs.contains_key(&key)) {
             let log = (seen / told).ln();
             let cost = sights.costs.entry(key).or_default();
-            *cost = cost.with(Cost { told, seen, logs: (1.0, log, log * log) });
+            *cost = cost.plus(Cost { estimated: told, actual: seen, log_ratio: (1.0, log, log * log) });
         }
     }
 }
@@ -242,17 +255,23 @@
 
     #[test]
     fn rates_are_those_of_the_time_seen_and_clients_of_other_sites_are_guests() {
-        let mut sights = Sights::new("site=", vec!["a".into(), "b".into()], 0, &[]);
+        let mut sights = Observations::new("site=", vec!["a".into(), "b".into()], 0, &[]);
         let of = |site: &str| Context { tags: vec![format!("site={site}")], ..Context::default() };
         for _ in 0..100 {
-            assert!(!sights.asked(&request(0, 50_000), &of("a")));
-            assert!(sights.asked(&request(0, 50_000), &of("b")));
-            assert!(!sights.asked(&request(0, 50_000), &of("elsewhere")), "who is not known is no guest");
-            sights.fade(100_000, 2_000_000);
+            assert!(!sights.request_started(&request(0, 50_000), &of("a")));
+            assert!(sights.request_started(&request(0, 50_000), &of("b")));
+            assert!(
+                !sights.request_started(&request(0, 50_000), &of("elsewhere")),
+                "who is not known is no guest"
+            );
+            sights.decay(100_000, 2_000_000);
         }
         let rates: BTreeMap<_, _> = sights.rates().collect();
         let (own, guests) = (rates[&(0, 0)], rates[&(0, 1)]);
-        assert!((own.asked - 20.0).abs() < 1.5 && (guests.asked - 10.0).abs() < 1.0, "{own:?} {guests:?}");
+        assert!(
+            (own.requests - 20.0).abs() < 1.5 && (guests.requests - 10.0).abs() < 1.0,
+            "{own:?} {guests:?}"
+        );
         assert!((guests.work - 500.0).abs() < 40.0, "{guests:?}");
         assert_eq!(sights.totals()[&(0, 1)], (100, 0));
     }
--- a/crates/gateway/src/core/guard.rs
+++ b/crates/gateway/src/core/protection.rs
@@ -20,7 +20,7 @@
 
 /// An attempt of another gateway that is gone on with.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Follow {
+pub struct ResumedAttempt {
     /// Which one.
     pub attempt: AttemptId,
     /// Where its engine is.
@@ -31,13 +31,13 @@
 
 /// A statement that is to outlive this gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Taken {
+pub struct StatementRecord {
     /// What it takes to begin it anew elsewhere.
     pub body: Vec<u8>,
     /// What a repeat may do.
     pub repeat: custody::Repeat,
     /// How long its client still waits.
-    pub left: Micros,
+    pub remaining: Micros,
 }
 
 #[derive(Serialize, Deserialize)]
@@ -50,70 +50,70 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-enum Decision {
-    Open,
+enum EndingRecord {
+    None,
     /// It is being recorded; until then nothing is told.
-    Deciding(Ending),
-    Decided,
+    Pending(Ending),
+    Done,
 }
 
 /// What a statement carries that is to outlive its gateway.
 #[derive(Debug)]
-pub(super) struct Guard {
+pub(super) struct Protection {
     /// The mark of its repeats, the same wherever it goes.
     pub(super) mark: String,
-    decision: Decision,
+    ending_record: EndingRecord,
     /// It came from another gateway, and its client has not asked here yet.
-    expects: bool,
+    awaits_client: bool,
     /// Another gateway took it: the module has been asked for it once already, there.
     adopted: bool,
-    resume: Option<Follow>,
+    resumption: Option<ResumedAttempt>,
     /// The attempt that has ended with its rows, or the last one that may have run where a repeat is not harmless.
-    ran: Option<custody::Out>,
-    forgotten: bool,
+    last_run: Option<custody::Out>,
+    record_released: bool,
 }
 
-impl Guard {
-    pub(super) fn taken(mark: String) -> Guard {
-        Guard {
+impl Protection {
+    pub(super) fn new(mark: String) -> Protection {
+        Protection {
             mark,
-            decision: Decision::Open,
-            expects: false,
+            ending_record: EndingRecord::None,
+            awaits_client: false,
             adopted: false,
-            resume: None,
-            ran: None,
-            forgotten: false,
+            resumption: None,
+            last_run: None,
+            record_released: false,
         }
     }
 
     /// It came from another gateway, and its client has not asked here yet.
-    pub(super) fn expects(&self) -> bool {
-        self.expects
+    pub(super) fn awaits_client(&self) -> bool {
+        self.awaits_client
     }
 
-    pub(super) fn deciding(&self) -> bool {
-        matches!(self.decision, Decision::Deciding(_))
+    pub(super) fn ending_pending(&self) -> bool {
+        matches!(self.ending_record, EndingRecord::Pending(_))
     }
 
     /// Its client is told nothing any more: what ends it needs no record.
-    pub(super) fn needs_no_record(&mut self) {
-        self.decision = Decision::Decided;
+    pub(super) fn skip_recording(&mut self) {
+        self.ending_record = EndingRecord::Done;
     }
 }
 
 /// The number of a page, from an engine's own address of it.
-pub(crate) fn number(uri: &str) -> Option<u64> {
+pub(crate) fn page_number(uri: &str) -> Option<u64> {
     uri.rsplit('/').next()?.parse().ok()
 }
 
 /// The engine's address of another page of the same statement.
-pub(crate) fn numbered(uri: &str, page: u64) -> Option<String> {
+pub(crate) fn with_page_number(uri: &str, page: u64) -> Option<String> {
     let (stem, last) = uri.rsplit_once('/')?;
     last.parse::<u64>().ok().map(|_| format!("{stem}/{page}"))
 }
 
 /// An end, from how it is recorded.
-pub(crate) fn ended(recorded: &custody::Ending) -> Ending {
+pub(crate) fn ending_from_record(recorded: &custody::Ending) -> Ending {
     match recorded {
         custody::Ending::Refused(why) => Ending::Refused(QueryError::refused(why, 0)),
         custody::Ending::Failed(why) => Ending::Failed(QueryError::failed(FAILED, why)),
@@ -124,7 +124,7 @@
 }
 
 /// An end as it is recorded.
-pub(crate) fn recorded(ending: &Ending) -> custody::Ending {
+pub(crate) fn ending_to_record(ending: &Ending) -> custody::Ending {
     let why = ending.error().map(|e| e.message.clone()).unwrap_or_default();
     match ending {
         Ending::Refused(_) => custody::Ending::Refused(why),
@@ -135,24 +135,24 @@
 
 impl Core {
     /// Statements of these classes are to outlive this gateway; none unless told.
-    pub fn guard(&mut self, classes: Vec<bool>) {
-        self.guarded = classes;
-        self.guarded.resize(self.classes.len(), false);
+    pub fn protect_classes(&mut self, classes: Vec<bool>) {
+        self.protected_classes = classes;
+        self.protected_classes.resize(self.classes.len(), false);
     }
 
     /// Whether a repeat of a statement is harmless.
-    pub fn is_harmless(&self, id: StatementId) -> bool {
+    pub fn is_repeatable(&self, id: StatementId) -> bool {
         let class = self.statements.get(&id).map(|s| &self.classes[s.class]);
         class.is_some_and(|c| c.effect == Repeats::Repeatable)
     }
 
     /// When the client of a statement stops waiting.
-    pub fn due(&self, id: StatementId) -> Option<Micros> {
-        self.statements.get(&id).map(|s| s.due)
+    pub fn deadline(&self, id: StatementId) -> Option<Micros> {
+        self.statements.get(&id).map(|s| s.deadline)
     }
 
     /// What another gateway needs to know of a statement to begin it anew.
-    pub fn taken(&self, id: StatementId) -> Option<Taken> {
+    pub fn statement_record(&self, id: StatementId) -> Option<StatementRecord> {
         let s = self.statements.get(&id)?;
         let mut headers = Headers::default();
         s.context.write(&mut headers);
@@ -161,132 +161,134 @@
             text: s.text.to_string(),
             headers: headers.iter().map(|(n, v)| (n.to_owned(), v.to_owned())).collect(),
             class: self.names.classes.get(s.class).cloned().unwrap_or_default(),
-            mark: s.guard.as_ref()?.mark.clone(),
+            mark: s.protection.as_ref()?.mark.clone(),
         };
         let repeat = match self.classes[s.class].effect {
             Repeats::Repeatable => custody::Repeat::Harmless,
             _ => custody::Repeat::Unsafe,
         };
         let body = serde_json::to_vec(&body).unwrap_or_default();
-        Some(Taken { body, repeat, left: s.due.saturating_sub(self.now) })
+        Some(StatementRecord { body, repeat, remaining: s.deadline.saturating_sub(self.now) })
     }
 
     /// Attempts spent, the attempt that is out, and the pages handed out of a statement that is to outlive this gateway.
     pub fn progress(&self, id: StatementId) -> Option<(u32, Option<custody::Out>, u64)> {
         let s = self.statements.get(&id)?;
-        s.guard.as_ref()?;
-        let out =
-            s.current.and_then(|number| Some(self.out(number, self.attempts.get(&AttemptId(id, number))?)));
-        let ran = || s.guard.as_ref().and_then(|g| g.ran.clone());
+        s.protection.as_ref()?;
+        let out = s
+            .current
+            .and_then(|number| Some(self.attempt_record(number, self.attempts.get(&AttemptId(id, number))?)));
+        let ran = || s.protection.as_ref().and_then(|g| g.last_run.clone());
         Some((s.attempts, out.or_else(ran), s.pages.passed()))
     }
 
-    fn out(&self, number: u32, attempt: &Attempt) -> custody::Out {
+    fn attempt_record(&self, number: u32, attempt: &Attempt) -> custody::Out {
         custody::Out {
             number,
-            engine: self.name(attempt.engine),
-            next: attempt.next.clone(),
-            page: attempt.next.as_deref().and_then(self::number).unwrap_or(0),
+            engine: self.engine_name(attempt.engine),
+            next: attempt.next_uri.clone(),
+            page: attempt.next_uri.as_deref().and_then(page_number).unwrap_or(0),
             sent: self.now.saturating_sub(attempt.sent),
-            within: attempt.until.saturating_sub(attempt.sent),
+            within: attempt.deadline.saturating_sub(attempt.sent),
         }
     }
 
     /// An attempt has ended. The engine still gives the last page of one that ended with rows. One that may have run is told of
     /// on and on where a repeat is not harmless: who knows nothing of it would take the statement for one that waits.
-    pub(super) fn closed(&mut self, id: AttemptId, attempt: &Attempt, outcome: Outcome) {
-        let (harmless, out) = (self.is_harmless(id.0), self.out(id.1, attempt));
-        let Some(guard) = self.statements.get_mut(&id.0).and_then(|s| s.guard.as_mut()) else { return };
+    pub(super) fn record_attempt_end(&mut self, id: AttemptId, attempt: &Attempt, outcome: Outcome) {
+        let (harmless, out) = (self.is_repeatable(id.0), self.attempt_record(id.1, attempt));
+        let Some(guard) = self.statements.get_mut(&id.0).and_then(|s| s.protection.as_mut()) else { return };
         match outcome {
-            Outcome::Ok | Outcome::Declined => guard.ran = Some(out),
+            Outcome::Ok | Outcome::Declined => guard.last_run = Some(out),
             Outcome::ConnectFailed | Outcome::Full | Outcome::Moot => {}
             _ if harmless => {}
-            _ => guard.ran = Some(custody::Out { next: None, ..out }),
+            _ => guard.last_run = Some(custody::Out { next: None, ..out }),
         }
-        self.noted(id.0);
+        self.progress_changed(id.0);
     }
 
     /// The end that was decided here is recorded: it may be told.
-    pub fn decided(&mut self, now: Micros, id: StatementId) {
-        self.pass(now);
-        let Some(guard) = self.statements.get_mut(&id).and_then(|s| s.guard.as_mut()) else { return };
-        if let Decision::Deciding(ending) = std::mem::replace(&mut guard.decision, Decision::Decided) {
+    pub fn ending_recorded(&mut self, now: Micros, id: StatementId) {
+        self.advance_to(now);
+        let Some(guard) = self.statements.get_mut(&id).and_then(|s| s.protection.as_mut()) else { return };
+        if let EndingRecord::Pending(ending) = std::mem::replace(&mut guard.ending_record, EndingRecord::Done)
+        {
             self.finish(id, ending);
-            self.run();
+            self.process_events();
         }
     }
 
     /// Whether an end has to be recorded before it is told: one that was decided here, after an attempt was out. Until then no
     /// other end takes its place.
-    pub(super) fn decides_first(&mut self, id: StatementId, ending: &Ending) -> bool {
+    pub(super) fn must_record_first(&mut self, id: StatementId, ending: &Ending) -> bool {
         let Some(s) = self.statements.get_mut(&id) else { return false };
         let (attempts, over) = (s.attempts, s.pages.end().is_some());
-        let Some(guard) = s.guard.as_mut().filter(|g| !over && !g.forgotten) else { return false };
-        match guard.decision {
-            Decision::Decided => false,
-            Decision::Deciding(_) => true,
-            Decision::Open if attempts == 0 || matches!(ending, Ending::Served | Ending::Declined(_)) => {
+        let Some(guard) = s.protection.as_mut().filter(|g| !over && !g.record_released) else { return false };
+        match guard.ending_record {
+            EndingRecord::Done => false,
+            EndingRecord::Pending(_) => true,
+            EndingRecord::None if attempts == 0 || matches!(ending, Ending::Served | Ending::Declined(_)) => {
                 false
             }
-            Decision::Open => {
-                guard.decision = Decision::Deciding(ending.clone());
+            EndingRecord::None => {
+                guard.ending_record = EndingRecord::Pending(ending.clone());
                 s.pending = false;
-                self.effects.push_back(Effect::Decide(id, ending.clone()));
+                self.effects.push_back(Effect::RecordEnding(id, ending.clone()));
                 true
             }
         }
     }
 
     /// Whether a statement came from another gateway and its client has not asked here yet.
-    pub(super) fn expects(&self, id: StatementId) -> bool {
-        self.statements.get(&id).and_then(|s| s.guard.as_ref()).is_some_and(|g| g.expects)
+    pub(super) fn awaits_client(&self, id: StatementId) -> bool {
+        self.statements.get(&id).and_then(|s| s.protection.as_ref()).is_some_and(|g| g.awaits_client)
     }
 
     /// Nobody could keep a statement, and it is not to go on like that.
-    pub fn refuse_unguarded(&mut self, now: Micros, id: StatementId, why: &str) {
-        self.pass(now);
+    pub fn refuse_unprotected(&mut self, now: Micros, id: StatementId, why: &str) {
+        self.advance_to(now);
         let Some(s) = self.statements.get_mut(&id).filter(|s| s.pages.end().is_none()) else { return };
-        if let Some(guard) = s.guard.as_mut() {
-            guard.needs_no_record();
+        if let Some(guard) = s.protection.as_mut() {
+            guard.skip_recording();
         }
         self.finish(id, Ending::Refused(QueryError::refused(why, 1000)));
-        self.inbox.push_back(Event::Lapsed(RequestId(id.0)));
-        self.run();
+        self.events.push_back(Event::Lapsed(RequestId(id.0)));
+        self.process_events();
     }
 
     /// Something about a statement has changed that another gateway would want to know.
-    pub(super) fn noted(&mut self, id: StatementId) {
+    pub(super) fn progress_changed(&mut self, id: StatementId) {
         let Some(s) = self.statements.get(&id) else { return };
-        if s.guard.as_ref().is_some_and(|g| !g.forgotten) {
-            self.effects.push_back(Effect::Noted(id));
+        if s.protection.as_ref().is_some_and(|g| !g.record_released) {
+            self.effects.push_back(Effect::ProgressChanged(id));
         }
     }
 
     /// A page has been handed out.
-    pub(super) fn passed_on(&mut self, id: StatementId, last: bool) {
-        self.noted(id);
-        if last && self.statements.get(&id).is_some_and(|s| s.guard.is_some()) {
-            self.arm(self.now + AFTER_THE_LAST, Timer::Forget(id));
+    pub(super) fn page_delivered(&mut self, id: StatementId, last: bool) {
+        self.progress_changed(id);
+        if last && self.statements.get(&id).is_some_and(|s| s.protection.is_some()) {
+            self.set_timer(self.now + AFTER_THE_LAST, Timer::ReleaseRecord(id));
         }
     }
 
     /// Nobody will come back for a statement, or it cannot go anywhere else.
-    pub(super) fn forget(&mut self, id: StatementId) {
-        let Some(guard) = self.statements.get_mut(&id).and_then(|s| s.guard.as_mut()) else { return };
-        if !std::mem::replace(&mut guard.forgotten, true) {
-            self.effects.push_back(Effect::Forget(id));
+    pub(super) fn release_record(&mut self, id: StatementId) {
+        let Some(guard) = self.statements.get_mut(&id).and_then(|s| s.protection.as_mut()) else { return };
+        if !std::mem::replace(&mut guard.record_released, true) {
+            self.effects.push_back(Effect::ReleaseRecord(id));
         }
     }
 
     /// The event by which the module hears of a statement: one that another gateway took is adopted, so that its tenant is not
     /// charged for it again and its turn among those of its key is kept.
-    pub(super) fn begins(&self, id: StatementId, request: Request) -> Event {
-        let adopted = |s: &&Statement| s.guard.as_ref().is_some_and(|g| g.adopted);
+    pub(super) fn request_event(&self, id: StatementId, request: Request) -> Event {
+        let adopted = |s: &&Statement| s.protection.as_ref().is_some_and(|g| g.adopted);
         let Some(s) = self.statements.get(&id).filter(adopted) else {
             return Event::Request(request);
         };
         let out = s.current.and_then(|number| self.attempts.get(&AttemptId(id, number)));
-        let out = out.map(|a| AdoptedAttempt { engine: a.engine, sent: a.sent, until: a.until });
+        let out = out.map(|a| AdoptedAttempt { engine: a.engine, sent: a.sent, until: a.deadline });
         Event::Adopted { request, attempts: s.attempts, out }
     }
 
@@ -295,7 +297,7 @@
     /// # Errors
     /// If what was recorded cannot be read.
     pub fn adopt(&mut self, now: Micros, record: &custody::Record) -> Result<StatementId, String> {
-        self.pass(now);
+        self.advance_to(now);
         let body: Body = serde_json::from_slice(&record.body).map_err(|e| e.to_string())?;
         let mut headers = Headers::default();
         body.headers.iter().for_each(|(name, value)| headers.push(name, value));
@@ -307,11 +309,11 @@
         self.next_id += 1;
         let due = self.now + record.left;
         let harmless = self.classes[class].effect == Repeats::Repeatable;
-        let mut guard = Guard::taken(body.mark);
-        guard.expects = true;
+        let mut guard = Protection::new(body.mark);
+        guard.awaits_client = true;
         guard.adopted = true;
         if record.ending.is_some() {
-            guard.needs_no_record();
+            guard.skip_recording();
         }
         let out = record.out.as_ref();
         let engine = out.and_then(|o| self.records.values().find(|r| r.name == o.engine));
@@ -323,113 +325,115 @@
             // Time for its client to come and for the engine to answer.
             let until = (sent + out.within).max(self.now + 1_000_000);
             let next = Some(uri.clone());
-            guard.resume = Some(Follow { attempt, address: *address, uri: uri.clone() });
+            guard.resumption = Some(ResumedAttempt { attempt, address: *address, uri: uri.clone() });
             // It waits for its client, who alone knows which rows have come.
             let paused = Attempt {
                 engine: *engine,
                 sent,
-                until,
+                deadline: until,
                 paused: false,
-                heard: self.now,
-                noted: (false, 0),
-                next,
+                last_answer: self.now,
+                last_progress: (false, 0),
+                next_uri: next,
             };
             self.attempts.insert(attempt, paused);
-            self.arm(until, Timer::Attempt(attempt));
+            self.set_timer(until, Timer::Attempt(attempt));
             current = Some(out.number);
         }
         let fails = current.is_none() && out.is_some() && !harmless && record.ending.is_none();
         let statement = Statement {
-            member: None,
+            session_use: None,
             rebuild: None,
             step_for: None,
-            guard: Some(Box::new(guard)),
+            protection: Some(Box::new(guard)),
             public_id: submission.public_id,
             text: submission.text.into(),
             context: submission.context,
             class,
-            taken: self.now,
-            due,
-            terms: (0.0, 1),
+            accepted: self.now,
+            deadline: due,
+            grant: (0.0, 1),
             attempts: record.attempts,
             current,
             pages: Pages::default(),
-            polled: self.now,
-            waiting: 0,
-            bound: false,
-            trouble: None,
+            last_poll: self.now,
+            waiting_polls: 0,
+            rows_sent: false,
+            last_error: None,
             // It begins when its client asks here: one that has its end already does not ask, and many come over at once.
             pending: current.is_none() && !fails,
         };
         self.counts.adopted += 1;
         self.open += 1;
         self.statements.insert(id, statement);
-        self.arm(self.now + self.abandon_after(), Timer::Client(id));
-        self.arm(due, Timer::Overdue(id));
+        self.set_timer(self.now + self.abandon_after(), Timer::Client(id));
+        self.set_timer(due, Timer::Overdue(id));
         if let Some(recorded) = &record.ending {
-            self.finish(id, ended(recorded));
+            self.finish(id, ending_from_record(recorded));
         } else if fails {
             let why = "its gateway was lost, and its engine's answer with it";
             self.finish(id, Ending::Failed(QueryError::failed(FAILED, why)));
         } else if current.is_some() {
             self.begin(id);
         }
-        self.run();
+        self.process_events();
         Ok(id)
     }
 
     /// The client of a statement that came from elsewhere asks here for the first time: only now it is known which rows it has.
-    pub(super) fn go_on(&mut self, id: StatementId, token: u64, after: Option<u64>) {
+    pub(super) fn resume_for_client(&mut self, id: StatementId, token: u64, after: Option<u64>) {
         let Some(s) = self.statements.get_mut(&id) else { return };
-        let Some(guard) = s.guard.as_mut() else { return };
-        if !std::mem::take(&mut guard.expects) {
+        let Some(guard) = s.protection.as_mut() else { return };
+        if !std::mem::take(&mut guard.awaits_client) {
             return;
         }
         s.pages.resume(token, after);
-        if s.pages.end().is_some() || guard.deciding() {
+        if s.pages.end().is_some() || guard.ending_pending() {
             return;
         }
-        let resume = guard.resume.take().filter(|f| s.current == Some(f.attempt.1));
-        s.bound = after.is_some();
+        let resume = guard.resumption.take().filter(|f| s.current == Some(f.attempt.1));
+        s.rows_sent = after.is_some();
         let at = match (resume, after) {
-            (Some(follow), Some(page)) => numbered(&follow.uri, page).map(|uri| Follow { uri, ..follow }),
+            (Some(follow), Some(page)) => {
+                with_page_number(&follow.uri, page).map(|uri| ResumedAttempt { uri, ..follow })
+            }
             (follow, _) => follow,
         };
         match at {
             Some(follow) => {
                 if let Some(attempt) = self.attempts.get_mut(&follow.attempt) {
-                    attempt.heard = self.now;
+                    attempt.last_answer = self.now;
                 }
                 if after.is_some() {
-                    self.inbox.push_back(Event::Streaming(RequestId(id.0)));
-                    let idle = self.host.stream_idle.as_micros() as Micros;
-                    self.arm(self.now + idle, Timer::Stream(follow.attempt));
+                    self.events.push_back(Event::Streaming(RequestId(id.0)));
+                    let idle = self.limits.stream_idle.as_micros() as Micros;
+                    self.set_timer(self.now + idle, Timer::Stream(follow.attempt));
                 }
-                self.effects.push_back(Effect::Follow(Box::new(follow)));
+                self.effects.push_back(Effect::Resume(Box::new(follow)));
             }
             None if after.is_some() => {
                 let why = "its gateway was lost after rows had been sent, and the rest cannot be found";
                 self.finish(id, Ending::Failed(QueryError::failed(FAILED, why)));
-                self.inbox.push_back(Event::Lapsed(RequestId(id.0)));
+                self.events.push_back(Event::Lapsed(RequestId(id.0)));
             }
             None => {}
         }
-        self.run();
+        self.process_events();
     }
 
     /// Another gateway holds the statement: what is out goes on for that one, and nothing is told here.
-    pub fn leave(&mut self, now: Micros, id: StatementId) {
-        self.pass(now);
+    pub fn detach(&mut self, now: Micros, id: StatementId) {
+        self.advance_to(now);
         let Some(s) = self.statements.remove(&id) else { return };
-        self.counts.left += 1;
-        self.timers.remove(&(s.due, Timer::Overdue(id)));
+        self.counts.handed_over += 1;
+        self.timers.remove(&(s.deadline, Timer::Overdue(id)));
         let out: Vec<AttemptId> =
             self.attempts.keys().filter(|a| a.0 == id && s.current == Some(a.1)).copied().collect();
         for attempt in out {
-            self.effects.push_back(Effect::Leave(attempt));
+            self.effects.push_back(Effect::Detach(attempt));
             if let Some(gone) = self.attempts.remove(&attempt) {
-                self.timers.remove(&(gone.until, Timer::Attempt(attempt)));
-                self.inbox.push_back(Event::Answer(Answer {
+                self.timers.remove(&(gone.deadline, Timer::Attempt(attempt)));
+                self.events.push_back(Event::Answer(Answer {
                     id: RequestId(id.0),
                     attempt: attempt.1,
                     outcome: Outcome::Cancelled,
@@ -443,9 +447,9 @@
         }
         if s.pages.end().is_none() {
             self.open -= 1;
-            self.inbox.push_back(Event::Lapsed(RequestId(id.0)));
+            self.events.push_back(Event::Lapsed(RequestId(id.0)));
         }
-        self.effects.push_back(Effect::Wake(id));
-        self.run();
+        self.effects.push_back(Effect::NotifyPollers(id));
+        self.process_events();
     }
 }
--- a/crates/gateway/src/core/rebuilding.rs
+++ b/crates/gateway/src/core/rebuilding.rs
@@ -5,7 +5,7 @@
 impl Core {
     /// Begins the next step of rebuilding a statement's session, a statement of its own that is admitted and charged like any;
     /// after the last one the statement itself begins.
-    pub(super) fn rebuild(&mut self, client: StatementId) {
+    pub(super) fn next_rebuild_step(&mut self, client: StatementId) {
         let id = StatementId(self.next_id);
         let Some(s) = self.statements.get_mut(&client) else { return };
         let Some(rebuild) = &mut s.rebuild else { return };
@@ -15,13 +15,13 @@
         if let Some(token) = &rebuild.token {
             context.session.push((PROPERTY.to_owned(), token.clone()));
         }
-        let Some(text) = rebuild.left.pop_front() else {
+        let Some(text) = rebuild.remaining_statements.pop_front() else {
             s.context.session = context.session.clone();
-            return self.rebuilt(client);
+            return self.finish_rebuild(client);
         };
-        rebuild.done += 1;
-        let public_id = format!("{}_r{}", s.public_id, rebuild.done);
-        let (due, class) = (s.due, s.class);
+        rebuild.steps_done += 1;
+        let public_id = format!("{}_r{}", s.public_id, rebuild.steps_done);
+        let (due, class) = (s.deadline, s.class);
         self.next_id += 1;
         let class = match self.selection.selectors.is_empty() {
             true => class,
@@ -33,10 +33,10 @@
         };
         let admit = self.admit(id, &context, &text);
         let member = match admit {
-            Admit::Member(member) => Some(member),
-            Admit::Plain => None,
-            Admit::Rebuild(_) | Admit::Ended(..) => {
-                return self.not_rebuilt(client, "its session was lost again");
+            Admit::InSession(member) => Some(member),
+            Admit::NoSession => None,
+            Admit::RebuildFirst(_) | Admit::Ended(..) => {
+                return self.fail_rebuild(client, "its session was lost again");
             }
         };
         let statement = Statement {
@@ -44,70 +44,70 @@
             text: text.into(),
             context,
             class,
-            taken: self.now,
-            due,
-            terms: (0.0, 1),
+            accepted: self.now,
+            deadline: due,
+            grant: (0.0, 1),
             attempts: 0,
             current: None,
             pages: Pages::default(),
-            polled: self.now,
-            waiting: 1,
-            bound: false,
-            trouble: None,
+            last_poll: self.now,
+            waiting_polls: 1,
+            rows_sent: false,
+            last_error: None,
             pending: false,
-            member,
+            session_use: member,
             rebuild: None,
             step_for: Some(client),
-            guard: None,
+            protection: None,
         };
         self.open += 1;
         self.statements.insert(id, statement);
-        self.arm(due, Timer::Overdue(id));
+        self.set_timer(due, Timer::Overdue(id));
         self.begin(id);
     }
 
     /// All steps are done: the statement runs in its new session.
-    pub(super) fn rebuilt(&mut self, client: StatementId) {
+    pub(super) fn finish_rebuild(&mut self, client: StatementId) {
         let Some(s) = self.statements.get(&client) else { return };
         let (context, text) = (s.context.clone(), s.text.clone());
         match self.admit(client, &context, &text) {
-            Admit::Member(member) => {
+            Admit::InSession(member) => {
                 if let Some(s) = self.statements.get_mut(&client) {
-                    s.member = Some(member);
+                    s.session_use = Some(member);
                 }
                 self.begin(client);
             }
-            _ => self.not_rebuilt(client, "its session was lost again"),
+            _ => self.fail_rebuild(client, "its session was lost again"),
         }
     }
 
-    pub(super) fn not_rebuilt(&mut self, client: StatementId, why: &str) {
+    pub(super) fn fail_rebuild(&mut self, client: StatementId, why: &str) {
         let why = format!("its session could not be rebuilt: {why}");
         self.finish(
             client,
-            Ending::Failed(QueryError::new(ErrorType::External, 0x7611, sessions::LOST, why)),
+            Ending::Failed(QueryError::new(ErrorType::External, 0x7611, sessions::SESSION_LOST, why)),
         );
     }
 
     /// A step has ended.
-    pub(super) fn stepped(&mut self, step: Step) {
+    pub(super) fn rebuild_step_ended(&mut self, step: Step) {
         self.statements.remove(&step.step);
         let wanted = self.statements.get(&step.client).is_some_and(|s| s.pages.end().is_none());
         if !wanted {
             // Its client has its end already: nobody will use what was built.
             let user = self.statements.get(&step.client).map(|s| s.context.user.clone());
             if let (Some(user), Some(token)) = (user, &step.token) {
-                let loss = self.sessions.let_go(self.now, &user, token);
-                self.lose(loss.into_iter().collect());
+                let loss = self.sessions.release(self.now, &user, token);
+                self.sessions_lost(loss.into_iter().collect());
             }
             return;
         }
-        if let Some(trouble) = step.trouble {
-            return self.not_rebuilt(step.client, &trouble);
+        if let Some(trouble) = step.error {
+            return self.fail_rebuild(step.client, &trouble);
         }
         if let Some(rebuild) = self.statements.get_mut(&step.client).and_then(|s| s.rebuild.as_mut()) {
             rebuild.token = step.token.or(rebuild.token.take());
         }
-        self.rebuild(step.client);
+        self.next_rebuild_step(step.client);
     }
 }
--- a/crates/gateway/src/custody.rs
+++ b/crates/gateway/src/custody.rs
@@ -27,7 +27,7 @@
 use violetward_transport::sockets::{self, Caller, Station};
 use violetward_transport::{mark, Keys};
 
-use crate::core::{recorded, AttemptId, Launch, StatementId};
+use crate::core::{ending_to_record, AttemptId, Launch, StatementId};
 use crate::custody_terms::CustodyTerms;
 use crate::host::Host;
 
@@ -204,7 +204,7 @@
 /// # Errors
 /// What it answers instead, or why it does not.
 pub async fn ask(address: SocketAddr) -> Result<Standing, String> {
-    crate::asking::get(address, "/v1/custody").await
+    crate::fetch::get_json(address, "/v1/custody").await
 }
 
 fn state(state: violetward_membership::State) -> MemberState {
@@ -282,7 +282,7 @@
             waited: Cell::default(),
         });
         *host.custody.borrow_mut() = Some(custody.clone());
-        host.core(|core, _| core.guard(terms.protect.clone()));
+        host.with_core(|core, _| core.protect_classes(terms.protect.clone()));
         host.spawn(custody.clone().keep(host.clone(), store, kept));
         host.spawn(custody.clone().wake(host.clone()));
         host.spawn(custody.clone().look(host.clone()));
@@ -333,7 +333,7 @@
             }
             Effect::ReportEnding(key) => {
                 if let Some(id) = self.local(&key) {
-                    host.core(|core, now| core.decided(now, id));
+                    host.with_core(|core, now| core.ending_recorded(now, id));
                 }
             }
             Effect::TakenOver(record) => self.adopt(host, &record),
@@ -341,7 +341,7 @@
                 if let Some(id) = self.local(&key) {
                     tracing::info!(n = id.0, at = host.now(), "another gateway holds it");
                     self.gone(id);
-                    host.core(|core, now| core.leave(now, id));
+                    host.with_core(|core, now| core.detach(now, id));
                 }
                 self.changed.notify(usize::MAX);
             }
@@ -349,7 +349,7 @@
                 self.unprotected.set(self.unprotected.get() + 1);
                 if let Some(id) = self.local(&key).filter(|_| self.terms.refuses) {
                     let why = "no other gateway could keep it";
-                    host.core(|core, now| core.refuse_unguarded(now, id, why));
+                    host.with_core(|core, now| core.refuse_unprotected(now, id, why));
                 }
             }
             Effect::Log(text) => tracing::info!(target: "violetward::custody", at = host.now(), "{text}"),
@@ -358,14 +358,14 @@
 
     fn adopt(&self, host: &Rc<Host>, record: &Record) {
         let (number, key) = (record.key.number, record.key.clone());
-        let adopted = host.core_alone(|core, now| core.adopt(now, record));
+        let adopted = host.with_core_deferred(|core, now| core.adopt(now, record));
         match adopted {
             Ok(id) => {
                 tracing::info!(n = id.0, from = key.taken_by.name, number, at = host.now(), "taken over");
                 self.locals.borrow_mut().insert(key.clone(), id);
                 self.names.borrow_mut().insert(id, key);
                 // Only now it is known whose the effects of that are.
-                host.core(|_, _| ());
+                host.with_core(|_, _| ());
             }
             Err(why) => {
                 tracing::error!(
@@ -391,7 +391,7 @@
 
     /// A statement has been taken here.
     pub(crate) fn taken(&self, host: &Rc<Host>, id: StatementId) {
-        let Some(taken) = host.look(|core| core.taken(id)) else { return };
+        let Some(taken) = host.read_core(|core| core.statement_record(id)) else { return };
         let key = StatementKey { taken_by: self.me.clone(), number: id.0 };
         self.locals.borrow_mut().insert(key.clone(), id);
         self.names.borrow_mut().insert(id, key.clone());
@@ -400,7 +400,7 @@
             version: 1,
             body: taken.body,
             repeat: taken.repeat,
-            left: taken.left,
+            left: taken.remaining,
             attempts: 0,
             out: None,
             passed: 0,
@@ -442,7 +442,7 @@
             future::or(news, violetward_net::sleep_until(until)).await;
         }
         tracing::info!(n = id.0, at = host.now(), "not taken: nobody else came to know of it");
-        host.core(|core, now| core.refuse_unguarded(now, id, "no other gateway could keep it"));
+        host.with_core(|core, now| core.refuse_unprotected(now, id, "no other gateway could keep it"));
         self.forget(host, id);
         false
     }
@@ -469,7 +469,7 @@
         let out = {
             let parked = self.parked.borrow();
             let (_, launch) = parked.get(&attempt)?;
-            let within = launch.until.saturating_sub(host.now());
+            let within = launch.deadline.saturating_sub(host.now());
             Out { number: attempt.1, engine: launch.engine.clone(), next: None, page: 0, sent: 0, within }
         };
         match self.with(host, |m, now| m.request_attempt(now, &key, attempt.1 + 1, out)) {
@@ -503,7 +503,7 @@
     /// What is known of a statement has changed.
     pub(crate) fn noted(&self, host: &Rc<Host>, id: StatementId) {
         let Some(key) = self.key(id) else { return };
-        if let Some((_, out, passed)) = host.look(|core| core.progress(id)) {
+        if let Some((_, out, passed)) = host.read_core(|core| core.progress(id)) {
             self.with(host, |m, now| m.record_progress(now, &key, out, passed));
         }
     }
@@ -511,10 +511,10 @@
     /// An end was decided here.
     pub(crate) fn decide(&self, host: &Rc<Host>, id: StatementId, ending: &Ending) {
         let Some(key) = self.key(id) else {
-            return host.core(|core, now| core.decided(now, id));
+            return host.with_core(|core, now| core.ending_recorded(now, id));
         };
-        match self.with(host, |m, now| m.request_ending(now, &key, recorded(ending))) {
-            Permission::Granted => host.core(|core, now| core.decided(now, id)),
+        match self.with(host, |m, now| m.request_ending(now, &key, ending_to_record(ending))) {
+            Permission::Granted => host.with_core(|core, now| core.ending_recorded(now, id)),
             Permission::Pending => {}
             // It's another gateway's: that one is told by `Effect::Relinquished`. Without a tenure it has to wait.
             Permission::Denied if matches!(self.find(&key).0, Whereabouts::Here) => {
@@ -712,7 +712,7 @@
                 let Ok(asked) = serde_json::from_slice::<Asked>(bytes) else { return Vec::new() };
                 let front = host.front();
                 let Some(front) = front else { return Vec::new() };
-                let (told, body) = front.asked(&asked).await;
+                let (told, body) = front.answer_forwarded(&asked).await;
                 told_and(&told, &body, asked.from)
             }
             _ => Vec::new(),
@@ -856,7 +856,7 @@
     /// How it stands.
     pub fn standing(&self, host: &Rc<Host>) -> Standing {
         let usage = self.machine.borrow().usage();
-        let counts = host.look(|core| core.counts);
+        let counts = host.read_core(|core| core.counts);
         Standing {
             name: self.me.name.clone(),
             life: format!("{:016x}", self.me.life),
@@ -866,7 +866,7 @@
             octets: usage.replica_bytes,
             waiting: usage.awaiting_replicas,
             adopted: counts.adopted,
-            left: counts.left,
+            left: counts.handed_over,
             unprotected: self.unprotected.get(),
             passed_on: self.passed_on.get(),
             intents: self.waited.get(),
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -16,33 +16,38 @@
 
 use violetward_session::kind::PROPERTY;
 
-use crate::core::guard as guarded;
-use crate::core::{Arrived, AttemptId, Follow, Launch};
+use crate::core::protection;
+use crate::core::{AttemptId, EnginePage, Launch, ResumedAttempt};
 use crate::host::Host;
 
 /// How long a withdrawn attempt's first answer is awaited, so that its work can still be cancelled.
-const CLEAN_UP: Duration = Duration::from_secs(10);
+const CLEANUP_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Pages without rows that another gateway may have passed over since it last told of one.
-const PASSED_OVER: usize = 64;
+const MAX_SKIPPED_PAGES: usize = 64;
 
 /// What an answer's headers say: changes of the session, and the life of the engine's process.
 #[derive(Default)]
-struct Session {
+struct SessionHeaders {
     changes: Vec<(String, String)>,
     epoch: Option<String>,
 }
 
 /// How an attempt ends without an answer.
-struct Broken(Outcome, String);
+struct AttemptError(Outcome, String);
 
-/// Runs an attempt until it has ended or is stopped.
-pub(crate) async fn attempt(host: Rc<Host>, launch: Launch, pulled: Receiver<()>, stopped: Receiver<bool>) {
+/// Runs an attempt until it has ended or is stop_requests.
+pub(crate) async fn attempt(
+    host: Rc<Host>,
+    launch: Launch,
+    fetch_requests: Receiver<()>,
+    stop_requests: Receiver<bool>,
+) {
     let id = launch.attempt;
     let pool = host.pool(launch.address);
-    let (posted, first) = async_channel::bounded::<Result<Arrived, Broken>>(1);
+    let (first_sender, first) = async_channel::bounded::<Result<EnginePage, AttemptError>>(1);
     let next: Rc<std::cell::RefCell<Option<String>>> = Rc::default();
-    // The post goes on when the attempt is stopped: only its answer tells what to cancel.
+    // The post goes on when the attempt is stop_requests: only its answer tells what to cancel.
     {
         let (host, next, pool) = (host.clone(), next.clone(), pool.clone());
         let owner = host.clone();
@@ -50,82 +55,87 @@
             let result = post(&host, &pool, &launch).await;
             let result = result.map(|(results, session)| {
                 *next.borrow_mut() = results.next_uri.clone();
-                arrived(results, session)
+                engine_page(results, session)
             });
-            if posted.try_send(result).is_err() {
+            if first_sender.try_send(result).is_err() {
                 // Nobody waits any more: the attempt has been withdrawn meanwhile.
                 cancel(&host, &pool, &next).await;
             }
         });
     }
-    go_on(&host, id, &pool, &first, &pulled, &stopped, &next).await;
+    run_attempt(&host, id, &pool, &first, &fetch_requests, &stop_requests, &next).await;
 }
 
-/// Goes on with another gateway's attempt until it has ended or is stopped.
-pub(crate) async fn resume(host: Rc<Host>, at: Follow, pulled: Receiver<()>, stopped: Receiver<bool>) {
+/// Goes on with another gateway's attempt until it has ended or is stop_requests.
+pub(crate) async fn resume(
+    host: Rc<Host>,
+    at: ResumedAttempt,
+    fetch_requests: Receiver<()>,
+    stop_requests: Receiver<bool>,
+) {
     let pool = host.pool(at.address);
-    let (posted, first) = async_channel::bounded::<Result<Arrived, Broken>>(1);
+    let (first_sender, first) = async_channel::bounded::<Result<EnginePage, AttemptError>>(1);
     let next: Rc<std::cell::RefCell<Option<String>>> = Rc::new(Some(at.uri.clone()).into());
     {
         let (host, next, pool, id) = (host.clone(), next.clone(), pool.clone(), at.attempt);
         let owner = host.clone();
         owner.spawn(async move {
-            let result = poll_from(&host, &pool, id, &at.uri).await.map(|(results, session)| {
+            let result = poll_resumed(&host, &pool, id, &at.uri).await.map(|(results, session)| {
                 *next.borrow_mut() = results.next_uri.clone();
-                arrived(results, session)
+                engine_page(results, session)
             });
-            posted.try_send(result).ok();
+            first_sender.try_send(result).ok();
         });
     }
-    go_on(&host, at.attempt, &pool, &first, &pulled, &stopped, &next).await;
+    run_attempt(&host, at.attempt, &pool, &first, &fetch_requests, &stop_requests, &next).await;
 }
 
 /// Asks for a page from which on its client has nothing. Pages of no rows that the other gateway has passed over are gone: it
 /// asked for none after one with rows before that one had come.
-async fn poll_from(
+async fn poll_resumed(
     host: &Rc<Host>,
     pool: &Pool,
     id: AttemptId,
     uri: &str,
-) -> Result<(QueryResults, Session), Broken> {
+) -> Result<(QueryResults, SessionHeaders), AttemptError> {
     let mut uri = uri.to_owned();
-    for _ in 0..PASSED_OVER {
+    for _ in 0..MAX_SKIPPED_PAGES {
         match poll_once(host, pool, &uri).await {
-            Err(Missed::Gone) => {}
-            Err(Missed::Broken(broken)) => return Err(broken),
+            Err(PollError::Gone) => {}
+            Err(PollError::Failed(broken)) => return Err(broken),
             Ok(found) => return Ok(found),
         }
-        let next = guarded::number(&uri).and_then(|n| guarded::numbered(&uri, n + 1));
-        uri = next.ok_or_else(forgotten)?;
+        let next = protection::page_number(&uri).and_then(|n| protection::with_page_number(&uri, n + 1));
+        uri = next.ok_or_else(unknown_statement)?;
     }
     tracing::warn!(n = id.0 .0, "an engine's page was not found again");
-    Err(forgotten())
+    Err(unknown_statement())
 }
 
-fn forgotten() -> Broken {
-    Broken(Outcome::Reset, "it no longer knows the statement".into())
+fn unknown_statement() -> AttemptError {
+    AttemptError(Outcome::Reset, "it no longer knows the statement".into())
 }
 
-async fn go_on(
+async fn run_attempt(
     host: &Rc<Host>,
     id: AttemptId,
     pool: &Pool,
-    first: &Receiver<Result<Arrived, Broken>>,
-    pulled: &Receiver<()>,
-    stopped: &Receiver<bool>,
+    first: &Receiver<Result<EnginePage, AttemptError>>,
+    fetch_requests: &Receiver<()>,
+    stop_requests: &Receiver<bool>,
     next: &Rc<std::cell::RefCell<Option<String>>>,
 ) {
     let work = async {
-        let outcome = follow(host, id, pool, first, pulled, next).await;
-        if let Err(Broken(outcome, why)) = outcome {
-            host.core(|core, now| core.ended(now, id, outcome, &why));
+        let outcome = follow(host, id, pool, first, fetch_requests, next).await;
+        if let Err(AttemptError(outcome, why)) = outcome {
+            host.with_core(|core, now| core.attempt_failed(now, id, outcome, &why));
         }
         None
     };
     // A closed channel is no stop: the core has dropped the attempt because it is over.
-    let stop = async { stopped.recv().await.ok() };
+    let stop = async { stop_requests.recv().await.ok() };
     let was_stopped = future::or(work, stop).await;
-    host.forget_attempt(id);
+    host.remove_attempt(id);
     match was_stopped {
         Some(true) => {
             first.close();
@@ -137,32 +147,36 @@
     }
 }
 
-async fn post(host: &Rc<Host>, pool: &Pool, launch: &Launch) -> Result<(QueryResults, Session), Broken> {
+async fn post(
+    host: &Rc<Host>,
+    pool: &Pool,
+    launch: &Launch,
+) -> Result<(QueryResults, SessionHeaders), AttemptError> {
     let mut headers = host_header(launch.address);
     headers.push("Via", format!("1.1 violetward-{}", host.config.settings.me.0));
     headers.push("Content-Type", "text/plain; charset=utf-8");
     launch.context.write(&mut headers);
     let within = host.config.host.connect_within;
-    let connection = if launch.fresh { pool.connect(within).await } else { pool.get(within).await };
+    let connection = if launch.new_connection { pool.connect(within).await } else { pool.get(within).await };
     let mut connection =
-        connection.map_err(|e| Broken(Outcome::ConnectFailed, format!("no connection: {e}")))?;
+        connection.map_err(|e| AttemptError(Outcome::ConnectFailed, format!("no connection: {e}")))?;
     // The last look: connecting may have taken long, and this process may have stood still.
-    if !host.may_go(launch.attempt, &launch.engine) {
-        return Err(Broken(Outcome::Moot, "not sent: the rules have changed".into()));
+    if !host.may_send(launch.attempt, &launch.engine) {
+        return Err(AttemptError(Outcome::Moot, "not sent: the rules have changed".into()));
     }
     let answer = connection.call("POST", STATEMENT, &headers, launch.text.as_bytes()).await;
     let message = match answer {
         Ok(message) => message,
         Err(e) if !connection.has_written => {
-            return Err(Broken(Outcome::ConnectFailed, format!("nothing was sent: {e}")))
+            return Err(AttemptError(Outcome::ConnectFailed, format!("nothing was sent: {e}")))
         }
-        Err(e) => return Err(broke(&e)),
+        Err(e) => return Err(net_error(&e)),
     };
     match message.status() {
         200 => read(pool, connection, message),
         // By the protocol these tell that the statement has not been taken.
-        429 | 503 => Err(Broken(Outcome::Full, format!("turned away with {}", message.status()))),
-        status => Err(Broken(Outcome::Error, format!("answered {status} to the statement"))),
+        429 | 503 => Err(AttemptError(Outcome::Full, format!("turned away with {}", message.status()))),
+        status => Err(AttemptError(Outcome::Error, format!("answered {status} to the statement"))),
     }
 }
 
@@ -172,18 +186,24 @@
     headers
 }
 
-fn broke(error: &NetError) -> Broken {
+fn net_error(error: &NetError) -> AttemptError {
     match error {
-        NetError::Io(e) => Broken(Outcome::Reset, format!("the connection broke: {e}")),
-        NetError::Http(e) => Broken(Outcome::Error, format!("its answer cannot be read: {e}")),
-        NetError::TimedOut => Broken(Outcome::Timeout, "no answer in time".into()),
+        NetError::Io(e) => AttemptError(Outcome::Reset, format!("the connection broke: {e}")),
+        NetError::Http(e) => AttemptError(Outcome::Error, format!("its answer cannot be read: {e}")),
+        NetError::TimedOut => AttemptError(Outcome::Timeout, "no answer in time".into()),
     }
 }
 
-fn read(pool: &Pool, connection: Connection, message: Message) -> Result<(QueryResults, Session), Broken> {
+fn read(
+    pool: &Pool,
+    connection: Connection,
+    message: Message,
+) -> Result<(QueryResults, SessionHeaders), AttemptError> {
     let results = serde_json::from_slice::<QueryResults>(&message.body);
-    let results = results.map_err(|e| Broken(Outcome::Error, format!("its answer cannot be read: {e}")))?;
-    let mut session = Session { epoch: message.headers.get(EPOCH).map(str::to_owned), ..Session::default() };
+    let results =
+        results.map_err(|e| AttemptError(Outcome::Error, format!("its answer cannot be read: {e}")))?;
+    let mut session =
+        SessionHeaders { epoch: message.headers.get(EPOCH).map(str::to_owned), ..SessionHeaders::default() };
     for (name, value) in message.headers.iter() {
         if SESSION_CHANGES.iter().any(|s| s.eq_ignore_ascii_case(name)) {
             session.changes.push((name.to_owned(), value.to_owned()));
@@ -195,9 +215,9 @@
     Ok((results, session))
 }
 
-fn arrived(results: QueryResults, session: Session) -> Arrived {
+fn engine_page(results: QueryResults, session: SessionHeaders) -> EnginePage {
     let bytes = results.data.as_ref().map_or(0, |d| d.get().len());
-    Arrived {
+    EnginePage {
         part: Part {
             columns: results.columns.map(Into::into),
             data: results.data.map(Into::into),
@@ -210,7 +230,7 @@
         update: results.update_type.map(|u| (u, results.update_count)),
         session: session.changes,
         epoch: session.epoch,
-        next: results.next_uri,
+        next_uri: results.next_uri,
     }
 }
 
@@ -219,50 +239,50 @@
     host: &Rc<Host>,
     id: AttemptId,
     pool: &Pool,
-    first: &Receiver<Result<Arrived, Broken>>,
-    pulled: &Receiver<()>,
+    first: &Receiver<Result<EnginePage, AttemptError>>,
+    fetch_requests: &Receiver<()>,
     next: &Rc<std::cell::RefCell<Option<String>>>,
-) -> Result<(), Broken> {
-    let gone = || Broken(Outcome::Reset, "the attempt was dropped".into());
+) -> Result<(), AttemptError> {
+    let gone = || AttemptError(Outcome::Reset, "the attempt was dropped".into());
     let mut page = first.recv().await.map_err(|_| gone())??;
     loop {
         let last = page.last || page.error.is_some();
-        host.core(|core, now| core.arrived(now, id, page));
+        host.with_core(|core, now| core.page_received(now, id, page));
         if last {
             return Ok(());
         }
-        if pulled.recv().await.is_err() {
+        if fetch_requests.recv().await.is_err() {
             return Ok(());
         }
         let uri = next.borrow().clone().ok_or_else(gone)?;
         let (results, session) = poll(host, pool, &uri).await?;
         *next.borrow_mut() = results.next_uri.clone();
-        page = arrived(results, session);
+        page = engine_page(results, session);
     }
 }
 
-async fn poll(host: &Host, pool: &Pool, uri: &str) -> Result<(QueryResults, Session), Broken> {
+async fn poll(host: &Host, pool: &Pool, uri: &str) -> Result<(QueryResults, SessionHeaders), AttemptError> {
     poll_once(host, pool, uri).await.map_err(|missed| match missed {
-        Missed::Gone => forgotten(),
-        Missed::Broken(broken) => broken,
+        PollError::Gone => unknown_statement(),
+        PollError::Failed(broken) => broken,
     })
 }
 
 /// Why there is no page.
-enum Missed {
+enum PollError {
     /// It was there and is gone: a later one has been asked for.
     Gone,
-    Broken(Broken),
+    Failed(AttemptError),
 }
 
-impl From<Broken> for Missed {
-    fn from(broken: Broken) -> Self {
-        Missed::Broken(broken)
+impl From<AttemptError> for PollError {
+    fn from(broken: AttemptError) -> Self {
+        PollError::Failed(broken)
     }
 }
 
 /// Asks for a page; asking twice gives the same page, so that a broken connection is tried once more.
-async fn poll_once(host: &Host, pool: &Pool, uri: &str) -> Result<(QueryResults, Session), Missed> {
+async fn poll_once(host: &Host, pool: &Pool, uri: &str) -> Result<(QueryResults, SessionHeaders), PollError> {
     let target = path(uri);
     let mut tries = 0;
     loop {
@@ -270,25 +290,25 @@
         let within = host.config.host.connect_within;
         let connection = pool.get(within).await;
         let mut connection = connection
-            .map_err(|e| Broken(Outcome::Reset, format!("no connection for the next page: {e}")))?;
+            .map_err(|e| AttemptError(Outcome::Reset, format!("no connection for the next page: {e}")))?;
         match connection.call("GET", target, &host_header(pool.address()), b"").await {
             Ok(message) if message.status() == 200 => return Ok(read(pool, connection, message)?),
-            Ok(message) if message.status() == 404 => return Err(forgotten().into()),
+            Ok(message) if message.status() == 404 => return Err(unknown_statement().into()),
             Ok(message) if message.status() == 410 => {
                 if message.keep_alive {
                     pool.put(connection);
                 }
-                return Err(Missed::Gone);
+                return Err(PollError::Gone);
             }
             Ok(message) if message.status() == 503 && tries < 5 => {
                 violetward_net::sleep(Duration::from_millis(50 << tries)).await;
             }
             Ok(message) => {
                 let why = format!("answered {} to a poll", message.status());
-                return Err(Broken(Outcome::Error, why).into());
+                return Err(AttemptError(Outcome::Error, why).into());
             }
             Err(NetError::Io(_)) if tries < 2 => pool.clear(),
-            Err(e) => return Err(broke(&e).into()),
+            Err(e) => return Err(net_error(&e).into()),
         }
     }
 }
@@ -311,7 +331,7 @@
             pool.put(connection);
         }
     };
-    timeout(CLEAN_UP, work).await;
+    timeout(CLEANUP_TIMEOUT, work).await;
 }
 
 /// Frees what a lost session holds on its engine. Best effort: the engine's own idle limit stands behind it.
@@ -338,7 +358,7 @@
         let uri = results.next_uri?;
         poll(host, &pool, &uri).await.ok()
     };
-    timeout(CLEAN_UP, work).await;
+    timeout(CLEANUP_TIMEOUT, work).await;
 }
 
 /// Asks an engine how it is; `None` without a good answer in time. The life of its process comes with the load.
--- a/crates/gateway/src/asking.rs
+++ b/crates/gateway/src/fetch.rs
@@ -8,13 +8,13 @@
 use violetward_statement::http::{Headers, Limits};
 
 /// How long the question waits.
-const ASK: Duration = Duration::from_secs(2);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// What a gateway tells under this path.
 ///
 /// # Errors
 /// What it answers instead, or why it does not.
-pub(crate) async fn get<T: DeserializeOwned>(address: SocketAddr, path: &str) -> Result<T, String> {
+pub(crate) async fn get_json<T: DeserializeOwned>(address: SocketAddr, path: &str) -> Result<T, String> {
     let asked = async {
         let mut connection =
             Connection::connect(address, Limits::default()).await.map_err(|e| e.to_string())?;
@@ -22,7 +22,7 @@
         headers.push("Host", address.to_string());
         connection.call("GET", path, &headers, b"").await.map_err(|e| e.to_string())
     };
-    let message = violetward_net::timeout(ASK, asked).await.ok_or("no answer")??;
+    let message = violetward_net::timeout(REQUEST_TIMEOUT, asked).await.ok_or("no answer")??;
     if message.status() != 200 {
         return Err(String::from_utf8_lossy(&message.body).trim().to_owned());
     }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -31,8 +31,8 @@
 pub const ANY_GATEWAY: &str = "X-Violetward-Any-Gateway";
 
 /// Between two looks at who holds a statement: here, and at others.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
-const ASK_AGAIN: Duration = Duration::from_millis(200);
+const LOCAL_RECHECK: Duration = Duration::from_millis(50);
+const REMOTE_RECHECK: Duration = Duration::from_millis(200);
 
 /// The front. One for each listening socket.
 pub struct Front {
@@ -71,7 +71,7 @@
     /// A front on a host, with a secret that must be new at every start.
     pub fn new(host: Rc<Host>, secret: [u8; 32]) -> Rc<Self> {
         let front = Rc::new(Front { host, secret, connections: Cell::new(0) });
-        *front.host.answers.borrow_mut() = Rc::downgrade(&front);
+        *front.host.front.borrow_mut() = Rc::downgrade(&front);
         front
     }
 
@@ -140,31 +140,31 @@
     }
 
     /// Answers a request that another gateway has passed on.
-    pub(crate) async fn asked(&self, asked: &Asked) -> (Told, Vec<u8>) {
+    pub(crate) async fn answer_forwarded(&self, asked: &Asked) -> (Told, Vec<u8>) {
         let path = asked.path.split('?').next().unwrap_or_default();
         let host = format!("http://{}", asked.host);
         let until = Instant::now() + Duration::from_millis(asked.wait_millis);
-        let Some((custody, token)) = self.token(path) else { return Default::default() };
+        let Some((custody, token)) = self.protected_page(path) else { return Default::default() };
         let request = Request { method: &asked.method, base: &host, until };
-        match self.held(&custody, &token, &request, None).await {
-            Held::Reply(reply) => {
+        match self.answer_if_held(&custody, &token, &request, None).await {
+            HeldAnswer::Reply(reply) => {
                 let headers = reply.headers.iter().map(|(n, v)| (n.to_owned(), v.to_owned())).collect();
                 let whole = (reply.body.len(), crate::list::hash(&String::from_utf8_lossy(&reply.body)));
                 (Told { status: reply.status, headers, whole, at: None }, reply.body)
             }
-            Held::Elsewhere(at) => (Told { at, ..Told::default() }, Vec::new()),
-            Held::Left => Default::default(),
+            HeldAnswer::Elsewhere(at) => (Told { at, ..Told::default() }, Vec::new()),
+            HeldAnswer::Left => Default::default(),
         }
     }
 
-    fn token(&self, path: &str) -> Option<(Rc<Custody>, Token)> {
+    fn protected_page(&self, path: &str) -> Option<(Rc<Custody>, Token)> {
         let custody = self.host.custody()?;
         let token = custody.token(path)?;
         Some((custody, token))
     }
 
     /// The reply for a statement that any gateway may hold.
-    async fn anywhere(
+    async fn answer_protected(
         &self,
         (custody, token): (Rc<Custody>, Token),
         message: &Message,
@@ -172,14 +172,14 @@
         connection: &Connection,
     ) -> Option<Reply> {
         let (method, target) = message.request();
-        let base = base(message);
-        let until = Instant::now() + self.hold(query);
+        let base = base_uri(message);
+        let until = Instant::now() + self.poll_timeout(query);
         let request = Request { method, base: &base, until };
         loop {
-            let at = match self.held(&custody, &token, &request, Some(connection)).await {
-                Held::Reply(reply) => return Some(reply),
-                Held::Left => return None,
-                Held::Elsewhere(at) => at,
+            let at = match self.answer_if_held(&custody, &token, &request, Some(connection)).await {
+                HeldAnswer::Reply(reply) => return Some(reply),
+                HeldAnswer::Left => return None,
+                HeldAnswer::Elsewhere(at) => at,
             };
             let asked = Asked {
                 method: method.to_owned(),
@@ -202,28 +202,28 @@
                         at = self.host.now(),
                         "nobody knows this statement any more"
                     );
-                    return Some(lost());
+                    return Some(lost_reply());
                 }
                 // What may not act now takes nothing over: somebody else may know more.
                 Passed::Later
                     if Instant::now() >= until || self.host.is_draining() || !custody.may_act(&self.host) =>
                 {
-                    return Some(later())
+                    return Some(unreachable_reply())
                 }
                 // It may come to be held here, or somebody may be told of.
-                Passed::Later => custody::news(&custody, until, ASK_AGAIN).await,
+                Passed::Later => custody::news(&custody, until, REMOTE_RECHECK).await,
             }
         }
     }
 
     /// The reply for a statement that is held here, or who holds it as far as is known here.
-    async fn held(
+    async fn answer_if_held(
         &self,
         custody: &Rc<Custody>,
         token: &Token,
         request: &Request<'_>,
         connection: Option<&Connection>,
-    ) -> Held {
+    ) -> HeldAnswer {
         let rest = request.until.min(Instant::now() + custody.rest());
         loop {
             let (place, local) = custody.find(&token.key);
@@ -232,68 +232,70 @@
             let until = if may { request.until } else { rest };
             match (place, local) {
                 // This one may come to hold it: whoever holds it is doubted.
-                (Whereabouts::At(life), None) if Instant::now() < until && !self.lives(&life) => {
-                    custody::news(custody, until, LOOK_AGAIN).await;
+                (Whereabouts::At(life), None) if Instant::now() < until && !self.is_alive(&life) => {
+                    custody::news(custody, until, LOCAL_RECHECK).await;
                 }
-                (Whereabouts::At(life), _) => return Held::Elsewhere(Some(life.name)),
+                (Whereabouts::At(life), _) => return HeldAnswer::Elsewhere(Some(life.name)),
                 (Whereabouts::Taking | Whereabouts::Here, None) if Instant::now() < until => {
-                    custody::news(custody, until, LOOK_AGAIN).await;
+                    custody::news(custody, until, LOCAL_RECHECK).await;
+                }
+                (Whereabouts::Taking | Whereabouts::Here, None) => {
+                    return HeldAnswer::Reply(unreachable_reply())
                 }
-                (Whereabouts::Taking | Whereabouts::Here, None) => return Held::Reply(later()),
                 // A gateway that stood still does nothing for what it holds before it knows that it still does.
                 // Others may have taken it over since; who has passed the poll on asks them himself.
                 (Whereabouts::Here, Some(_)) if !may => {
                     if Instant::now() >= rest {
                         return match connection {
-                            Some(_) => Held::Elsewhere(None),
-                            None => Held::Reply(later()),
+                            Some(_) => HeldAnswer::Elsewhere(None),
+                            None => HeldAnswer::Reply(unreachable_reply()),
                         };
                     }
-                    custody::news(custody, rest, LOOK_AGAIN).await;
+                    custody::news(custody, rest, LOCAL_RECHECK).await;
                 }
                 (_, Some(id)) if request.method == "DELETE" => {
-                    let known = self.host.core(|core, now| core.cancel(now, id));
+                    let known = self.host.with_core(|core, now| core.cancel(now, id));
                     let headers = Headers::default();
-                    return Held::Reply(if known {
+                    return HeldAnswer::Reply(if known {
                         Reply { status: 204, headers, body: Vec::new() }
                     } else {
-                        unknown()
+                        unknown_reply()
                     });
                 }
                 (_, Some(id)) => match self.poll(request, id, &token.page, token.after, connection).await {
                     // Another gateway has come to hold it meanwhile.
                     Some(reply) if reply.status == 404 && custody.find(&token.key).1.is_none() => {}
-                    Some(reply) => return Held::Reply(reply),
-                    None => return Held::Left,
+                    Some(reply) => return HeldAnswer::Reply(reply),
+                    None => return HeldAnswer::Left,
                 },
                 (Whereabouts::Over(ending), None) => {
                     let (from, number) = (&token.key.taken_by.name, token.key.number);
                     tracing::debug!(from, number, at = self.host.now(), "asked for after its end");
-                    return Held::Reply(self.over(token, request, ending));
+                    return HeldAnswer::Reply(self.ended_reply(token, request, ending));
                 }
-                (Whereabouts::Unknown, None) => return Held::Elsewhere(None),
+                (Whereabouts::Unknown, None) => return HeldAnswer::Elsewhere(None),
             }
         }
     }
 
     /// The reply for a statement that has ended and is not kept any more.
-    fn over(
+    fn ended_reply(
         &self,
         token: &Token,
         request: &Request<'_>,
         ending: Option<violetward_custody::Ending>,
     ) -> Reply {
         match ending {
-            Some(ending) => self.last(token, request, crate::core::ended(&ending)),
-            None => gone(),
+            Some(ending) => self.final_page(token, request, crate::core::ending_from_record(&ending)),
+            None => gone_reply(),
         }
     }
 
-    fn lives(&self, life: &violetward_custody::Life) -> bool {
+    fn is_alive(&self, life: &violetward_custody::Life) -> bool {
         self.host.peers().is_some_and(|peers| peers.lives(life))
     }
 
-    fn last(&self, token: &Token, request: &Request<'_>, ending: Ending) -> Reply {
+    fn final_page(&self, token: &Token, request: &Request<'_>, ending: Ending) -> Reply {
         if request.method == "DELETE" {
             return Reply { status: 204, headers: Headers::default(), body: Vec::new() };
         }
@@ -302,12 +304,12 @@
         made.finish(ending);
         match made.take(token.page.token, true) {
             Turn::Page(made) => self.document(request.base, &token.page, &made),
-            _ => unknown(),
+            _ => unknown_reply(),
         }
     }
 
     /// How long a poll may wait.
-    fn hold(&self, query: &str) -> Duration {
+    fn poll_timeout(&self, query: &str) -> Duration {
         let wanted = query.split('&').find_map(|p| p.strip_prefix("maxWait="));
         let wanted = wanted.and_then(violetward_statement::session::duration);
         let hold = self.host.config.host.long_poll;
@@ -329,20 +331,24 @@
             ("GET", "/v1/custody") => Some(self.custody()),
             ("GET", crate::windows::PATH) => Some(self.windows()),
             ("GET", "/v1/sites") => Some(self.sites()),
-            ("GET" | "DELETE", _) => match self.find(path) {
+            ("GET" | "DELETE", _) => match self.local_page(path) {
                 Some((id, page)) if method == "GET" => {
-                    let until = Instant::now() + self.hold(query);
-                    let request = Request { method, base: &base(message), until };
+                    let until = Instant::now() + self.poll_timeout(query);
+                    let request = Request { method, base: &base_uri(message), until };
                     self.poll(&request, id, &page, None, Some(connection)).await
                 }
                 Some((id, _)) => {
-                    let known = self.host.core(|core, now| core.cancel(now, id));
+                    let known = self.host.with_core(|core, now| core.cancel(now, id));
                     let headers = Headers::default();
-                    Some(if known { Reply { status: 204, headers, body: Vec::new() } } else { unknown() })
+                    Some(if known {
+                        Reply { status: 204, headers, body: Vec::new() }
+                    } else {
+                        unknown_reply()
+                    })
                 }
-                None => match self.token(path) {
-                    Some(token) => self.anywhere(token, message, query, connection).await,
-                    None => Some(unknown()),
+                None => match self.protected_page(path) {
+                    Some(token) => self.answer_protected(token, message, query, connection).await,
+                    None => Some(unknown_reply()),
                 },
             },
             ("POST" | "PUT", _) => Some(Reply::text(404, "statements are posted to /v1/statement")),
@@ -373,11 +379,11 @@
             Some(Takes::Unprotected) => false,
             Some(Takes::Protected) | None => true,
         };
-        let id = self.host.core(|core, now| core.submit_as(now, submission, protects));
+        let id = self.host.with_core(|core, now| core.submit_with_protection(now, submission, protects));
         let mut page = PageRef { slug: self.slug_of(id, &public_id, None), id: public_id, token: 0 };
-        if self.host.look(|core| core.has_ended(id)) {
-            if let Turn::Page(made) = self.host.core(|core, now| core.page(now, id, 0, true)) {
-                return self.document(&base(message), &page, &made);
+        if self.host.read_core(|core| core.has_ended(id)) {
+            if let Turn::Page(made) = self.host.with_core(|core, now| core.page(now, id, 0, true)) {
+                return self.document(&base_uri(message), &page, &made);
             }
         }
         let custody = self.host.custody().filter(|custody| custody.knows(id));
@@ -390,11 +396,11 @@
                 page.slug = self.slug_of(id, &page.id, None);
             }
         }
-        let mut reply = Reply::document(pages::queued(&base(message), &page));
+        let mut reply = Reply::document(pages::queued(&base_uri(message), &page));
         if custody.is_some() {
             reply.headers.push(ANY_GATEWAY, "true");
         }
-        if let Some(window) = self.host.look(|core| core.repeat_window(id)) {
+        if let Some(window) = self.host.read_core(|core| core.repeat_window(id)) {
             reply.headers.push(REPEAT_WINDOW, window.as_millis().to_string());
         }
         reply
@@ -409,11 +415,11 @@
         connection: Option<&Connection>,
     ) -> Option<Reply> {
         let until = request.until;
-        self.host.core(|core, now| core.waits(now, id, true));
+        self.host.with_core(|core, now| core.set_waiting(now, id, true));
         let reply = loop {
-            let heard = self.host.listen(id);
+            let heard = self.host.subscribe(id);
             let patient = Instant::now() < until;
-            match self.host.core(|core, now| core.page_after(now, id, page.token, after, patient)) {
+            match self.host.with_core(|core, now| core.page_after(now, id, page.token, after, patient)) {
                 Turn::Page(made) => {
                     // The page after it is named by what its client has then, and by who may hold it then.
                     let slug = match made.end {
@@ -423,7 +429,7 @@
                     break Some(self.document(request.base, &PageRef { slug, ..page.clone() }, &made));
                 }
                 Turn::Gone => break Some(Reply::text(410, "this page has been taken and is gone")),
-                Turn::Unknown => break Some(unknown()),
+                Turn::Unknown => break Some(unknown_reply()),
                 Turn::Wait => {}
             }
             let news = async {
@@ -443,8 +449,8 @@
                 break None;
             }
         };
-        self.host.core(|core, now| core.waits(now, id, false));
-        self.host.unlisten(id);
+        self.host.with_core(|core, now| core.set_waiting(now, id, false));
+        self.host.unsubscribe(id);
         reply
     }
 
@@ -462,7 +468,7 @@
         reply
     }
 
-    fn find(&self, path: &str) -> Option<(StatementId, PageRef)> {
+    fn local_page(&self, path: &str) -> Option<(StatementId, PageRef)> {
         let page = PageRef::parse(path)?;
         let mac = self.mac(&page.id);
         mac.verify_truncated_left(&unhex(&page.slug)?).ok()?;
@@ -478,7 +484,7 @@
 
     /// The slug of a statement's next page: one that all gateways read if it is protected.
     fn slug_of(&self, id: StatementId, public_id: &str, after: Option<u64>) -> String {
-        let due = self.host.look(|core| core.due(id)).unwrap_or(0);
+        let due = self.host.read_core(|core| core.deadline(id)).unwrap_or(0);
         let guarded = || self.host.custody()?.slug(id, public_id, after, due);
         guarded().unwrap_or_else(|| self.slug(public_id))
     }
@@ -500,8 +506,8 @@
 
     fn metrics(&self) -> Reply {
         let mut headers = Headers::default();
-        headers.push("Content-Type", metrics::TYPE);
-        Reply { status: 200, headers, body: metrics::text(&self.host, self.connections.get()).into_bytes() }
+        headers.push("Content-Type", metrics::CONTENT_TYPE);
+        Reply { status: 200, headers, body: metrics::render(&self.host, self.connections.get()).into_bytes() }
     }
 
     fn members(&self) -> Reply {
@@ -544,12 +550,12 @@
         let since = query.split('&').find_map(|p| p.strip_prefix("since=")).and_then(|n| n.parse().ok());
         match &*self.host.agreed.borrow() {
             Some(agreed) => Reply::json(&agreed.standing(self.host.now(), since.unwrap_or(0))),
-            None => no_agreement(),
+            None => no_agreement_reply(),
         }
     }
 
     async fn propose(&self, message: &Message, query: &str) -> Reply {
-        let Some(agreed) = self.host.agreed.borrow().clone() else { return no_agreement() };
+        let Some(agreed) = self.host.agreed.borrow().clone() else { return no_agreement_reply() };
         let header = |name: &str| message.headers.get(name).unwrap_or_default().to_owned();
         let Ok(after) = header(agreed::AFTER).parse() else {
             return Reply::text(400, "the header that names the version before is missing");
@@ -565,9 +571,9 @@
     }
 
     fn status(&self) -> Reply {
-        let (open, held, counts) = self.host.look(|core| (core.open(), core.held(), core.counts));
+        let (open, held, counts) = self.host.read_core(|core| (core.open(), core.held(), core.counts));
         let node = NodeStatus {
-            node_id: self.host.life.clone(),
+            node_id: self.host.instance.clone(),
             uptime_millis: self.host.started.elapsed().as_millis() as u64,
             running_statements: Some(open as u32),
             ..NodeStatus::default()
@@ -611,7 +617,7 @@
 }
 
 /// What came of asking here for a statement.
-enum Held {
+enum HeldAnswer {
     Reply(Reply),
     /// It is not here; who may hold it.
     Elsewhere(Option<String>),
@@ -620,30 +626,30 @@
 }
 
 /// It is known neither where the statement is nor that it is nowhere. By the protocol the client asks again.
-fn later() -> Reply {
+fn unreachable_reply() -> Reply {
     let mut reply = Reply::text(503, "whoever holds this statement cannot be reached now; ask again");
     reply.headers.push("Retry-After", "1");
     reply
 }
 
 /// Not an ending: nobody can say any more whether it ran.
-fn lost() -> Reply {
+fn lost_reply() -> Reply {
     Reply::text(410, "this statement was lost with the gateways that knew of it; it may have run")
 }
 
-fn gone() -> Reply {
+fn gone_reply() -> Reply {
     Reply::text(410, "this statement has ended, and its pages are gone")
 }
 
-fn no_agreement() -> Reply {
+fn no_agreement_reply() -> Reply {
     Reply::text(404, "this gateway agrees on no settings: its configuration has no (agreement ...)")
 }
 
-fn unknown() -> Reply {
+fn unknown_reply() -> Reply {
     Reply::text(404, "no such page here. If this gateway has been restarted, the statement may have run")
 }
 
-fn base(message: &Message) -> String {
+fn base_uri(message: &Message) -> String {
     format!("http://{}", message.headers.get("host").unwrap_or("localhost"))
 }
 
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -24,18 +24,18 @@
 use crate::windows::Windows;
 
 /// Sessions that may wait to be freed.
-const RELEASES_WAITING: usize = 10_000;
+const MAX_QUEUED_RELEASES: usize = 10_000;
 
 /// What an attempt's task is told.
-pub(crate) struct Reins {
-    pub pull: async_channel::Sender<()>,
+pub(crate) struct AttemptControl {
+    pub fetch_page: async_channel::Sender<()>,
     /// Whether its work is to be ended at the engine too.
     pub stop: async_channel::Sender<bool>,
 }
 
-impl Reins {
+impl AttemptControl {
     /// Stops it; its work at the engine goes on.
-    fn leave(&self) {
+    fn detach(&self) {
         self.stop.try_send(false).ok();
     }
 }
@@ -45,27 +45,27 @@
     /// The configuration.
     pub config: Config,
     /// This process's name; another one at every start.
-    pub life: String,
+    pub instance: String,
     pub(crate) clock: Clock,
     /// The other gateways, where this one knows of them.
     pub(crate) peers: RefCell<Option<Rc<Peers>>>,
     /// The settings on which they agree, and until when the core's rules hold without a look at them.
     pub(crate) agreed: RefCell<Option<Rc<Agreed>>>,
-    pub(crate) rules_until: Cell<Micros>,
+    pub(crate) rules_valid_until: Cell<Micros>,
     /// Windows of maintenance, where gateways hold them.
     pub(crate) windows: RefCell<Option<Rc<Windows>>>,
     /// Statements that outlive their gateway, where some do; and the front that answers for those passed on.
     pub(crate) custody: RefCell<Option<Rc<Custody>>>,
-    pub(crate) answers: RefCell<std::rc::Weak<Front>>,
+    pub(crate) front: RefCell<std::rc::Weak<Front>>,
     /// The sites, where they are watched.
     pub(crate) outage: RefCell<Option<Rc<Outage>>>,
     core: RefCell<Core>,
     executor: Rc<LocalExecutor<'static>>,
-    attempts: RefCell<HashMap<AttemptId, Reins>>,
+    attempts: RefCell<HashMap<AttemptId, AttemptControl>>,
     pollers: RefCell<HashMap<StatementId, Rc<Event>>>,
     pools: RefCell<HashMap<SocketAddr, Rc<Pool>>>,
-    releases: async_channel::Sender<(SocketAddr, String, bool)>,
-    to_release: async_channel::Receiver<(SocketAddr, String, bool)>,
+    release_sender: async_channel::Sender<(SocketAddr, String, bool)>,
+    release_receiver: async_channel::Receiver<(SocketAddr, String, bool)>,
     alarm: Alarm,
     draining: Cell<bool>,
     pub(crate) started: Instant,
@@ -74,20 +74,20 @@
 impl Host {
     /// A host for a core made from the same configuration.
     pub fn new(config: Config, life: String, core: Core, executor: Rc<LocalExecutor<'static>>) -> Rc<Self> {
-        let (releases, to_release) = async_channel::bounded(RELEASES_WAITING);
+        let (releases, to_release) = async_channel::bounded(MAX_QUEUED_RELEASES);
         Rc::new(Host {
-            releases,
-            to_release,
+            release_sender: releases,
+            release_receiver: to_release,
             core: RefCell::new(core),
             config,
-            life,
+            instance: life,
             clock: Clock::new(),
             peers: RefCell::default(),
             agreed: RefCell::default(),
-            rules_until: Cell::new(Micros::MAX),
+            rules_valid_until: Cell::new(Micros::MAX),
             windows: RefCell::default(),
             custody: RefCell::default(),
-            answers: RefCell::default(),
+            front: RefCell::default(),
             outage: RefCell::default(),
             executor,
             attempts: RefCell::default(),
@@ -105,26 +105,26 @@
     }
 
     /// Date and time (UTC) as the protocol's statement ids begin with them: `20261201_122130`.
-    pub fn stamp(&self) -> String {
+    pub fn compact_timestamp(&self) -> String {
         let [year, month, day, hour, minute, second] = self.calendar();
         format!("{year:04}{month:02}{day:02}_{hour:02}{minute:02}{second:02}")
     }
 
     /// The public id of the statement that is handed in next; its number leads back to it without a table.
     pub fn next_public_id(&self) -> String {
-        let number = self.look(Core::next_number);
-        format!("{}_{number:05}_{}", self.stamp(), self.life)
+        let number = self.read_core(Core::next_number);
+        format!("{}_{number:05}_{}", self.compact_timestamp(), self.instance)
     }
 
     /// Date and time (UTC) in ISO 8601.
-    pub fn date(&self) -> String {
+    pub fn iso_timestamp(&self) -> String {
         let [year, month, day, hour, minute, second] = self.calendar();
         let micros = self.clock.now() % 1_000_000;
         format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}.{micros:06}Z")
     }
 
     fn calendar(&self) -> [u64; 6] {
-        crate::moment::calendar(self.clock.now())
+        crate::timestamp::calendar(self.clock.now())
     }
 
     /// Runs a task on the gateway's thread.
@@ -133,32 +133,32 @@
     }
 
     /// Passes something to the core and carries out what follows.
-    pub fn core<T>(self: &Rc<Self>, act: impl FnOnce(&mut Core, Micros) -> T) -> T {
-        let now = self.look_at_rules();
+    pub fn with_core<T>(self: &Rc<Self>, act: impl FnOnce(&mut Core, Micros) -> T) -> T {
+        let now = self.refresh_rules();
         let result = act(&mut self.core.borrow_mut(), now);
         loop {
-            let effect = self.core.borrow_mut().effect();
+            let effect = self.core.borrow_mut().pop_effect();
             match effect {
-                Some(effect) => self.carry_out(effect),
+                Some(effect) => self.apply_effect(effect),
                 None => break,
             }
         }
-        self.alarm.set(self.look(Core::next_wake));
+        self.alarm.set(self.read_core(Core::next_wake));
         result
     }
 
     /// Passes something to the core; what follows from it is carried out later, by [`Host::core`].
-    pub(crate) fn core_alone<T>(self: &Rc<Self>, act: impl FnOnce(&mut Core, Micros) -> T) -> T {
-        let now = self.look_at_rules();
+    pub(crate) fn with_core_deferred<T>(self: &Rc<Self>, act: impl FnOnce(&mut Core, Micros) -> T) -> T {
+        let now = self.refresh_rules();
         act(&mut self.core.borrow_mut(), now)
     }
 
     /// The last look at the lease: a process that stood still for longer than its lease must not act on the old rules when it
     /// wakes, whichever of its tasks is first.
     /// Gives the time of that look, which is the core's.
-    fn look_at_rules(self: &Rc<Self>) -> Micros {
+    fn refresh_rules(self: &Rc<Self>) -> Micros {
         let now = self.clock.now();
-        if now < self.rules_until.get() {
+        if now < self.rules_valid_until.get() {
             return now;
         }
         let agreed = self.agreed.borrow().clone();
@@ -168,12 +168,12 @@
     }
 
     /// Whether an attempt may still be sent, by the rules of now: to be asked just before it is written.
-    pub(crate) fn may_go(self: &Rc<Self>, attempt: AttemptId, engine: &str) -> bool {
-        self.look_at_rules();
+    pub(crate) fn may_send(self: &Rc<Self>, attempt: AttemptId, engine: &str) -> bool {
+        self.refresh_rules();
         // What another gateway holds now must not be written by a task that was connecting when it was left.
         let wanted = || self.attempts.borrow().contains_key(&attempt);
         let held = self.custody().is_none_or(|custody| wanted() && custody.may_go(self, attempt.0));
-        held && self.look(|core| core.may_go(attempt, engine))
+        held && self.read_core(|core| core.may_send(attempt, engine))
     }
 
     /// Custody of statements, where there is any.
@@ -188,20 +188,23 @@
 
     /// The front that answers for statements here.
     pub(crate) fn front(&self) -> Option<Rc<Front>> {
-        self.answers.borrow().upgrade()
+        self.front.borrow().upgrade()
     }
 
     /// Begins an attempt.
     pub(crate) fn launch(self: &Rc<Self>, launch: Launch) {
         let (pull, pulled) = async_channel::bounded(1);
         let (stop, stopped) = async_channel::bounded(1);
-        self.attempts.borrow_mut().insert(launch.attempt, Reins { pull, stop });
+        self.attempts.borrow_mut().insert(launch.attempt, AttemptControl { fetch_page: pull, stop });
         self.spawn(engine::attempt(self.clone(), launch, pulled, stopped));
     }
 
     /// This gateway's own list has been read.
-    pub(crate) fn listed(self: &Rc<Self>, list: &std::collections::BTreeMap<String, crate::record::Record>) {
-        self.core(|core, now| core.listed(now, list));
+    pub(crate) fn update_engine_list(
+        self: &Rc<Self>,
+        list: &std::collections::BTreeMap<String, crate::record::EngineRecord>,
+    ) {
+        self.with_core(|core, now| core.update_engines(now, list));
         let agreed = self.agreed.borrow().clone();
         agreed.iter().for_each(|agreed| agreed.listed(self, list));
     }
@@ -211,20 +214,20 @@
         self.peers.borrow().clone()
     }
 
-    fn told(self: &Rc<Self>, engine: EngineId, told: Option<(Load, Option<String>)>) {
+    fn apply_engine_status(self: &Rc<Self>, engine: EngineId, told: Option<(Load, Option<String>)>) {
         let (load, epoch) = told.map_or((None, None), |(load, epoch)| (Some(load), epoch));
-        self.core(|core, now| {
+        self.with_core(|core, now| {
             if let Some(epoch) = epoch {
-                core.epoch(now, engine, &epoch);
+                core.engine_epoch(now, engine, &epoch);
             }
-            core.status(now, engine, load);
+            core.engine_status(now, engine, load);
         });
     }
 
     /// Frees what lost sessions hold, eight at a time. Never ends.
     pub async fn run_releases(self: Rc<Self>) {
         let worker = || async {
-            while let Ok((address, inner, transaction)) = self.to_release.recv().await {
+            while let Ok((address, inner, transaction)) = self.release_receiver.recv().await {
                 engine::release(&self, address, &inner, transaction).await;
             }
         };
@@ -233,7 +236,7 @@
     }
 
     /// Looks at the core.
-    pub fn look<T>(&self, look: impl FnOnce(&Core) -> T) -> T {
+    pub fn read_core<T>(&self, look: impl FnOnce(&Core) -> T) -> T {
         look(&self.core.borrow())
     }
 
@@ -248,12 +251,12 @@
     }
 
     /// Tells when the pages of a statement may have changed.
-    pub fn listen(&self, id: StatementId) -> EventListener {
+    pub fn subscribe(&self, id: StatementId) -> EventListener {
         self.pollers.borrow_mut().entry(id).or_default().listen()
     }
 
     /// Drops the list of pollers of a statement that has none.
-    pub fn unlisten(&self, id: StatementId) {
+    pub fn unsubscribe(&self, id: StatementId) {
         let mut pollers = self.pollers.borrow_mut();
         if pollers.get(&id).is_some_and(|e| e.total_listeners() == 0) {
             pollers.remove(&id);
@@ -267,11 +270,11 @@
         pools.entry(address).or_insert_with(|| Rc::new(Pool::new(address, limits, 64))).clone()
     }
 
-    pub(crate) fn forget_attempt(&self, id: AttemptId) {
+    pub(crate) fn remove_attempt(&self, id: AttemptId) {
         self.attempts.borrow_mut().remove(&id);
     }
 
-    fn carry_out(self: &Rc<Self>, effect: Effect) {
+    fn apply_effect(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Launch(launch) => {
                 let launch = match self.custody() {
@@ -280,32 +283,32 @@
                 };
                 launch.into_iter().for_each(|launch| self.launch(*launch));
             }
-            Effect::Follow(follow) => {
+            Effect::Resume(follow) => {
                 let (pull, pulled) = async_channel::bounded(1);
                 let (stop, stopped) = async_channel::bounded(1);
-                self.attempts.borrow_mut().insert(follow.attempt, Reins { pull, stop });
+                self.attempts.borrow_mut().insert(follow.attempt, AttemptControl { fetch_page: pull, stop });
                 self.spawn(engine::resume(self.clone(), *follow, pulled, stopped));
             }
-            Effect::Leave(id) => {
+            Effect::Detach(id) => {
                 let parked = self.custody().is_some_and(|custody| custody.withdrawn(id));
                 if let (Some(reins), false) = (self.attempts.borrow_mut().remove(&id), parked) {
-                    reins.leave();
+                    reins.detach();
                 }
             }
-            Effect::Guard(id) => self.custody().iter().for_each(|c| c.taken(self, id)),
-            Effect::Noted(id) => self.custody().iter().for_each(|c| c.noted(self, id)),
-            Effect::Decide(id, ending) => match self.custody() {
+            Effect::Protect(id) => self.custody().iter().for_each(|c| c.taken(self, id)),
+            Effect::ProgressChanged(id) => self.custody().iter().for_each(|c| c.noted(self, id)),
+            Effect::RecordEnding(id, ending) => match self.custody() {
                 Some(custody) => custody.decide(self, id, &ending),
-                None => self.core(|core, now| core.decided(now, id)),
+                None => self.with_core(|core, now| core.ending_recorded(now, id)),
             },
-            Effect::Forget(id) => self.custody().iter().for_each(|c| c.forget(self, id)),
-            Effect::Gone(id) => self.custody().iter().for_each(|c| c.gone(id)),
-            Effect::Pull(id) => {
+            Effect::ReleaseRecord(id) => self.custody().iter().for_each(|c| c.forget(self, id)),
+            Effect::Removed(id) => self.custody().iter().for_each(|c| c.gone(id)),
+            Effect::FetchPage(id) => {
                 if let Some(reins) = self.attempts.borrow().get(&id) {
-                    reins.pull.try_send(()).ok();
+                    reins.fetch_page.try_send(()).ok();
                 }
             }
-            Effect::Withdraw(id) => {
+            Effect::Cancel(id) => {
                 if let Some(custody) = self.custody() {
                     custody.withdrawn(id);
                 }
@@ -317,22 +320,22 @@
                 let host = self.clone();
                 self.spawn(async move {
                     let told = engine::status(&host, address).await;
-                    host.told(engine, told);
+                    host.apply_engine_status(engine, told);
                 });
             }
-            Effect::Release { address, inner, transaction } => {
+            Effect::ReleaseSession { address, inner, transaction } => {
                 // A wave of them goes out a few at a time; what is dropped is left to the engine's own limits.
-                if self.releases.try_send((address, inner, transaction)).is_err() {
+                if self.release_sender.try_send((address, inner, transaction)).is_err() {
                     tracing::warn!("too many sessions to be freed at once; the rest is left to the engines");
                 }
             }
-            Effect::Wake(id) => {
+            Effect::NotifyPollers(id) => {
                 let event = self.pollers.borrow().get(&id).cloned();
                 event.into_iter().for_each(|e| {
                     e.notify(usize::MAX);
                 });
             }
-            Effect::Say(text) => tracing::info!(target: "violetward::module", "{text}"),
+            Effect::Log(text) => tracing::info!(target: "violetward::module", "{text}"),
             Effect::Ended { id, public_id, class, attempts, ending, took } => {
                 let took_ms = took.as_secs_f64() * 1e3;
                 let span = tracing::info_span!(
@@ -352,8 +355,8 @@
     /// Wakes the core when it asks for it. Never ends.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
-            self.alarm.wait(&self.clock, || self.look(Core::next_wake)).await;
-            self.core(|core, now| core.wake(now));
+            self.alarm.wait(&self.clock, || self.read_core(Core::next_wake)).await;
+            self.with_core(|core, now| core.wake(now));
             // Gives the tasks that this has woken their turn.
             future::yield_now().await;
         }
@@ -366,7 +369,7 @@
         loop {
             violetward_net::sleep(if every.is_zero() { Duration::from_secs(3600) } else { every }).await;
             let engines: Vec<(EngineId, SocketAddr)> =
-                self.look(|core| core.engines().map(|r| (r.entry.engine, r.address)).collect());
+                self.read_core(|core| core.engines().map(|r| (r.entry.engine, r.address)).collect());
             for (engine, address) in engines {
                 if !asked.borrow_mut().insert(engine) {
                     continue;
@@ -377,7 +380,7 @@
                     asked.borrow_mut().remove(&engine);
                     // Only good news count here: whether silence means sickness is for the module's own probes.
                     if told.is_some() {
-                        host.told(engine, told);
+                        host.apply_engine_status(engine, told);
                     }
                 });
             }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -7,19 +7,18 @@
 //! engine list's file), [`peers`] (datagrams among gateways); [`service`] ties them together.
 
 pub mod agreed;
-mod asking;
 pub mod config;
 pub mod core;
 pub mod custody;
 pub mod custody_terms;
 pub mod engine;
+mod fetch;
 pub mod forms;
 pub mod front;
 pub mod host;
 pub mod list;
 pub mod membership;
 pub mod metrics;
-pub mod moment;
 pub mod notebook;
 pub mod outage;
 pub mod peers;
@@ -28,6 +27,7 @@
 pub mod service;
 pub mod sessions;
 pub mod terms;
+pub mod timestamp;
 pub mod updates;
 pub mod watch;
 pub mod windows;
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -5,14 +5,14 @@
 use violetward::*;
 
 use crate::forms::{self, Checker, Form, Mistake};
-pub use crate::record::{engine_id, hash, zone_id, Record};
+pub use crate::record::{engine_id, hash, zone_id, EngineRecord};
 use crate::terms::Names;
 
 /// What a reading of the file gave.
 #[derive(Debug, Default)]
-pub struct Reading {
+pub struct ParsedList {
     /// Good records by name.
-    pub records: BTreeMap<String, Record>,
+    pub records: BTreeMap<String, EngineRecord>,
     /// Names of records that are there but damaged: what was known of them stands.
     pub damaged: Vec<String>,
     /// Every mistake.
@@ -24,10 +24,10 @@
 ///
 /// # Errors
 /// If the text is not S-expressions at all: then nothing of it is to be believed, and the old list stands.
-pub fn parse(text: &str, names: &Names) -> Result<Reading, Mistake> {
+pub fn parse(text: &str, names: &Names) -> Result<ParsedList, Mistake> {
     let data = forms::read(text)?;
     let mut c = Checker::default();
-    let mut reading = Reading::default();
+    let mut reading = ParsedList::default();
     for datum in &data {
         let Some(form) = c.form(datum.as_ref()) else { continue };
         if form.name != "engine" {
@@ -52,7 +52,7 @@
     Ok(reading)
 }
 
-fn record(c: &mut Checker, form: &Form<'_>, name: &str, names: &Names) -> Option<Record> {
+fn record(c: &mut Checker, form: &Form<'_>, name: &str, names: &Names) -> Option<EngineRecord> {
     let f = c.fields(form, 1, &["address", "kind", "zone", "cell", "state", "came-up", "weight"]);
     let field = f.need(c, "address").cloned()?;
     let address = c.word(&field, "an address and port")?.parse().ok();
@@ -83,11 +83,11 @@
         cell: CellId(cell),
         listed,
     };
-    Some(Record { name: name.to_owned(), address: address?, entry })
+    Some(EngineRecord { name: name.to_owned(), address: address?, entry })
 }
 
 /// The list that now holds: good records, and for damaged ones what was known before.
-pub fn merge(old: &BTreeMap<String, Record>, reading: &Reading) -> BTreeMap<String, Record> {
+pub fn merge(old: &BTreeMap<String, EngineRecord>, reading: &ParsedList) -> BTreeMap<String, EngineRecord> {
     let mut new = reading.records.clone();
     for name in &reading.damaged {
         if let Some(known) = old.get(name) {
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -17,7 +17,7 @@
 use violetward_dns::update;
 use violetward_dns::zone::Zone;
 
-use crate::list::{self, Reading, Record};
+use crate::list::{self, EngineRecord, ParsedList};
 use crate::terms::Names;
 
 /// Parameters of SVCB records, from the range for private use (RFC 9460, section 14.3.1), and their names in TXT records.
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
     /// The list that now holds.
-    Holds(BTreeMap<String, Record>),
+    Holds(BTreeMap<String, EngineRecord>),
     /// The text is not to be believed as a whole: the old list stands.
     Stands(String),
 }
@@ -36,14 +36,14 @@
 /// The list as last believed.
 #[derive(Debug, Default)]
 pub struct Membership {
-    known: BTreeMap<String, Record>,
+    known: BTreeMap<String, EngineRecord>,
     serial: Option<u32>,
     zone: Option<Zone>,
 }
 
 impl Membership {
     /// The list that holds.
-    pub fn list(&self) -> &BTreeMap<String, Record> {
+    pub fn list(&self) -> &BTreeMap<String, EngineRecord> {
         &self.known
     }
 
@@ -120,15 +120,15 @@
         (self.believe(&engines), told)
     }
 
-    fn believe(&mut self, reading: &Reading) -> Verdict {
+    fn believe(&mut self, reading: &ParsedList) -> Verdict {
         self.known = list::merge(&self.known, reading);
         Verdict::Holds(self.known.clone())
     }
 }
 
 /// The engines of a zone; what is wrong with one is added to `told`.
-pub fn engines(zone: &Zone, names: &Names, told: &mut Vec<String>) -> Reading {
-    let mut reading = Reading::default();
+pub fn engines(zone: &Zone, names: &Names, told: &mut Vec<String>) -> ParsedList {
+    let mut reading = ParsedList::default();
     let mut owners: Vec<Name> =
         zone.records().filter(|r| r.data.kind() == Type::SRV).map(|r| r.name).collect();
     owners.dedup();
@@ -152,7 +152,7 @@
     name.strip_suffix(&origin).map_or(name.as_str(), |n| n.trim_end_matches('.')).to_owned()
 }
 
-fn engine(zone: &Zone, owner: &Name, name: &str, names: &Names) -> Result<Record, String> {
+fn engine(zone: &Zone, owner: &Name, name: &str, names: &Names) -> Result<EngineRecord, String> {
     let services = zone.get(owner, Type::SRV).map(|s| s.data.as_slice()).unwrap_or_default();
     // Of several, the one with the lowest priority; ties by the order of the zone.
     let best =
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -14,7 +14,7 @@
 use crate::host::Host;
 
 /// The type of the text.
-pub const TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// What is told, as it stood at one moment.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
 
 impl Snapshot {
     fn new(host: &Rc<Host>, connections: usize) -> Snapshot {
-        let (counts, open, held) = host.look(|core| (core.counts, core.open(), core.held()));
+        let (counts, open, held) = host.read_core(|core| (core.counts, core.open(), core.held()));
         let mut counters = vec![
             ("statements_taken", "Statements taken", counts.taken),
             ("attempts", "Attempts sent to engines", counts.attempts),
@@ -137,7 +137,7 @@
 }
 
 /// The text.
-pub fn text(host: &Rc<Host>, connections: usize) -> String {
+pub fn render(host: &Rc<Host>, connections: usize) -> String {
     let mut registry = Registry::with_prefix("violetward");
     registry.register_collector(Box::new(Snapshot::new(host, connections)));
     let mut text = String::new();
--- a/crates/gateway/src/notebook.rs
+++ b/crates/gateway/src/notebook.rs
@@ -24,13 +24,13 @@
 use crate::host::Host;
 
 /// Messages that wait for one iopub subscriber; further ones are dropped for it alone.
-const IOPUB_WAITING: usize = 512;
+const MAX_QUEUED_IOPUB: usize = 512;
 /// Replies that wait for one client; a client that lets more pile up is cut off.
-const REPLIES_WAITING: usize = 512;
+const MAX_QUEUED_REPLIES: usize = 512;
 /// Sessions that carry something from one cell to the next.
-const MOST_CARRIED: usize = 65_536;
+const MAX_CARRIED_SESSIONS: usize = 65_536;
 /// Signatures remembered against replays.
-const SIGNATURES: usize = 65_536;
+const MAX_SIGNATURES: usize = 65_536;
 
 pub use crate::terms::KernelConfig;
 
@@ -78,12 +78,12 @@
             "control_port": port(&control)?, "hb_port": port(&hb)?, "kernel_name": "violetward",
         });
         write_private(&config.connection_file, &serde_json::to_vec_pretty(&file)?)?;
-        let session = format!("{}-{:016x}", host.life, rand::random::<u64>());
+        let session = format!("{}-{:016x}", host.instance, rand::random::<u64>());
         let notebook = Rc::new(Notebook {
             host: host.clone(),
             config,
             kernel: RefCell::new(Kernel::new()),
-            signer: RefCell::new(Signer::new(key.as_bytes(), SIGNATURES)),
+            signer: RefCell::new(Signer::new(key.as_bytes(), MAX_SIGNATURES)),
             session,
             next: Cell::new(1),
             clients: RefCell::default(),
@@ -133,7 +133,7 @@
         channel: Option<Channel>,
     ) -> Result<(), String> {
         stream.get_ref().set_nodelay(true).ok();
-        let (sender, outgoing) = async_channel::bounded(REPLIES_WAITING.max(IOPUB_WAITING));
+        let (sender, outgoing) = async_channel::bounded(MAX_QUEUED_REPLIES.max(MAX_QUEUED_IOPUB));
         sender.try_send([zmtp::greeting(), zmtp::ready(socket)].concat()).ok();
         let stream = Rc::new(stream);
         future::or(
@@ -243,7 +243,7 @@
                 Out::Run { run, session, code, terms } => self.run(run, session, code, &terms),
                 Out::Stop(run) => {
                     if let Some(&id) = self.runs.borrow().get(&run) {
-                        self.host.core(|core, now| core.cancel(now, id));
+                        self.host.with_core(|core, now| core.cancel(now, id));
                     }
                 }
                 Out::Shutdown => {
@@ -259,7 +259,8 @@
 
     fn write(&self, way: &[Vec<u8>], parent: &Value, kind: &str, content: &Value) -> Vec<Vec<u8>> {
         let n = self.next.replace(self.next.get() + 1);
-        let header = kernel::header(format!("{}-{n}", self.session), &self.session, kind, self.host.date());
+        let header =
+            kernel::header(format!("{}-{n}", self.session), &self.session, kind, self.host.iso_timestamp());
         self.signer.borrow().write(way, &header, parent, content)
     }
 
@@ -281,7 +282,8 @@
         let public_id = self.host.next_public_id();
         let mut context = self.context(terms);
         self.carried.borrow().get(&session).cloned().unwrap_or_default().put(&mut context);
-        let id = self.host.core(|core, now| core.submit(now, Submission { public_id, text: code, context }));
+        let id =
+            self.host.with_core(|core, now| core.submit(now, Submission { public_id, text: code, context }));
         self.runs.borrow_mut().insert(run, id);
         let (notebook, life) = (self.clone(), self.life.get());
         self.host.spawn(async move {
@@ -318,7 +320,7 @@
             return;
         }
         let mut all = self.carried.borrow_mut();
-        if all.len() >= MOST_CARRIED && !all.contains_key(session) {
+        if all.len() >= MAX_CARRIED_SESSIONS && !all.contains_key(session) {
             tracing::warn!("too many sessions carry something; one of a notebook is forgotten");
             return;
         }
@@ -343,17 +345,17 @@
         let Some(carried) = self.carried.borrow_mut().remove(session) else { return };
         let property = carried.session.iter().find(|(n, _)| n == PROPERTY).map(|(_, v)| v.as_str());
         let tokens: Vec<&str> = carried.transaction.as_deref().into_iter().chain(property).collect();
-        self.host.core(|core, now| core.let_go(now, &self.config.user, &tokens));
+        self.host.with_core(|core, now| core.release_sessions(now, &self.config.user, &tokens));
     }
 
     /// Takes the pages of a statement to its end.
     async fn collect(&self, id: StatementId, session: &str) -> CellEnd {
         let mut table = Table::default();
         let mut token = 0;
-        self.host.core(|core, now| core.waits(now, id, true));
+        self.host.with_core(|core, now| core.set_waiting(now, id, true));
         let end = loop {
-            let heard = self.host.listen(id);
-            match self.host.core(|core, now| core.page(now, id, token, true)) {
+            let heard = self.host.subscribe(id);
+            match self.host.with_core(|core, now| core.page(now, id, token, true)) {
                 Turn::Page(page) => {
                     add(&mut table, &page, self.config.rows);
                     token += 1;
@@ -366,8 +368,8 @@
                 Turn::Gone | Turn::Unknown => break lost(),
             }
         };
-        self.host.core(|core, now| core.waits(now, id, false));
-        self.host.unlisten(id);
+        self.host.with_core(|core, now| core.set_waiting(now, id, false));
+        self.host.unsubscribe(id);
         end
     }
 }
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -22,10 +22,10 @@
 };
 use violetward_statement::http::{Headers, Limits};
 
-use crate::core::sights::{Cost, Sights};
+use crate::core::observations::{Cost, Observations};
 use crate::host::Host;
 use crate::peers::Peers;
-use crate::record::{hash, zone_id, Record};
+use crate::record::{hash, zone_id, EngineRecord};
 use crate::terms::SiteTerms;
 
 mod known;
@@ -148,8 +148,8 @@
         };
         let (me, _) = peers.me();
         let names = terms.sites.iter().map(|s| s.name.clone()).collect();
-        let sights = Sights::new(&terms.tag, names, terms.own, &settings.classes);
-        host.core(|core, _| core.watch_sights(sights));
+        let sights = Observations::new(&terms.tag, names, terms.own, &settings.classes);
+        host.with_core(|core, _| core.observe(sights));
         let inner = Inner {
             watch: Watch::new(terms.watch, terms.own, terms.sites.len(), MOST, now),
             act: Act::new(act, Learned::new(LEARNED.0, LEARNED.1), now),
@@ -230,7 +230,7 @@
     }
 
     /// The places of the sites of these engines, by name, as the section tells them.
-    pub(crate) fn sites_of(&self, host: &Host, engines: &[Record]) -> BTreeMap<String, usize> {
+    pub(crate) fn sites_of(&self, host: &Host, engines: &[EngineRecord]) -> BTreeMap<String, usize> {
         engines.iter().filter_map(|r| Some((r.name.clone(), self.site_of(host, r)?))).collect()
     }
 
@@ -246,7 +246,7 @@
         self.terms.sites.iter().position(|s| s.name == seen.record.site)
     }
 
-    fn site_of(&self, host: &Host, record: &Record) -> Option<usize> {
+    fn site_of(&self, host: &Host, record: &EngineRecord) -> Option<usize> {
         let by_name = self.terms.sites.iter().position(|s| s.engines.contains(&record.name));
         let stands = |zone: &String| zone_id(zone, &host.config.names) == record.entry.zone;
         by_name.or_else(|| self.terms.sites.iter().position(|s| s.zones.iter().any(stands)))
@@ -280,7 +280,7 @@
 
     /// The list, as it is now.
     fn engines(&self, host: &Host, inner: &mut Inner, now: Micros) {
-        let listed: Vec<Record> = host.look(|core| core.engines().cloned().collect());
+        let listed: Vec<EngineRecord> = host.read_core(|core| core.engines().cloned().collect());
         // What is worked on in a window of maintenance is no loss.
         let windows = host.windows.borrow().as_ref().map(|windows| windows.away()).unwrap_or_default();
         let mut gone: Vec<EngineId> = inner.engines.keys().copied().collect();
@@ -344,10 +344,10 @@
     /// What attempts told, and probes of what was not heard of.
     fn signs(self: &Rc<Self>, host: &Rc<Host>, inner: &mut Inner, now: Micros, span: Micros) {
         let average = self.terms.average;
-        let signs = host.core_alone(|core, _| {
-            core.sights().map(|sights| {
-                sights.fade(span, average);
-                sights.signs()
+        let signs = host.with_core_deferred(|core, _| {
+            core.observations().map(|sights| {
+                sights.decay(span, average);
+                sights.take_signs()
             })
         });
         for (engine, sign) in signs.unwrap_or_default() {
@@ -453,7 +453,9 @@
 
     /// Waits move limits; what came and was served teaches.
     fn evidence(&self, host: &Rc<Host>, inner: &mut Inner, now: Micros) {
-        let totals = host.core_alone(|core, _| core.sights().map(|s| s.totals().clone())).unwrap_or_default();
+        let totals = host
+            .with_core_deferred(|core, _| core.observations().map(|s| s.totals().clone()))
+            .unwrap_or_default();
         for (&(_, site), &(asked, _)) in &totals {
             inner.came.entry(site).or_insert(0);
             let sum: u64 = totals.iter().filter(|t| t.0 .1 == site).map(|t| t.1 .0).sum();
@@ -464,7 +466,9 @@
         }
         if now >= inner.moved + self.terms.every {
             inner.moved = now;
-            let waits = host.core_alone(|core, _| core.sights().map(Sights::waits)).unwrap_or_default();
+            let waits = host
+                .with_core_deferred(|core, _| core.observations().map(Observations::take_waits))
+                .unwrap_or_default();
             // The class that is refused first may wait: it says nothing of the others.
             let last = inner.act.limits().last().map(|l| l.class);
             let of = |(class, w): (usize, &(f64, u32))| (Some(class) != last && w.1 >= 3).then_some(w.0);
@@ -523,7 +527,7 @@
                     tracing::info!(least, acts = self.terms.acts, "share that a loss gives");
                     self.least.set(least.filter(|_| self.terms.acts));
                     let share = self.share(self.peers.standing().1);
-                    host.core(|core, now| core.share(now, share));
+                    host.with_core(|core, now| core.set_share(now, share));
                 }
                 Effect::Narrow(_) => self.narrow(host),
                 Effect::Settled => {
@@ -544,7 +548,7 @@
         }
         if std::mem::replace(&mut self.inner.borrow_mut().keep, parts.clone()) != parts && self.terms.acts {
             let back = if parts[0].is_empty() { 0 } else { self.terms.stay_away };
-            host.core(|core, now| core.keep(now, parts, back));
+            host.with_core(|core, now| core.set_admission_shares(now, parts, back));
         }
     }
 }
--- a/crates/gateway/src/outage/known.rs
+++ b/crates/gateway/src/outage/known.rs
@@ -41,7 +41,7 @@
 
     /// This gateway's cells: demand by class and its clients' site, k by class and the engines' site, ways by site.
     fn sums(&self, host: &Rc<Host>, inner: &Inner) -> Vec<(DigestCell, Summary)> {
-        let (rates, costs) = host.core_alone(|core, _| match core.sights() {
+        let (rates, costs) = host.with_core_deferred(|core, _| match core.observations() {
             Some(s) => (s.rates().collect::<Vec<_>>(), s.costs().collect::<Vec<_>>()),
             None => Default::default(),
         });
@@ -55,11 +55,14 @@
         for ((class, engine), cost) in costs {
             let Some(e) = inner.engines.get(&engine) else { continue };
             let sum = by_site.entry((class, e.site)).or_default();
-            *sum = sum.with(cost);
+            *sum = sum.plus(cost);
         }
         for ((class, site), cost) in by_site {
             let cell = DigestCell { zone: place(site), ..DigestCell::others(class as u16) };
-            cells.push((cell, Summary { k: cost.seen / cost.told, weight: cost.told, ..Summary::default() }));
+            cells.push((
+                cell,
+                Summary { k: cost.actual / cost.estimated, weight: cost.estimated, ..Summary::default() },
+            ));
         }
         for site in 0..self.terms.sites.len() {
             let ways: Vec<f64> =
@@ -77,8 +80,8 @@
     /// What is known of the fleet: from summaries, the list and what this gateway measures itself.
     fn known(&self, host: &Rc<Host>, inner: &Inner, now: Micros) -> Option<Known> {
         let settings = &host.config.settings;
-        let sights = host.core_alone(|core, _| {
-            let s = core.sights()?;
+        let sights = host.with_core_deferred(|core, _| {
+            let s = core.observations()?;
             Some((s.rates().collect::<Vec<_>>(), s.costs().collect::<Vec<_>>()))
         });
         let (rates, costs) = sights?;
@@ -90,22 +93,22 @@
             let own = rates
                 .iter()
                 .filter(|r| r.0 .0 == n)
-                .fold((0.0, 0.0, 0.0), |s, (_, t)| (s.0 + t.asked, s.1 + t.work, s.2 + t.squares));
+                .fold((0.0, 0.0, 0.0), |s, (_, t)| (s.0 + t.requests, s.1 + t.work, s.2 + t.squares));
             let threads = f64::from(class.threads.max(1));
             // Of what was never asked for here a quarter of the aim is a guess.
             let work = if own.1 > 0.0 { own.1 / own.0 / 1e3 } else { class.aim as f64 / 4e6 * threads };
             let spread = if own.1 > 0.0 { (own.2 * own.0 / (own.1 * own.1)).max(1.0) } else { 1.0 };
             let cost =
-                costs.iter().filter(|c| c.0 .0 == n).fold(Cost::default(), |sum, (_, cost)| sum.with(*cost));
+                costs.iter().filter(|c| c.0 .0 == n).fold(Cost::default(), |sum, (_, cost)| sum.plus(*cost));
             // True work, so that one whose clients estimate otherwise reckons what others do.
-            let work = work * if cost.told > 0.0 { cost.seen / cost.told } else { fleet[n] };
+            let work = work * if cost.estimated > 0.0 { cost.actual / cost.estimated } else { fleet[n] };
             mean.push(work);
             traits.push(Traits {
                 aim: class.aim + (class.aim_stretch.max(0.0) * work / threads * 1e6) as Micros,
                 late_worth: class.late_worth,
                 attempts: 1.0,
                 spread,
-                error: cost.error(),
+                error: cost.log_ratio_deviation(),
             });
         }
         let (mut demand, mut k, mut crossing) = (Vec::new(), BTreeMap::new(), BTreeMap::new());
--- a/crates/gateway/src/outage/told.rs
+++ b/crates/gateway/src/outage/told.rs
@@ -201,5 +201,5 @@
 /// # Errors
 /// What it answers instead, or why it does not.
 pub async fn ask(address: SocketAddr) -> Result<Standing, String> {
-    crate::asking::get(address, "/v1/sites").await
+    crate::fetch::get_json(address, "/v1/sites").await
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -188,7 +188,7 @@
             Effect::Share(part) => {
                 tracing::debug!(part, "share of the fleet");
                 let part = host.outage().map_or(part, |outage| outage.share(part));
-                host.core(|core, now| core.share(now, part));
+                host.with_core(|core, now| core.set_share(now, part));
             }
             Effect::Heard(from, bytes) if bytes.first() == Some(&custody::SAID) => {
                 host.custody().iter().for_each(|custody| custody.heard(host, &from, &bytes[1..]));
@@ -246,11 +246,11 @@
     }
 
     async fn demand(self: Rc<Self>, host: Rc<Host>) {
-        let mut before = host.look(|core| core.offered().to_vec());
+        let mut before = host.read_core(|core| core.offered_work().to_vec());
         let mut rates = vec![0.0; before.len()];
         loop {
             violetward_net::sleep(AVERAGE.1).await;
-            let offered = host.look(|core| core.offered().to_vec());
+            let offered = host.read_core(|core| core.offered_work().to_vec());
             let keep = (-AVERAGE.1.as_secs_f64() / AVERAGE.0.as_secs_f64()).exp();
             for ((rate, now), was) in rates.iter_mut().zip(&offered).zip(&before) {
                 *rate = *rate * keep + (now - was) / AVERAGE.1.as_secs_f64() * (1.0 - keep);
@@ -390,7 +390,7 @@
 /// # Errors
 /// What it answers instead, or why it does not.
 pub async fn ask(address: SocketAddr) -> Result<View, String> {
-    crate::asking::get(address, "/v1/members").await
+    crate::fetch::get_json(address, "/v1/members").await
 }
 
 impl std::fmt::Display for View {
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -9,7 +9,7 @@
 
 /// An engine as the list has it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Record {
+pub struct EngineRecord {
     /// Its name; the module's number is made from it, so it is the same at every gateway.
     pub name: String,
     /// Where it listens.
--- a/crates/gateway/src/rules.rs
+++ b/crates/gateway/src/rules.rs
@@ -22,9 +22,9 @@
 use violetward::{AttemptBudget, Class, Effect, KindId, Listed, Settings, Tenant};
 use violetward_windows::held::Grant;
 
-use crate::moment;
 use crate::record::zone_id;
 use crate::terms::Names;
+use crate::timestamp;
 
 /// What is left of a class.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -319,7 +319,7 @@
         let find = |all: &[Grant], name: &str| all.iter().find(|g| g.name == name).cloned();
         for new in &newer.windows {
             let engines = new.engines.iter().cloned().collect::<Vec<_>>().join(" ");
-            let span = format!("{} to {}", moment::shown(new.from), moment::shown(new.until));
+            let span = format!("{} to {}", timestamp::format(new.from), timestamp::format(new.until));
             let off = if new.off { ", called off" } else { "" };
             match find(&self.windows, &new.name) {
                 None => say(format!("window {}: {engines} from {span}{off}", new.name), false),
--- a/crates/gateway/src/rules/syntax.rs
+++ b/crates/gateway/src/rules/syntax.rs
@@ -7,8 +7,8 @@
 
 use super::{Attempts, ClassRules, Rules};
 use crate::forms::{self, Checker, Mistake};
-use crate::moment;
 use crate::terms::Names;
+use crate::timestamp;
 
 impl Rules {
     /// Reads a version's content.
@@ -96,7 +96,7 @@
     let mut time = |name: &str| {
         let field = f.need(c, name).cloned()?;
         let word = c.word(&field, "a time such as \"2026-12-02T03:00:00Z\"")?;
-        let at = moment::read(&word);
+        let at = timestamp::parse(&word);
         if at.is_none() {
             c.at(&field, format!("{name}: expected a time such as \"2026-12-02T03:00:00Z\", found {word}"));
         }
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -67,7 +67,7 @@
             next_signal(&mut signals).await;
         };
         future::or(stop(&host, drain_within), second).await;
-        tracing::info!(undelivered = host.look(|core| core.undelivered()), "stopped");
+        tracing::info!(undelivered = host.read_core(|core| core.undelivered()), "stopped");
     }));
     Ok(())
 }
@@ -113,7 +113,7 @@
     if let Some(path) = host.config.sessions.key_file.clone() {
         let (of, every) = (host.clone(), host.config.host.list_every);
         let take = move |text: &str| {
-            crate::config::read_keys(text).map(|keys| of.core(|core, _| core.set_keys(keys)))
+            crate::config::read_keys(text).map(|keys| of.with_core(|core, _| core.set_keys(keys)))
         };
         executor.spawn(watch::keys(path, every, take)).detach();
     }
@@ -166,11 +166,11 @@
         Some(custody) => custody.hand_over(host),
         None => leave(),
     }
-    let open = host.look(|core| core.open());
+    let open = host.read_core(|core| core.open());
     tracing::info!(open, "stopping: no new statements; those taken get their answer here or elsewhere");
     let until = Instant::now() + within;
     let handed_over = || custody.as_ref().is_none_or(|custody| custody.handed_over());
-    while (host.look(|core| core.undelivered()) > 0 || !handed_over()) && Instant::now() < until {
+    while (host.read_core(|core| core.undelivered()) > 0 || !handed_over()) && Instant::now() < until {
         violetward_net::sleep(Duration::from_millis(10)).await;
     }
     custody.iter().for_each(|_| leave());
--- a/crates/gateway/src/sessions.rs
+++ b/crates/gateway/src/sessions.rs
@@ -15,26 +15,26 @@
 use violetward_statement::text;
 
 /// Name of the error of a statement whose session is lost.
-pub const LOST: &str = "SESSION_LOST";
+pub const SESSION_LOST: &str = "SESSION_LOST";
 /// Of one whose token is not believed.
-pub const INVALID: &str = "SESSION_INVALID";
+pub const SESSION_INVALID: &str = "SESSION_INVALID";
 /// Of one in a transaction that can only be rolled back.
-pub const ABORTED: &str = "TRANSACTION_ABORTED";
+pub const TRANSACTION_ABORTED: &str = "TRANSACTION_ABORTED";
 /// What engines answer if they don't know a transaction or session, and if another statement of it runs.
-pub const UNKNOWN: [&str; 2] = ["UNKNOWN_TRANSACTION", "UNKNOWN_SESSION"];
-/// See [`UNKNOWN`].
-pub const BUSY: &str = "SESSION_BUSY";
+pub const UNKNOWN_SESSION_ERRORS: [&str; 2] = ["UNKNOWN_TRANSACTION", "UNKNOWN_SESSION"];
+/// See [`UNKNOWN_SESSION_ERRORS`].
+pub const SESSION_BUSY: &str = "SESSION_BUSY";
 
 /// Headers by which engines and clients tell of transactions.
-pub const STARTED: &str = "X-Trino-Started-Transaction-Id";
-/// See [`STARTED`].
-pub const CLEARED: &str = "X-Trino-Clear-Transaction-Id";
-const SET: &str = "X-Trino-Set-Session";
-const CLEAR: &str = "X-Trino-Clear-Session";
+pub const STARTED_TRANSACTION: &str = "X-Trino-Started-Transaction-Id";
+/// See [`STARTED_TRANSACTION`].
+pub const CLEAR_TRANSACTION: &str = "X-Trino-Clear-Transaction-Id";
+const SET_SESSION: &str = "X-Trino-Set-Session";
+const CLEAR_SESSION: &str = "X-Trino-Clear-Session";
 
 /// What a statement has to do with a session.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Member {
+pub struct SessionUse {
     /// What it is.
     pub kind: Kind,
     /// Its session, once there is one.
@@ -49,7 +49,7 @@
     pub holds: Holds,
 }
 
-impl Member {
+impl SessionUse {
     /// What the module is told.
     pub fn pin(&self) -> Option<Pin> {
         let binding = self.binding.as_ref()?;
@@ -62,11 +62,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Admit {
     /// It has none and needs none.
-    Plain,
+    NoSession,
     /// It opens one, or belongs to one.
-    Member(Box<Member>),
+    InSession(Box<SessionUse>),
     /// Its session is lost, and its client lets its tables be rebuilt by these statements, one after the other.
-    Rebuild(Vec<String>),
+    RebuildFirst(Vec<String>),
     /// It has ended, with these headers for its client.
     Ended(Ending, Vec<(String, String)>),
 }
@@ -88,10 +88,10 @@
 }
 
 /// Recipes kept at most.
-const RECIPES: usize = 10_000;
+const MAX_RECIPES: usize = 10_000;
 
 /// Lives of an engine's process that are remembered.
-const EPOCHS: usize = 16;
+const MAX_EPOCHS_PER_ENGINE: usize = 16;
 
 /// Spreads a number over 64 bits (the finalizer of SplitMix64).
 fn mix(mut x: u64) -> u64 {
@@ -101,34 +101,34 @@
 }
 
 /// The client lets its tables be rebuilt.
-fn rebuilds(context: &Context) -> bool {
+fn allows_rebuild(context: &Context) -> bool {
     context.property(REBUILD).is_some_and(|v| v.eq_ignore_ascii_case("true"))
 }
 
 /// The token in an answer's headers, where it opens a session.
-pub fn opened(headers: &[(String, String)]) -> Option<String> {
+pub fn opened_token(headers: &[(String, String)]) -> Option<String> {
     let value = |(name, value): &(String, String)| {
-        let (property, token) = value.split_once('=').filter(|_| name.eq_ignore_ascii_case(SET))?;
+        let (property, token) = value.split_once('=').filter(|_| name.eq_ignore_ascii_case(SET_SESSION))?;
         decode(token).filter(|_| property.trim() == PROPERTY)
     };
     headers.iter().find_map(value)
 }
 
 /// The header that gives a token to a client.
-pub fn carry(token: &str) -> (String, String) {
-    (SET.to_owned(), format!("{PROPERTY}={}", encode(token)))
+pub fn token_header(token: &str) -> (String, String) {
+    (SET_SESSION.to_owned(), format!("{PROPERTY}={}", encode(token)))
 }
 
 fn user_error(name: &str, why: String) -> Ending {
     Ending::Declined(QueryError::new(ErrorType::UserError, 0x7610, name, why))
 }
 
-fn lost(why: Why, holds: Holds) -> Ending {
+fn session_lost(why: Why, holds: Holds) -> Ending {
     let why = format!("the session is lost with {}: {}", holds.words(), why.words());
-    Ending::Failed(QueryError::new(ErrorType::External, 0x7611, LOST, why))
+    Ending::Failed(QueryError::new(ErrorType::External, 0x7611, SESSION_LOST, why))
 }
 
-fn refused(why: &str, after_ms: u64) -> Ending {
+fn refusal(why: &str, after_ms: u64) -> Ending {
     Ending::Refused(QueryError::refused(why, after_ms))
 }
 
@@ -192,27 +192,33 @@
             "reset",
         ];
         let writes = !reads.contains(&word.as_str());
-        let mut member =
-            Member { kind, number: None, binding: None, reserved: false, writes, holds: Holds::default() };
+        let mut member = SessionUse {
+            kind,
+            number: None,
+            binding: None,
+            reserved: false,
+            writes,
+            holds: Holds::default(),
+        };
         if carried.is_empty() {
             return match member.kind {
-                Kind::Other | Kind::Leave => Admit::Plain,
+                Kind::Other | Kind::Leave => Admit::NoSession,
                 Kind::Commit | Kind::Rollback => Admit::Ended(
                     user_error("NOT_IN_TRANSACTION", "there is no transaction to end".into()),
                     Vec::new(),
                 ),
                 Kind::Start | Kind::Temporary => match self.table.may_open(&context.user) {
-                    Ok(()) => Admit::Member(Box::new(member)),
-                    Err(full) => Admit::Ended(refused(full.words(), 1000), Vec::new()),
+                    Ok(()) => Admit::InSession(Box::new(member)),
+                    Err(full) => Admit::Ended(refusal(full.words(), 1000), Vec::new()),
                 },
             };
         }
         // What the client asks for may be done already: then there is nothing to fail.
         let over = |ending: Ending| match member.kind {
             Kind::Rollback if transaction.is_some() => {
-                Admit::Ended(Ending::Served, vec![(CLEARED.to_owned(), "true".into())])
+                Admit::Ended(Ending::Served, vec![(CLEAR_TRANSACTION.to_owned(), "true".into())])
             }
-            Kind::Leave => Admit::Ended(Ending::Served, vec![(CLEAR.to_owned(), PROPERTY.into())]),
+            Kind::Leave => Admit::Ended(Ending::Served, vec![(CLEAR_SESSION.to_owned(), PROPERTY.into())]),
             _ => Admit::Ended(ending, Vec::new()),
         };
         let mut tokens = Vec::new();
@@ -220,13 +226,16 @@
             match self.keys.open(now, &context.user, text) {
                 Ok(token) => tokens.push(token),
                 Err(why) => {
-                    return over(user_error(INVALID, format!("the session's token is not accepted: {why}")))
+                    return over(user_error(
+                        SESSION_INVALID,
+                        format!("the session's token is not accepted: {why}"),
+                    ))
                 }
             }
         }
         if tokens.iter().any(|t| t.session != tokens[0].session) {
             let why = "the transaction and the session that are named are not the same session";
-            return Admit::Ended(user_error(INVALID, why.into()), Vec::new());
+            return Admit::Ended(user_error(SESSION_INVALID, why.into()), Vec::new());
         }
         if member.kind == Kind::Start && transaction.is_some() {
             let why = "a transaction is open already";
@@ -261,34 +270,35 @@
         let binding = match entered {
             Ok(binding) => binding,
             Err(Denied::Busy) => {
-                return Admit::Ended(refused("another statement of this session runs", 200), Vec::new())
+                return Admit::Ended(refusal("another statement of this session runs", 200), Vec::new())
             }
             Err(Denied::Aborted) => {
                 let why = "a statement of this transaction ended without its outcome being known; only ROLLBACK is heard";
-                return Admit::Ended(user_error(ABORTED, why.into()), Vec::new());
+                return Admit::Ended(user_error(TRANSACTION_ABORTED, why.into()), Vec::new());
             }
             Err(Denied::Gone(Why::Ended, _)) => {
                 let why =
                     "the session has been ended by its client: a COMMIT, ROLLBACK or RESET of it was taken";
-                return over(user_error(INVALID, why.into()));
+                return over(user_error(SESSION_INVALID, why.into()));
             }
             Err(Denied::Gone(why, held)) => {
                 let recipe = self.recipes.get(&token.session).and_then(Recipe::statements);
-                let may = rebuilds(context) && !held.transaction && transaction.is_none() && !rolls_back;
+                let may =
+                    allows_rebuild(context) && !held.transaction && transaction.is_none() && !rolls_back;
                 // What its own limits ended is over; what an engine lost can be had again.
                 let by_engine = matches!(why, Why::Removed | Why::Drained | Why::Restarted | Why::Forgotten);
                 return match recipe.filter(|_| may && by_engine) {
-                    Some(statements) => Admit::Rebuild(statements.to_vec()),
-                    None => over(lost(why, held)),
+                    Some(statements) => Admit::RebuildFirst(statements.to_vec()),
+                    None => over(session_lost(why, held)),
                 };
             }
             Err(Denied::NotYours) => {
                 return Admit::Ended(
-                    user_error(INVALID, "the session belongs to another user".into()),
+                    user_error(SESSION_INVALID, "the session belongs to another user".into()),
                     Vec::new(),
                 )
             }
-            Err(Denied::Unknown) => return over(lost(Why::Forgotten, holds)),
+            Err(Denied::Unknown) => return over(session_lost(Why::Forgotten, holds)),
         };
         let reserved = self.table.reserved(binding.engine, &binding.epoch);
         member.reserved = reserve::applies(&member.kind, binding.holds, reserved, self.reserve);
@@ -298,7 +308,7 @@
         member.number = Some(token.session);
         member.holds = binding.holds;
         member.binding = Some(binding);
-        Admit::Member(Box::new(member))
+        Admit::InSession(Box::new(member))
     }
 
     fn take_over(
@@ -308,11 +318,11 @@
         holds: Holds,
         engine: Option<EngineId>,
     ) -> Result<(), Ending> {
-        let engine = engine.ok_or_else(|| lost(Why::Removed, holds))?;
+        let engine = engine.ok_or_else(|| session_lost(Why::Removed, holds))?;
         // A life that is not known yet may be newer than what this gateway has heard: then the engine itself decides.
         let known = self.epochs.get(&engine).map_or(&[][..], Vec::as_slice);
         if known.split_last().is_some_and(|(_, former)| former.contains(&token.epoch)) {
-            return Err(lost(Why::Restarted, holds));
+            return Err(session_lost(Why::Restarted, holds));
         }
         let binding = Binding {
             engine: engine.0,
@@ -323,7 +333,7 @@
         };
         self.table
             .open(now, token.session, &token.user, &binding, token.until, None)
-            .map_err(|full| refused(full.words(), 1000))
+            .map_err(|full| refusal(full.words(), 1000))
     }
 
     /// Reads what an engine's answer says of the session, and puts this gateway's tokens in place of the engine's names.
@@ -331,11 +341,11 @@
     /// # Errors
     /// The session could not be kept: what is full, and its name at the engine.
     #[allow(clippy::too_many_arguments)]
-    pub fn answered(
+    pub fn read_answer(
         &mut self,
         now: Micros,
         statement: u64,
-        member: &mut Option<Box<Member>>,
+        member: &mut Option<Box<SessionUse>>,
         user: &str,
         engine: (EngineId, &str),
         epoch: &str,
@@ -345,21 +355,21 @@
             let is = |known: &str| name.eq_ignore_ascii_case(known);
             let property = value.split_once('=').filter(|(n, _)| n.trim() == PROPERTY);
             let inner = match property {
-                Some((_, inner)) if is(SET) => decode(inner),
-                _ if is(STARTED) => Some(value.clone()),
+                Some((_, inner)) if is(SET_SESSION) => decode(inner),
+                _ if is(STARTED_TRANSACTION) => Some(value.clone()),
                 _ => None,
             };
-            if let (Some(member), true) = (member.as_mut(), is(CLEARED)) {
+            if let (Some(member), true) = (member.as_mut(), is(CLEAR_TRANSACTION)) {
                 member.holds.transaction = false;
             }
-            if let (Some(member), true) = (member.as_mut(), is(CLEAR) && value.trim() == PROPERTY) {
+            if let (Some(member), true) = (member.as_mut(), is(CLEAR_SESSION) && value.trim() == PROPERTY) {
                 member.holds.tables = false;
             }
             let Some(inner) = inner else { continue };
-            let starts = is(STARTED);
+            let starts = is(STARTED_TRANSACTION);
             let member = member.get_or_insert_with(|| {
                 let kind = if starts { Kind::Start } else { Kind::Temporary };
-                Box::new(Member {
+                Box::new(SessionUse {
                     kind,
                     number: None,
                     binding: None,
@@ -406,13 +416,13 @@
     }
 
     /// Keeps how a session's tables are made.
-    fn record(&mut self, number: u64, context: &Context, sql: &str, left: Left) {
-        if !rebuilds(context) && !self.recipes.contains_key(&number) {
+    fn record_recipe(&mut self, number: u64, context: &Context, sql: &str, left: Left) {
+        if !allows_rebuild(context) && !self.recipes.contains_key(&number) {
             return;
         }
         if !self.recipes.contains_key(&number) {
             self.recipes_in_order.push_back(number);
-            if self.recipes_in_order.len() > RECIPES {
+            if self.recipes_in_order.len() > MAX_RECIPES {
                 let oldest = self.recipes_in_order.pop_front();
                 oldest.map(|number| self.recipes.remove(&number));
             }
@@ -427,11 +437,11 @@
     }
 
     /// A statement of a session has ended: what its client is told in the end, and what is to be freed at the engine.
-    pub fn ended(
+    pub fn statement_ended(
         &mut self,
         now: Micros,
         statement: u64,
-        member: &Member,
+        member: &SessionUse,
         (context, sql): (&Context, &str),
         ending: Ending,
         attempts: u32,
@@ -440,16 +450,16 @@
             self.table.reserve(binding.engine, &binding.epoch, false);
         }
         let Some(number) = member.number.filter(|&n| self.table.contains(n)) else { return (ending, None) };
-        let unknown = ending.error().is_some_and(|e| UNKNOWN.contains(&e.error_name.as_str()));
+        let unknown = ending.error().is_some_and(|e| UNKNOWN_SESSION_ERRORS.contains(&e.error_name.as_str()));
         let mut ending = match ending {
             Ending::Declined(_) if unknown => {
                 let held = member.binding.as_ref().map_or(member.holds, |b| b.holds);
                 self.table.end(now, number, Why::Forgotten);
                 self.lost += 1;
-                return (lost(Why::Forgotten, held), None);
+                return (session_lost(Why::Forgotten, held), None);
             }
-            Ending::Declined(e) if e.error_name == BUSY => {
-                refused("another statement of this session runs", 200)
+            Ending::Declined(e) if e.error_name == SESSION_BUSY => {
+                refusal("another statement of this session runs", 200)
             }
             other => other,
         };
@@ -460,7 +470,7 @@
             _ => Left::Untouched,
         };
         if ending == Ending::Served || left == Left::Unsure {
-            self.record(number, context, sql, left);
+            self.record_recipe(number, context, sql, left);
         }
         if member.kind.ends() && left == Left::Unsure {
             if let (Kind::Commit, Ending::Failed(e)) = (&member.kind, &mut ending) {
@@ -482,30 +492,30 @@
     }
 
     /// Ends the session of a token, whose client has left.
-    pub fn let_go(&mut self, now: Micros, user: &str, token: &str) -> Option<Loss> {
+    pub fn release(&mut self, now: Micros, user: &str, token: &str) -> Option<Loss> {
         let token = self.keys.open(now, user, token).ok()?;
         self.table.end(now, token.session, Why::Ended)
     }
 
     /// An engine tells the life of its process.
-    pub fn epoch(&mut self, now: Micros, engine: EngineId, epoch: &str) -> Vec<Loss> {
+    pub fn engine_epoch(&mut self, now: Micros, engine: EngineId, epoch: &str) -> Vec<Loss> {
         let known = self.epochs.entry(engine).or_default();
         // A former life does not come back: that is an answer which was long on its way.
         if known.iter().any(|k| k == epoch) {
             return Vec::new();
         }
         known.push(epoch.to_owned());
-        if known.len() > EPOCHS {
+        if known.len() > MAX_EPOCHS_PER_ENGINE {
             known.remove(0);
         }
-        self.count(|table| table.lose(now, engine.0, Some(epoch), Why::Restarted))
+        self.count_lost(|table| table.lose(now, engine.0, Some(epoch), Why::Restarted))
     }
 
     /// The list says of an engine that it is up, drains, or is gone (`None`).
-    pub fn listed(&mut self, now: Micros, engine: EngineId, drains: Option<bool>) -> Vec<Loss> {
+    pub fn engine_listed(&mut self, now: Micros, engine: EngineId, drains: Option<bool>) -> Vec<Loss> {
         match drains {
-            Some(drains) => self.count(|table| table.drains(now, engine.0, drains)),
-            None => self.count(|table| table.lose(now, engine.0, None, Why::Removed)),
+            Some(drains) => self.count_lost(|table| table.drains(now, engine.0, drains)),
+            None => self.count_lost(|table| table.lose(now, engine.0, None, Why::Removed)),
         }
     }
 
@@ -516,10 +526,10 @@
 
     /// Lets time pass.
     pub fn advance(&mut self, now: Micros) -> Vec<Loss> {
-        self.count(|table| table.advance(now))
+        self.count_lost(|table| table.advance(now))
     }
 
-    fn count(&mut self, what: impl FnOnce(&mut Table) -> Vec<Loss>) -> Vec<Loss> {
+    fn count_lost(&mut self, what: impl FnOnce(&mut Table) -> Vec<Loss>) -> Vec<Loss> {
         let lost = what(&mut self.table);
         self.lost += lost.len() as u64;
         lost
@@ -527,8 +537,8 @@
 }
 
 /// What the running statement of a lost session is told.
-pub fn loss(member: &Member, loss: &Loss, attempts: u32) -> Ending {
-    match lost(loss.why, loss.binding.holds) {
+pub fn loss_ending(member: &SessionUse, loss: &Loss, attempts: u32) -> Ending {
+    match session_lost(loss.why, loss.binding.holds) {
         Ending::Failed(mut error) if member.kind == Kind::Commit && attempts > 0 => {
             error.message =
                 format!("it is not known whether the transaction was committed: {}", error.message);
--- a/crates/gateway/src/moment.rs
+++ b/crates/gateway/src/timestamp.rs
@@ -16,7 +16,7 @@
 }
 
 /// The time as people write it; parts of a second to the millisecond where there are any.
-pub fn shown(at: u64) -> String {
+pub fn format(at: u64) -> String {
     let [year, month, day, hour, minute, second] = calendar(at);
     let millis = match at / 1000 % 1000 {
         0 => String::new(),
@@ -26,7 +26,7 @@
 }
 
 /// Reads that form, in microseconds since the Unix epoch; `None` if it is another one, or no date.
-pub fn read(text: &str) -> Option<u64> {
+pub fn parse(text: &str) -> Option<u64> {
     let (date, time) = text.strip_suffix('Z')?.split_once('T')?;
     let (time, part) = time.split_once('.').unwrap_or((time, "0"));
     let number = |text: &str, digits: usize| {
@@ -66,7 +66,7 @@
             ("2024-02-29T23:59:59Z", 1_709_251_199_000_000),
             ("2026-12-02T03:00:00.250Z", 1_796_180_400_250_000),
         ] {
-            assert_eq!((read(text), shown(at).as_str()), (Some(at), text));
+            assert_eq!((parse(text), format(at).as_str()), (Some(at), text));
         }
         for bad in [
             "",
@@ -79,7 +79,7 @@
             "26-12-02T03:00:00Z",
             "2026-12-02T03:00:00.Z",
         ] {
-            assert_eq!(read(bad), None, "{bad}");
+            assert_eq!(parse(bad), None, "{bad}");
         }
     }
 }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -81,7 +81,7 @@
     for name in known.keys().filter(|name| !new.contains_key(*name)) {
         tracing::info!(engine = name, at = host.now(), "learned that an engine is gone");
     }
-    host.listed(&new);
+    host.update_engine_list(&new);
 }
 
 /// Reads a file that a zone includes: only from the folder of the zone's own file, and below.
--- a/crates/gateway/src/windows.rs
+++ b/crates/gateway/src/windows.rs
@@ -20,10 +20,10 @@
 use violetward_windows::{Cell as Needs, Wall};
 
 use crate::host::Host;
-use crate::moment;
-use crate::record::Record;
+use crate::record::EngineRecord;
 use crate::rules::Rules;
 use crate::terms::{micros, Names, WindowTerms};
+use crate::timestamp;
 
 /// Where this is told.
 pub const PATH: &str = "/v1/windows";
@@ -39,7 +39,7 @@
 /// How the fleet and what is asked of it look at a moment: what a cover is made from.
 #[derive(Debug, Clone, PartialEq)]
 struct Fleet {
-    engines: Vec<Record>,
+    engines: Vec<EngineRecord>,
     /// Engines that are not to get anything, windows apart.
     out: BTreeSet<String>,
     classes: Vec<Class>,
@@ -134,7 +134,7 @@
 impl Fleet {
     /// The engines that may get something, as they are judged.
     fn cover(&self, settings: &Settings, terms: &WindowTerms) -> Result<Cover, String> {
-        let engine = |r: &Record| Engine {
+        let engine = |r: &EngineRecord| Engine {
             name: r.name.clone(),
             kind: short(r.entry.kind.0),
             zone: short(r.entry.zone.0),
@@ -260,8 +260,8 @@
     fn evidence(&self, host: &Host, now: u64) -> Evidence {
         let fleet = self.fleet.borrow();
         let mut down = fleet.out.clone();
-        down.extend(host.look(|core| core.unwell()));
-        let young = |r: &&Record| r.entry.came_up.saturating_add(self.terms.cover.warm) > now;
+        down.extend(host.read_core(|core| core.unhealthy_engines()));
+        let young = |r: &&EngineRecord| r.entry.came_up.saturating_add(self.terms.cover.warm) > now;
         let cold = fleet.engines.iter().filter(young).map(|r| r.name.clone()).collect();
         let doubtful = host.outage().map(|outage| outage.away()).unwrap_or_default();
         let doubtful = doubtful.into_iter().map(short).collect();
@@ -285,7 +285,7 @@
             self.deaf.set(now + micros(self.terms.fresh));
         }
         let away = self.away.borrow().clone();
-        let (engines, out, classes) = host.look(|core| core.fleet(&away));
+        let (engines, out, classes) = host.read_core(|core| core.fleet(&away));
         let sites = host.outage().map(|outage| outage.sites_of(host, &engines)).unwrap_or_default();
         let fleet = Fleet { engines, out, classes, sites };
         let (at, changed) = {
@@ -407,8 +407,8 @@
             Row {
                 name: g.name.clone(),
                 engines: g.engines.iter().cloned().collect(),
-                from: moment::shown(g.from),
-                until: moment::shown(g.until),
+                from: timestamp::format(g.from),
+                until: timestamp::format(g.until),
                 by: g.by.clone(),
                 off: g.off,
                 phase: phase.into(),
@@ -421,7 +421,7 @@
             Some(format!("{name}: {why}"))
         };
         Standing {
-            now: moment::shown(at),
+            now: timestamp::format(at),
             clock_was_set: held.clock_was_set(),
             lease: host.agreed.borrow().as_ref().is_some_and(|a| a.has_lease()),
             engines: self.fleet.borrow().engines.len(),
--- a/crates/gateway/src/zonefront.rs
+++ b/crates/gateway/src/zonefront.rs
@@ -53,7 +53,7 @@
         if outcome.changed {
             let list = membership.list().clone();
             drop(membership);
-            self.host.listed(&list);
+            self.host.update_engine_list(&list);
         }
         outcome.answers
     }
--- a/crates/gateway/tests/core.rs
+++ b/crates/gateway/tests/core.rs
@@ -7,8 +7,8 @@
 use serde_json::value::RawValue;
 use violetward::{Load, Micros, Outcome};
 use violetward_gateway::config::{self, Config};
-use violetward_gateway::core::{Arrived, AttemptId, Core, Effect, Launch, StatementId, Submission};
-use violetward_gateway::list::{self, Record};
+use violetward_gateway::core::{AttemptId, Core, Effect, EnginePage, Launch, StatementId, Submission};
+use violetward_gateway::list::{self, EngineRecord};
 use violetward_gateway::rules::Rules;
 use violetward_statement::pages::{Ending, Part, Turn};
 use violetward_statement::results::{ErrorType, QueryError, Stats, QUEUE_FULL};
@@ -38,7 +38,7 @@
     withdrawn: Vec<AttemptId>,
     pulls: Vec<AttemptId>,
     ended: Vec<(StatementId, &'static str)>,
-    engines: BTreeMap<String, Record>,
+    engines: BTreeMap<String, EngineRecord>,
 }
 
 impl Bed {
@@ -55,18 +55,18 @@
     }
 
     fn list(&mut self) {
-        self.core.listed(self.now, &self.engines);
+        self.core.update_engines(self.now, &self.engines);
         self.collect();
     }
 
     fn collect(&mut self) {
-        while let Some(effect) = self.core.effect() {
+        while let Some(effect) = self.core.pop_effect() {
             match effect {
                 Effect::Launch(launch) => self.launched.push(*launch),
-                Effect::Withdraw(id) => self.withdrawn.push(id),
-                Effect::Pull(id) => self.pulls.push(id),
+                Effect::Cancel(id) => self.withdrawn.push(id),
+                Effect::FetchPage(id) => self.pulls.push(id),
                 Effect::Ended { id, ending, .. } => self.ended.push((id, ending)),
-                Effect::Probe(engine, _) => self.core.status(self.now, engine, Some(Load::default())),
+                Effect::Probe(engine, _) => self.core.engine_status(self.now, engine, Some(Load::default())),
                 _ => {}
             }
         }
@@ -103,17 +103,21 @@
         let raw = |text: &str| Rc::<RawValue>::from(RawValue::from_string(text.to_owned()).unwrap());
         let part = Part { bytes: rows.map_or(0, str::len), data: rows.map(raw), ..Part::default() };
         let stats = Stats { state: "RUNNING".into(), ..Stats::default() };
-        self.core.arrived(self.now, id, Arrived { part, stats, last, ..Arrived::default() });
+        self.core.page_received(self.now, id, EnginePage { part, stats, last, ..EnginePage::default() });
         self.collect();
     }
 
     fn error(&mut self, id: AttemptId, error: QueryError) {
-        self.core.arrived(self.now, id, Arrived { last: true, error: Some(error), ..Arrived::default() });
+        self.core.page_received(
+            self.now,
+            id,
+            EnginePage { last: true, error: Some(error), ..EnginePage::default() },
+        );
         self.collect();
     }
 
     fn end(&mut self, id: AttemptId, outcome: Outcome) {
-        self.core.ended(self.now, id, outcome, "for the test");
+        self.core.attempt_failed(self.now, id, outcome, "for the test");
         self.collect();
     }
 
@@ -168,7 +172,7 @@
         let mut bed = Bed::new(1);
         let id = bed.submit(&["notice"]);
         bed.poll(id, 0);
-        bed.core.waits(bed.now, id, true);
+        bed.core.set_waiting(bed.now, id, true);
         let attempt = bed.last();
         if late {
             bed.pass(10 * S);
@@ -194,8 +198,8 @@
     let before = bed.launched.len();
     for _ in 0..60 {
         bed.pass(100 * MS);
-        bed.core.waits(bed.now, id, true);
-        bed.core.waits(bed.now, id, false);
+        bed.core.set_waiting(bed.now, id, true);
+        bed.core.set_waiting(bed.now, id, false);
     }
     assert_eq!(bed.endings(id), ["failed"]);
     assert_eq!(bed.launched.len(), before, "rows that the client has can't begin again");
@@ -227,7 +231,10 @@
         let mut bed = Bed::new(3);
         let id = bed.submit(&["notice"]);
         bed.poll(id, 0);
-        assert!(bed.launched[0].fresh, "a used connection may break without telling whether it was read");
+        assert!(
+            bed.launched[0].new_connection,
+            "a used connection may break without telling whether it was read"
+        );
         let attempt = bed.last();
         bed.end(attempt, outcome);
         assert_eq!(bed.launched.len(), launches, "{outcome:?}");
@@ -346,7 +353,7 @@
     // Polls that wait keep a statement; its deadline ends it all the same.
     let mut bed = Bed::new(1);
     let id = bed.submit(&[]);
-    bed.core.waits(bed.now, id, true);
+    bed.core.set_waiting(bed.now, id, true);
     bed.pass(8 * S);
     assert_eq!(bed.endings(id).len(), 1);
 }
@@ -455,7 +462,10 @@
         bed.poll(id, 0);
     }
     assert!(bed.launched.iter().all(|l| l.engine == "e1"), "where they live");
-    assert!(bed.launched.iter().all(|l| l.fresh), "a used connection may be dead without our knowing");
+    assert!(
+        bed.launched.iter().all(|l| l.new_connection),
+        "a used connection may be dead without our knowing"
+    );
     let named = bed.launched[0].context.transaction.as_deref().unwrap();
     assert!(named.starts_with('s') && named.ends_with("@x"), "the engine hears its own name for it: {named}");
     // Of an engine that is not listed, and of a time that is over: told at once.
@@ -535,24 +545,24 @@
     let mut bed = Bed::new(2);
     bed.submit(&[]);
     let launch = bed.launched.pop().expect("launched");
-    assert!(bed.core.may_go(launch.attempt, &launch.engine));
+    assert!(bed.core.may_send(launch.attempt, &launch.engine));
 
-    bed.core.rules(bed.now, rules(&format!("(engine {} (state draining))", launch.engine)));
+    bed.core.set_rules(bed.now, rules(&format!("(engine {} (state draining))", launch.engine)));
     bed.collect();
-    assert!(!bed.core.may_go(launch.attempt, &launch.engine), "the last look sees the new rules");
+    assert!(!bed.core.may_send(launch.attempt, &launch.engine), "the last look sees the new rules");
     bed.list();
     for _ in 0..6 {
         bed.submit(&[]);
     }
     assert!(bed.launched.iter().all(|l| l.engine != launch.engine) && !bed.launched.is_empty());
 
-    bed.core.rules(bed.now, rules("(class lookup (admit no))"));
+    bed.core.set_rules(bed.now, rules("(class lookup (admit no))"));
     bed.collect();
     let refused = bed.submit(&[]);
     assert!(bed.core.has_ended(refused), "refused at once");
     assert!(bed.ended.contains(&(refused, "refused")), "{:?}", bed.ended);
 
-    bed.core.rules(bed.now, Rules::default());
+    bed.core.set_rules(bed.now, Rules::default());
     bed.collect();
     let again = bed.submit(&[]);
     assert!(!bed.core.has_ended(again));
