--- a/crates/gateway/tests/guarded.rs
+++ b/crates/gateway/tests/guarded.rs
@@ -8,7 +8,7 @@
 use violetward::{Action, Decide, Event, Load, Micros};
 use violetward_custody::{self as custody, Life, Out, StatementKey};
 use violetward_gateway::config;
-use violetward_gateway::core::{Arrived, AttemptId, Core, Effect, StatementId, Submission};
+use violetward_gateway::core::{AttemptId, Core, Effect, EnginePage, StatementId, Submission};
 use violetward_gateway::list;
 use violetward_statement::pages::{Ending, Page, Part, Turn};
 use violetward_statement::results::Stats;
@@ -40,8 +40,8 @@
         let engines = "(engine e0 (address \"127.0.0.1:1\"))\n(engine e1 (address \"127.0.0.1:2\"))";
         let engines = list::parse(engines, &config.names).unwrap().records;
         let mut core = Core::new(&config, "life", 7);
-        core.guard(vec![true, true]);
-        core.listed(1_000 * S, &engines);
+        core.protect_classes(vec![true, true]);
+        core.update_engines(1_000 * S, &engines);
         let mut bed = Bed { core, now: 1_000 * S, effects: Vec::new() };
         bed.collect();
         bed.effects.clear();
@@ -49,9 +49,9 @@
     }
 
     fn collect(&mut self) {
-        while let Some(effect) = self.core.effect() {
+        while let Some(effect) = self.core.pop_effect() {
             match effect {
-                Effect::Probe(engine, _) => self.core.status(self.now, engine, Some(Load::default())),
+                Effect::Probe(engine, _) => self.core.engine_status(self.now, engine, Some(Load::default())),
                 effect => self.effects.push(effect),
             }
         }
@@ -66,7 +66,7 @@
     }
 
     fn followed(&self) -> Vec<String> {
-        self.found(|e| if let Effect::Follow(follow) = e { Some(follow.uri.clone()) } else { None })
+        self.found(|e| if let Effect::Resume(follow) = e { Some(follow.uri.clone()) } else { None })
     }
 
     fn submit(&mut self, tag: &str) -> StatementId {
@@ -82,7 +82,11 @@
         let part = Part { bytes: rows.map_or(0, str::len), data: rows.map(raw), ..Part::default() };
         let next = (!last).then(|| format!("http://e/v1/statement/executing/s/x/{}", page + 1));
         let stats = Stats { state: "RUNNING".into(), ..Stats::default() };
-        self.core.arrived(self.now, id, Arrived { part, stats, last, next, ..Arrived::default() });
+        self.core.page_received(
+            self.now,
+            id,
+            EnginePage { part, stats, last, next_uri: next, ..EnginePage::default() },
+        );
         self.collect();
     }
 
@@ -107,10 +111,10 @@
 
     /// What a guardian of a statement knows of it after an attempt was out.
     fn recorded(&self, id: StatementId) -> custody::Record {
-        let taken = self.core.taken(id).expect("it is protected");
+        let taken = self.core.statement_record(id).expect("it is protected");
         let (attempts, out, passed) = self.core.progress(id).expect("it is protected");
         let key = StatementKey { taken_by: Life { name: "g".into(), life: 1 }, number: id.0 };
-        let (body, repeat, left) = (taken.body, taken.repeat, taken.left);
+        let (body, repeat, left) = (taken.body, taken.repeat, taken.remaining);
         custody::Record { key, version: 2, body, repeat, left, attempts, out, passed, ending: None }
     }
 }
@@ -136,13 +140,13 @@
     let (mut bed, id, _) = running("notice");
     bed.core.cancel(bed.now, id);
     bed.collect();
-    let decides = |e: &Effect| matches!(e, Effect::Decide(..)).then_some(());
+    let decides = |e: &Effect| matches!(e, Effect::RecordEnding(..)).then_some(());
     assert_eq!(bed.found(decides).len(), 1);
     assert!(!bed.core.has_ended(id), "it is told before anybody else knows of it");
     // What comes of the attempt meanwhile takes nothing back.
     bed.arrive(AttemptId(id, 0), 0, Some("[[1]]"), true);
     assert!(!bed.core.has_ended(id));
-    bed.core.decided(bed.now, id);
+    bed.core.ending_recorded(bed.now, id);
     assert!(matches!(bed.page(id, 0, None).unwrap().end, Some(Ending::Cancelled(_))));
 }
 
@@ -183,7 +187,7 @@
 #[test]
 fn an_engine_is_not_asked_on_before_its_rows_have_come() {
     let (mut bed, id, attempt) = running("lookup");
-    let pulls = |bed: &Bed| bed.found(|e| matches!(e, Effect::Pull(_)).then_some(())).len();
+    let pulls = |bed: &Bed| bed.found(|e| matches!(e, Effect::FetchPage(_)).then_some(())).len();
     bed.arrive(attempt, 0, Some("[[1]]"), false);
     bed.page(id, 0, None);
     assert_eq!(pulls(&bed), 0, "the engine would let go of rows that may be lost on their way");
@@ -200,8 +204,8 @@
         let (mut taker, there) = moved(&record);
         if fails {
             assert!(taker.launched().is_empty(), "it is sent a second time");
-            assert_eq!(taker.found(|e| matches!(e, Effect::Decide(..)).then_some(())).len(), 1);
-            taker.core.decided(taker.now, there);
+            assert_eq!(taker.found(|e| matches!(e, Effect::RecordEnding(..)).then_some(())).len(), 1);
+            taker.core.ending_recorded(taker.now, there);
             assert!(matches!(taker.page(there, 0, None).unwrap().end, Some(Ending::Failed(_))));
         } else {
             assert!(taker.launched().is_empty(), "its client may have its end already");
@@ -220,7 +224,7 @@
     record.out.as_mut().unwrap().next = None;
     let (mut taker, there) = moved(&record);
     taker.page(there, 1, first.after);
-    taker.core.decided(taker.now, there);
+    taker.core.ending_recorded(taker.now, there);
     assert!(matches!(taker.page(there, 1, first.after).unwrap().end, Some(Ending::Failed(_))));
 }
 
@@ -228,10 +232,10 @@
 fn what_goes_to_another_gateway_is_let_go_of_without_a_word_to_its_engine() {
     let (mut bed, id, attempt) = running("lookup");
     bed.arrive(attempt, 0, None, false);
-    bed.core.leave(bed.now, id);
+    bed.core.detach(bed.now, id);
     bed.collect();
-    assert_eq!(bed.found(|e| if let Effect::Leave(id) = e { Some(*id) } else { None }), [attempt]);
-    assert!(bed.found(|e| matches!(e, Effect::Withdraw(_)).then_some(())).is_empty());
+    assert_eq!(bed.found(|e| if let Effect::Detach(id) = e { Some(*id) } else { None }), [attempt]);
+    assert!(bed.found(|e| matches!(e, Effect::Cancel(_)).then_some(())).is_empty());
     assert_eq!((bed.core.open(), bed.core.held()), (0, 0));
     bed.arrive(attempt, 1, Some("[[1]]"), true);
     bed.pass(20 * S);
@@ -264,7 +268,7 @@
     let heard = Rc::<RefCell<Vec<Event>>>::default();
     let config = config::parse(SETUP, Path::new(".")).expect("good");
     let mut core = Core::with(&config, "other", Box::new(Ear(heard.clone())));
-    core.guard(vec![true, true]);
+    core.protect_classes(vec![true, true]);
     let mut taker = Bed { core, now: 1_001 * S, effects: Vec::new() };
     let there = taker.core.adopt(taker.now, &record).expect("readable");
     taker.page(there, 0, None);
--- a/crates/gateway/tests/histories.rs
+++ b/crates/gateway/tests/histories.rs
@@ -10,8 +10,8 @@
 use serde_json::value::RawValue;
 use violetward::{Load, Micros, Outcome};
 use violetward_gateway::config::{self, Config};
-use violetward_gateway::core::{Arrived, AttemptId, Core, Effect, Launch, StatementId, Submission};
-use violetward_gateway::list::{self, Record};
+use violetward_gateway::core::{AttemptId, Core, Effect, EnginePage, Launch, StatementId, Submission};
+use violetward_gateway::list::{self, EngineRecord};
 use violetward_session::token::{Key, Keys};
 use violetward_statement::carried::Carried;
 use violetward_statement::pages::{Page, Part, Turn};
@@ -78,7 +78,7 @@
         gateway: usize,
         life: u64,
         id: AttemptId,
-        answer: Result<Box<Arrived>, Outcome>,
+        answer: Result<Box<EnginePage>, Outcome>,
     },
     Wake,
     Act(usize),
@@ -194,7 +194,7 @@
     cores: Vec<Option<Core>>,
     lives: Vec<u64>,
     engines: Vec<Engine>,
-    listed: BTreeMap<String, Record>,
+    listed: BTreeMap<String, EngineRecord>,
     committed: BTreeSet<u64>,
     clients: Vec<Client>,
     /// Transactions as they ended for their clients: writes, and whether they must be there.
@@ -251,7 +251,7 @@
         self.lives[n] += 1;
         let life = format!("g{n}-{}", self.lives[n]);
         let mut core = Core::new(&self.config, &life, self.seed ^ self.lives[n]);
-        core.listed(self.now, &self.listed);
+        core.update_engines(self.now, &self.listed);
         self.cores[n] = Some(core);
         self.collect(n);
     }
@@ -259,7 +259,7 @@
     fn list(&mut self) {
         for n in 0..2 {
             if let Some(core) = &mut self.cores[n] {
-                core.listed(self.now, &self.listed);
+                core.update_engines(self.now, &self.listed);
                 self.collect(n);
             }
         }
@@ -267,7 +267,7 @@
 
     fn collect(&mut self, gateway: usize) {
         let life = self.lives[gateway];
-        while let Some(effect) = self.cores[gateway].as_mut().and_then(Core::effect) {
+        while let Some(effect) = self.cores[gateway].as_mut().and_then(Core::pop_effect) {
             match effect {
                 Effect::Launch(launch) => {
                     let engine: usize = launch.engine[1..].parse().unwrap();
@@ -281,7 +281,7 @@
                     let at = self.now + (1 + self.dice.roll(150)) * MS;
                     self.at(at, What::Work { gateway, life, engine, epoch, launch });
                 }
-                Effect::Pull(id) => {
+                Effect::FetchPage(id) => {
                     // All comes on one page here.
                     let answer = Err(Outcome::Reset);
                     self.at(self.now + MS, What::Answer { gateway, life, id, answer });
@@ -290,9 +290,9 @@
                     let n = self.listed.values().position(|r| r.entry.engine == engine);
                     let up = n.is_some_and(|n| self.engines[n].up);
                     let core = self.cores[gateway].as_mut().unwrap();
-                    core.status(self.now, engine, up.then(Load::default));
+                    core.engine_status(self.now, engine, up.then(Load::default));
                 }
-                Effect::Release { address, inner, .. } => {
+                Effect::ReleaseSession { address, inner, .. } => {
                     let engine = usize::from(address.port()) - 1;
                     if let Some(engine) = self.engines.get_mut(engine) {
                         engine.held.remove(&inner);
@@ -314,7 +314,7 @@
     }
 
     /// What an engine does with a statement: the reference, plain.
-    fn work(&mut self, engine: usize, launch: &Launch) -> Arrived {
+    fn work(&mut self, engine: usize, launch: &Launch) -> EnginePage {
         let epoch = self.engines[engine].epoch.to_string();
         let e = &mut self.engines[engine];
         let mut session = Vec::new();
@@ -413,14 +413,14 @@
         let data = rows
             .map(|r| raw(format!("[{}]", r.iter().map(|n| format!("[{n}]")).collect::<Vec<_>>().join(","))));
         let part = Part { bytes: 1, data, ..Part::default() };
-        Arrived {
+        EnginePage {
             part,
             stats: Stats::default(),
             last: true,
             error,
             session,
             epoch: Some(epoch),
-            ..Arrived::default()
+            ..EnginePage::default()
         }
     }
 
@@ -447,8 +447,8 @@
                 if self.lives[gateway] == life {
                     if let Some(core) = &mut self.cores[gateway] {
                         match answer {
-                            Ok(arrived) => core.arrived(self.now, id, *arrived),
-                            Err(outcome) => core.ended(self.now, id, outcome, "broken"),
+                            Ok(arrived) => core.page_received(self.now, id, *arrived),
+                            Err(outcome) => core.attempt_failed(self.now, id, outcome, "broken"),
                         }
                         self.collect(gateway);
                     }
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use violetward_agreement::{wire, Kept};
-use violetward_gateway::{config, moment, windows};
+use violetward_gateway::{config, timestamp, windows};
 use violetward_store::file::Files;
 use violetward_store::Store;
 use violetward_windows::profile::{Profile, QUARTER, WEEK};
@@ -184,7 +184,7 @@
     let now =
         std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("now").as_micros() as u64;
     let window = |engines: &str, more: &str| {
-        let time = |hours: u64| moment::shown(now + hours * 3_600_000_000);
+        let time = |hours: u64| timestamp::format(now + hours * 3_600_000_000);
         let (from, until) = (time(1), time(2));
         let text = format!("(window w (engines {engines}) (from \"{from}\") (until \"{until}\"){more})\n");
         folder.file("window.lisp", &text)
--- a/crates/lab/src/cluster/windows.rs
+++ b/crates/lab/src/cluster/windows.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use violetward_gateway::moment;
+use violetward_gateway::timestamp;
 use violetward_gateway::windows::Standing;
 use violetward_standin::journal::What;
 use violetward_store::file::Files;
@@ -126,15 +126,15 @@
     let over = |line: &str| {
         let until = line.split("(until \"").nth(1).and_then(|rest| rest.split('"').next());
         let gone = WARM.as_micros() as u64 + 2 * SLACK.as_micros() as u64;
-        until.and_then(moment::read).is_some_and(|until| until + gone <= now)
+        until.and_then(timestamp::parse).is_some_and(|until| until + gone <= now)
     };
     let mut text: String = content.lines().filter(|l| !over(l)).map(|l| format!("{l}\n")).collect();
     let engines: Vec<String> = engines.iter().map(|n| format!("e{n}")).collect();
     text += &format!(
         "(window {name} (engines {}) (from \"{}\") (until \"{}\") (by rig))\n",
         engines.join(" "),
-        moment::shown(from),
-        moment::shown(from + span.as_micros() as u64)
+        timestamp::format(from),
+        timestamp::format(from + span.as_micros() as u64)
     );
     text
 }
--- a/crates/lab/tests/bed/mod.rs
+++ b/crates/lab/tests/bed/mod.rs
@@ -62,7 +62,7 @@
     let bed =
         Rc::new(Bed { executor: executor.clone(), folder, engines: RefCell::new(engines), address, host });
     async_io::block_on(executor.run(async {
-        while bed.host.look(|core| core.engines().count()) < bed.engines.borrow().len() {
+        while bed.host.read_core(|core| core.engines().count()) < bed.engines.borrow().len() {
             sleep(Duration::from_millis(5)).await;
         }
         timeout(Duration::from_secs(60), test(bed.clone())).await.expect("the test hangs");
--- a/crates/lab/tests/sessions.rs
+++ b/crates/lab/tests/sessions.rs
@@ -41,12 +41,12 @@
         assert_eq!(count(&mut caller, "season").await, 12);
         let seen = |bed: &Bed| bed.engines.borrow().iter().map(|e| e.count("season")).collect::<Vec<_>>();
         assert_eq!(seen(&bed), [0, 0, 0], "nothing is seen before the commit");
-        assert_eq!(bed.host.look(|core| core.sessions().0), 1);
+        assert_eq!(bed.host.read_core(|core| core.sessions().0), 1);
         caller.run("COMMIT").await.unwrap();
         let mut after = seen(&bed);
         after.sort_unstable();
         assert_eq!((after, caller.transaction.clone()), (vec![0, 0, 12], None));
-        assert_eq!(bed.host.look(|core| core.sessions()), (0, 0));
+        assert_eq!(bed.host.read_core(|core| core.sessions()), (0, 0));
         caller.run("START TRANSACTION").await.unwrap();
         caller.run("INSERT INTO season VALUES (99, 'b')").await.unwrap();
         caller.run("ROLLBACK").await.unwrap();
@@ -147,7 +147,7 @@
         assert!(message.contains("an open transaction") && message.contains("restarted"), "{message}");
         before.run("ROLLBACK").await.expect("nothing is left of it: that is what was asked for");
         assert_eq!(bed.engine(0).count("season"), 0);
-        assert_eq!(bed.host.look(|core| core.sessions().0), 0);
+        assert_eq!(bed.host.read_core(|core| core.sessions().0), 0);
     });
 }
 
@@ -450,7 +450,7 @@
         bed.write_list(|list| list.truncate(1));
         sleep(MS(200)).await;
         caller.run("SELECT 1").await.expect("on any engine");
-        assert_eq!(bed.host.look(|core| core.sessions()), (0, 0));
+        assert_eq!(bed.host.read_core(|core| core.sessions()), (0, 0));
     });
 }
 
--- a/crates/lab/tests/sockets.rs
+++ b/crates/lab/tests/sockets.rs
@@ -175,7 +175,7 @@
         let posted = bed.post(&mut c, "SELECT 1 /*sim work=2500*/", "lookup").await;
         bed.get(&mut c, &posted.next_uri.unwrap()).await;
         drop(c);
-        while bed.host.look(|core| core.counts.abandoned) == 0 {
+        while bed.host.read_core(|core| core.counts.abandoned) == 0 {
             sleep(Duration::from_millis(20)).await;
         }
         let cancelled = |l: &journal::Line| matches!(&l.what, What::Over { how, .. } if how == "cancelled");
@@ -295,7 +295,7 @@
         }
         let mut c = bed.connect().await;
         let page = bed.get(&mut c, "/metrics").await;
-        assert_eq!(page.headers.get("content-type"), Some(violetward_gateway::metrics::TYPE));
+        assert_eq!(page.headers.get("content-type"), Some(violetward_gateway::metrics::CONTENT_TYPE));
         let text = String::from_utf8(page.body).unwrap();
         for line in [
             "# TYPE violetward_statements_ended counter",
@@ -635,7 +635,7 @@
         let config = violetward_gateway::config::parse(&text, &bed.folder).expect("good");
         let module = violetward::Gateway::new(config.settings.clone(), 5);
         let (host, address) = service::start(config, Box::new(module), bed.executor.clone()).unwrap();
-        let engines = || host.look(|core| core.engines().map(|r| r.name.clone()).collect::<Vec<_>>());
+        let engines = || host.read_core(|core| core.engines().map(|r| r.name.clone()).collect::<Vec<_>>());
         let until = |names: &'static [&'static str]| {
             let engines = &engines;
             async move {
@@ -737,7 +737,7 @@
         let mut other = KernelClient::connect(&file).await.unwrap();
         assert_eq!(other.run(&lookup("SELECT id FROM players LIMIT 2")).await.unwrap().rows.len(), 2);
         // The engine counts its effect before the gateway has its answer.
-        let is_over = || bed.effects() > 0 && bed.host.look(|core| core.open()) == 0;
+        let is_over = || bed.effects() > 0 && bed.host.read_core(|core| core.open()) == 0;
         for _ in 0..300 {
             if is_over() {
                 break;
@@ -745,7 +745,7 @@
             sleep(Duration::from_millis(10)).await;
         }
         assert_eq!((bed.effects(), bed.got()), (1, 2), "the cell ran to its end, once");
-        assert_eq!(bed.host.look(|core| core.open()), 0);
+        assert_eq!(bed.host.read_core(|core| core.open()), 0);
     });
 }
 
