--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -1,9 +1,11 @@
-//! The core: the state machine between fronts, the decision module and engine connections. Free of I/O and clock.
+//! The state machine between the client-facing fronts, the decision module and the engine connections. It
+//! performs no I/O and reads no clock.
 //!
-//! Fronts hand statements in ([`Core::submit`]) and ask for pages ([`Core::page`]); engine connections tell what came
-//! of attempts ([`Core::arrived`], [`Core::ended`]); the host passes the time ([`Core::wake`]) and carries out the
-//! [`Effect`]s. Everything that is decided about routing, admission, attempts and health is decided by the module's
-//! `Gateway`; the core turns events of sockets into its events and its actions into effects, and keeps pages.
+//! Fronts submit statements ([`Core::submit`]) and request pages ([`Core::page`]). Engine connections report
+//! pages and failures of attempts ([`Core::page_received`], [`Core::attempt_failed`]). The host advances the
+//! time ([`Core::wake`]) and carries out the [`Effect`]s. Routing, admission, retries and engine health are
+//! decided by the decision module ([`Decide`]); the core translates between its events and actions and those
+//! of the host, and buffers result pages.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -42,131 +44,135 @@
 
 pub use violetward::Decide;
 
-/// A statement in this gateway.
+/// Number of a statement in this gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StatementId(pub u64);
 
-/// An attempt: its statement and its number, from 0.
+/// Number of an attempt: its statement and its index, starting at 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub StatementId, pub u32);
 
-/// A statement as a front hands it in.
+/// A statement submitted by a front.
 #[derive(Debug, Clone, Default)]
 pub struct Submission {
-    /// A public name that is used nowhere else, for engines and logs.
+    /// Unique public id, used towards engines and in logs.
     pub public_id: String,
-    /// The text.
+    /// Text of the statement.
     pub text: String,
-    /// What its client says about it.
+    /// Client settings that came with the statement.
     pub context: Context,
 }
 
-/// An attempt to be made.
+/// An attempt to start on an engine.
 #[derive(Debug, Clone)]
 pub struct Launch {
-    /// Which one.
+    /// The attempt.
     pub attempt: AttemptId,
-    /// Name and address of the engine.
+    /// Name of the engine.
     pub engine: String,
-    /// See `engine`.
+    /// Address of the engine.
     pub address: SocketAddr,
-    /// The text.
+    /// Text of the statement.
     pub text: Rc<str>,
-    /// What travels with it, terms of the attempt included.
+    /// Settings to send along, including the memory grant and the priority of this attempt.
     pub context: Context,
-    /// When it is given up.
+    /// Time at which the attempt is given up.
     pub deadline: Micros,
-    /// A connection that has been used before must not be taken: if it broke, it would not be known whether the
-    /// statement was read.
+    /// Requires a new connection. If a reused connection breaks, it is not known whether the engine has read
+    /// the statement.
     pub new_connection: bool,
 }
 
-/// Something for the host to carry out, in order.
+/// An operation that the host carries out. Effects are carried out in order.
 #[derive(Debug, Clone)]
 pub enum Effect {
-    /// Begin an attempt.
+    /// Starts an attempt.
     Launch(Box<Launch>),
-    /// The attempt may ask its engine for one more page.
+    /// Lets the attempt request one more page from its engine.
     FetchPage(AttemptId),
-    /// Stop the attempt, and its work where the engine heeds that. Nothing more is heard of it.
+    /// Cancels the attempt, and its work on the engine if cancellation is enabled. Nothing more is reported
+    /// about it.
     Cancel(AttemptId),
-    /// Go on with what another gateway began: ask its engine for the next page.
+    /// Continues an attempt that another gateway started, by requesting its next page from the engine.
     Resume(Box<ResumedAttempt>),
-    /// Stop the attempt; its work at the engine goes on, for another gateway.
+    /// Stops the attempt here but leaves its work on the engine running, for another gateway.
     Detach(AttemptId),
-    /// A statement has been taken that is to outlive this gateway.
+    /// A statement was accepted that other gateways must be able to take over.
     Protect(StatementId),
-    /// What is known of such a statement has changed.
+    /// The progress of a protected statement has changed.
     ProgressChanged(StatementId),
-    /// This end was decided here after an attempt was out: it is told once it is recorded, see [`Core::decided`].
+    /// Records an ending that this gateway decided after an attempt was started. The client gets it once it
+    /// is recorded, see [`Core::ending_recorded`].
     RecordEnding(StatementId, Ending),
-    /// Nobody will come back for such a statement.
+    /// The record of a protected statement is no longer needed: no client will ask for the statement again.
     ReleaseRecord(StatementId),
-    /// Such a statement is not known here any more.
+    /// A protected statement has been removed from this gateway.
     Removed(StatementId),
-    /// Ask an engine for its status.
+    /// Requests the status of an engine.
     Probe(EngineId, SocketAddr),
-    /// An engine holds what nobody will come back for: a transaction to be rolled back, or temporary tables to be dropped.
+    /// Releases a session that no client uses any more: rolls back its transaction or drops its temporary
+    /// tables.
     ReleaseSession {
-        /// Where.
+        /// Address of the engine.
         address: SocketAddr,
-        /// Its name there.
+        /// The engine's id of the session.
         inner: String,
-        /// It holds a transaction.
+        /// Whether the session has an open transaction.
         transaction: bool,
     },
-    /// Pollers of the statement should look again.
+    /// Wakes the pollers of the statement.
     NotifyPollers(StatementId),
-    /// The module has something to say.
+    /// A log message of the decision module.
     Log(String),
-    /// A statement has ended; for logs and counts.
+    /// A statement has ended. For logging and counting.
     Ended {
-        /// The statement and its public name.
+        /// The statement.
         id: StatementId,
-        /// See `id`.
+        /// Public id of the statement.
         public_id: String,
-        /// Name of its class.
+        /// Name of the statement's class.
         class: String,
-        /// Attempts made.
+        /// Number of attempts made.
         attempts: u32,
-        /// How it ended.
+        /// How the statement ended.
         ending: &'static str,
-        /// Time since it was taken.
+        /// Time since the statement was accepted.
         took: Duration,
     },
 }
 
-/// A page of an engine, as a connection read it.
+/// A page of results as read from an engine.
 #[derive(Debug, Clone, Default)]
 pub struct EnginePage {
     /// Columns and rows.
     pub part: Part,
-    /// How it gets on.
+    /// Statistics of the running statement.
     pub stats: Stats,
-    /// There is no next page.
+    /// Whether this is the last page.
     pub last: bool,
-    /// The error that it ended with.
+    /// The error with which the statement ended.
     pub error: Option<QueryError>,
-    /// What a statement that is no query did.
+    /// Type and row count of an update, for statements other than queries.
     pub update: Option<(String, Option<i64>)>,
-    /// Changes of the client's session.
+    /// Headers that change the client's session.
     pub session: Vec<(String, String)>,
-    /// The life of the engine's process, where it tells that.
+    /// Epoch of the engine process, if the engine reports one.
     pub epoch: Option<String>,
-    /// The engine's own address of the next page.
+    /// The engine's URI of the next page.
     pub next_uri: Option<String>,
 }
 
 #[derive(Debug)]
 struct Attempt {
     engine: EngineId,
-    sent: Micros,
+    sent_at: Micros,
     deadline: Micros,
-    /// The connection waits for leave to fetch the next page.
+    /// The connection waits for permission to fetch the next page.
     paused: bool,
     last_answer: Micros,
+    /// Last reported progress: whether it waited for memory, and the percentage done.
     last_progress: (bool, u64),
-    /// The engine's own address of the next page.
+    /// The engine's URI of the next page.
     next_uri: Option<String>,
 }
 
@@ -175,43 +181,50 @@
     text: Rc<str>,
     context: Context,
     class: usize,
-    accepted: Micros,
+    accepted_at: Micros,
     deadline: Micros,
-    /// Terms for the next attempt: memory in megabytes and priority.
+    /// Memory grant in megabytes and priority of the next attempt.
     grant: (f64, u8),
+    /// Number of attempts started.
     attempts: u32,
-    current: Option<u32>,
+    /// Index of the running attempt.
+    current_attempt: Option<u32>,
     pages: Pages,
-    /// The last sign of its client, and polls that wait now.
+    /// Time of the client's last poll.
     last_poll: Micros,
+    /// Number of polls that are waiting now.
     waiting_polls: u32,
-    /// The current attempt belongs to the client: it can be neither repeated nor timed out.
+    /// Rows of the current attempt have been sent to the client, so that it can be neither repeated nor timed
+    /// out.
     rows_sent: bool,
-    /// What the last failed attempt said, for people.
+    /// Error message of the last failed attempt.
     last_error: Option<String>,
-    /// Begun on the client's first poll, not when posted.
+    /// The statement starts on the client's first poll, not when it is posted.
     pending: bool,
-    /// What it has to do with a session that lives on one engine.
+    /// How the statement uses a session that is bound to one engine.
     session_use: Option<Box<SessionUse>>,
-    /// Its session is rebuilt first: what is left to do.
+    /// The remaining work if its session has to be rebuilt first.
     rebuild: Option<Box<Rebuild>>,
-    /// It is a step of the rebuilding for that statement.
+    /// The client's statement for which this one is a step of the session's rebuilding.
     step_for: Option<StatementId>,
-    /// What it takes to outlive this gateway.
+    /// State of a statement that other gateways can take over.
     protection: Option<Box<Protection>>,
 }
 
-/// A session that is rebuilt before a statement can run in it.
+/// The rebuilding of a session before a statement can run in it.
 #[derive(Debug, Default)]
 struct Rebuild {
     remaining_statements: VecDeque<String>,
     steps_done: u32,
+    /// Token of the new session, once a step has opened it.
     token: Option<String>,
 }
 
-/// A step of a rebuilding that has ended.
-struct Step {
+/// A finished step of the rebuilding of a session.
+struct FinishedStep {
+    /// The statement whose session is rebuilt.
     client: StatementId,
+    /// The statement that was the step.
     step: StatementId,
     error: Option<String>,
     token: Option<String>,
@@ -222,105 +235,115 @@
     Module(u64),
     Attempt(AttemptId),
     Client(StatementId),
-    Overdue(StatementId),
+    Deadline(StatementId),
     Stream(AttemptId),
     ReleaseRecord(StatementId),
 }
 
-/// Counts of what has happened, for the operators.
+/// Counters since the start, for the operators.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Statements taken.
+    /// Statements accepted.
     pub taken: u64,
-    /// Ended well.
+    /// Statements that succeeded.
     pub served: u64,
-    /// Ended by an engine's verdict on the statement itself.
+    /// Statements that an engine rejected as invalid.
     pub declined: u64,
-    /// Refused.
+    /// Statements refused.
     pub refused: u64,
-    /// Failed.
+    /// Statements that failed.
     pub failed: u64,
-    /// Cancelled by clients.
+    /// Statements cancelled by their clients.
     pub cancelled: u64,
-    /// Let go since their clients had stopped polling.
+    /// Statements dropped because their clients stopped polling.
     pub abandoned: u64,
-    /// Attempts sent.
+    /// Attempts sent to engines.
     pub attempts: u64,
-    /// Statements that the module had not ended by their deadline: always 0, or there is a fault.
+    /// Statements that the decision module did not end by their deadline. Anything but 0 is a bug.
     pub overdue: u64,
-    /// Statements taken over from other gateways, and left to them.
+    /// Statements taken over from other gateways.
     pub adopted: u64,
-    /// See `adopted`.
+    /// Statements handed over to other gateways.
     pub handed_over: u64,
 }
 
-/// The state machine. See the module's documentation.
+/// The state machine. See the [module documentation](self).
 pub struct Core {
-    gateway: Box<dyn Decide>,
+    decider: Box<dyn Decide>,
     sessions: Sessions,
     limits: HostLimits,
     names: Names,
     selection: Selection,
     classes: Vec<Class>,
+    /// Estimated work requested since the start, by class, in core milliseconds.
     offered_work: Vec<f64>,
+    /// Whether memory grants and priorities are sent to engines.
     grants: bool,
     priorities: bool,
-    /// What is seen of engines and clients, where sites are watched.
+    /// What is observed of engines and clients, if sites are monitored.
     observations: Option<Box<observations::Observations>>,
-    /// Classes whose statements are to outlive this gateway.
+    /// By class: whether other gateways must be able to take over its statements.
     protected_classes: Vec<bool>,
-    /// Who this is, for the keys of repeats.
-    life: String,
+    /// Name of this gateway process. Part of the keys under which engines recognise repeats.
+    instance: String,
     statements: HashMap<StatementId, Statement>,
     attempts: HashMap<AttemptId, Attempt>,
+    /// Engines by id, as last listed.
     records: BTreeMap<EngineId, EngineRecord>,
-    /// The settings as configured, the rules that narrow them, and the list as it was last told.
+    /// The settings before the agreed rules narrow them.
     configured: violetward::Settings,
+    /// The agreed rules in force.
     rules: Rules,
+    /// Engines by name, as last listed.
     engine_list: BTreeMap<String, EngineRecord>,
-    /// What other gateways' lists say of engines: in which life at the latest, and their state.
+    /// States of engines according to the lists of other gateways, by name, with the start time of the engine
+    /// process that they refer to.
     remote_states: BTreeMap<String, (Micros, violetward::Listed)>,
     timers: BTreeSet<(Micros, Timer)>,
     next_id: u64,
+    /// Number of statements that have not ended.
     open: usize,
     effects: VecDeque<Effect>,
+    /// Events that the decision module has not handled yet.
     events: VecDeque<Event>,
-    finished_steps: VecDeque<Step>,
+    finished_steps: VecDeque<FinishedStep>,
     now: Micros,
-    /// Counts since the start.
+    /// Counters since the start.
     pub counts: Counts,
 }
 
 impl Core {
-    /// A core without engines. `life` names this process and must differ at every start; `seed` feeds the module.
-    pub fn new(config: &Config, life: &str, seed: u64) -> Self {
+    /// Creates a core without engines. `instance` names this process and must differ at every start; `seed`
+    /// seeds the decision module.
+    pub fn new(config: &Config, instance: &str, seed: u64) -> Self {
         let module = Gateway::new(config.settings.clone(), seed);
-        Core::with(config, life, Box::new(module))
+        Core::with(config, instance, Box::new(module))
     }
 
-    /// A core with another decider than the module, for experiments.
-    pub fn with(config: &Config, life: &str, gateway: Box<dyn Decide>) -> Self {
+    /// Creates a core with another decision module, for experiments.
+    pub fn with(config: &Config, instance: &str, decider: Box<dyn Decide>) -> Self {
         let settings = config.settings.clone();
         let terms = &config.sessions;
         let keys = terms.keys.clone().unwrap_or_else(|| {
-            // Of this process alone: its sessions end with it.
-            let mut secret = life.as_bytes().to_vec();
+            // Without configured keys, tokens are signed with a key of this process, and sessions end with
+            // it.
+            let mut secret = instance.as_bytes().to_vec();
             secret.resize(secret.len().max(16), b'.');
             Keys::new(vec![Key { name: "process".into(), secret }]).expect("a word and sixteen bytes")
         });
         Core {
-            sessions: Sessions::new(terms.limits.clone(), terms.reserve, keys, life, 0),
+            sessions: Sessions::new(terms.limits.clone(), terms.reserve, keys, instance, 0),
             offered_work: vec![0.0; settings.classes.len()],
             classes: settings.classes.clone(),
             observations: None,
             protected_classes: vec![false; settings.classes.len()],
             grants: settings.grants,
             priorities: settings.priorities,
-            gateway,
+            decider,
             limits: config.host.clone(),
             names: config.names.clone(),
             selection: config.selection.clone(),
-            life: life.to_owned(),
+            instance: instance.to_owned(),
             statements: HashMap::new(),
             attempts: HashMap::new(),
             records: BTreeMap::new(),
@@ -339,43 +362,43 @@
         }
     }
 
-    /// The next effect to be carried out.
+    /// Removes and returns the next effect to carry out.
     pub fn pop_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
-    /// When [`Core::wake`] should be called next.
+    /// Time at which [`Core::wake`] should be called next.
     pub fn next_wake(&self) -> Option<Micros> {
-        let own = self.timers.first().map(|t| t.0);
-        own.into_iter().chain(self.sessions.next_wake()).min()
+        let first_timer = self.timers.first().map(|t| t.0);
+        first_timer.into_iter().chain(self.sessions.next_wake()).min()
     }
 
-    /// Sessions that live on engines, and how many were lost so far.
+    /// Number of sessions bound to engines, and of sessions lost since the start.
     pub fn sessions(&self) -> (usize, u64) {
         (self.sessions.len(), self.sessions.lost)
     }
 
-    /// Signs and believes tokens of sessions by these keys from now on.
+    /// Sets the keys that sign and verify session tokens.
     pub fn set_keys(&mut self, keys: Keys) {
         self.sessions.set_keys(keys);
     }
 
-    /// The number that the next statement gets.
+    /// Number of the next statement.
     pub fn next_number(&self) -> u64 {
         self.next_id
     }
 
-    /// Statements that have not ended.
+    /// Number of statements that have not ended.
     pub fn open(&self) -> usize {
         self.open
     }
 
-    /// Statements of which something is still held, ended ones included.
+    /// Number of statements kept, including ended ones.
     pub fn held(&self) -> usize {
         self.statements.len()
     }
 
-    /// Statements whose clients have not taken the end yet.
+    /// Number of statements whose clients have not received the end yet.
     pub fn undelivered(&self) -> usize {
         self.statements.values().filter(|s| !s.pages.is_over()).count()
     }
--- a/crates/gateway/src/core/attempts.rs
+++ b/crates/gateway/src/core/attempts.rs
@@ -1,75 +1,79 @@
-//! What comes from engine connections: news and ends of attempts.
+//! Handling of what engine connections report: pages and ends of attempts.
 
 use super::*;
 
 impl Core {
-    /// A page of an engine has come.
-    pub fn page_received(&mut self, now: Micros, id: AttemptId, mut arrived: EnginePage) {
+    /// Handles a page received from an engine.
+    pub fn page_received(&mut self, now: Micros, id: AttemptId, mut page: EnginePage) {
         self.advance_to(now);
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
         attempt.last_answer = now;
-        attempt.paused = !arrived.last;
-        // The last page can still be asked for by the address that it came from.
-        attempt.next_uri = arrived.next_uri.clone().or(attempt.next_uri.take());
-        arrived.part.next = arrived.next_uri.as_deref().and_then(protection::page_number);
+        attempt.paused = !page.last;
+        // The last page can still be requested under the URI it was fetched from.
+        attempt.next_uri = page.next_uri.clone().or(attempt.next_uri.take());
+        page.part.next = page.next_uri.as_deref().and_then(protection::page_number);
         let engine = attempt.engine;
         self.observations.iter_mut().for_each(|s| s.engine_answered(engine));
-        if let Some(epoch) = &arrived.epoch {
+        if let Some(epoch) = &page.epoch {
             self.engine_epoch(now, engine, epoch);
         }
-        let Some(s) = self.statements.get_mut(&id.0).filter(|s| s.current == Some(id.1)) else { return };
-        s.pages.stats = arrived.stats.clone();
-        if let Some(why) = self.read_session(id.0, engine, &mut arrived) {
-            self.finish(id.0, why);
+        let Some(s) = self.statements.get_mut(&id.0).filter(|s| s.current_attempt == Some(id.1)) else {
+            return;
+        };
+        s.pages.stats = page.stats.clone();
+        if let Some(ending) = self.read_session(id.0, engine, &mut page) {
+            self.finish(id.0, ending);
             self.effects.push_back(Effect::Cancel(id));
             return self.close_attempt(id, Outcome::Cancelled, true, None);
         }
         if self.statements.get(&id.0).is_some_and(|s| s.session_use.is_some()) {
-            // It has become part of a session, which lives here alone.
+            // The statement now belongs to a session, which exists only in this gateway's table, so that no
+            // other gateway can take it over.
             self.release_record(id.0);
         }
         let Some(s) = self.statements.get_mut(&id.0) else { return };
-        if let Some(error) = arrived.error {
-            let (outcome, what) = classify_error(&error);
+        if let Some(error) = page.error {
+            let (outcome, error_name) = classify_error(&error);
             if outcome == Outcome::Declined {
                 self.finish(id.0, Ending::Declined(error));
-                return self.close_attempt(id, outcome, true, Some(&arrived.stats));
+                return self.close_attempt(id, outcome, true, Some(&page.stats));
             }
-            let text = format!("engine {}: {}", self.engine_name(engine), error.message);
-            return self.fail_attempt(id, outcome, what, text);
+            let message = format!("engine {}: {}", self.engine_name(engine), error.message);
+            return self.fail_attempt(id, outcome, error_name, message);
         }
-        s.pages.push(arrived.part);
-        if let Some(update) = arrived.update {
+        s.pages.push(page.part);
+        if let Some(update) = page.update {
             s.pages.update = Some(update);
         }
-        s.pages.session.extend(arrived.session);
-        if arrived.last {
+        s.pages.session.extend(page.session);
+        if page.last {
             self.finish(id.0, Ending::Served);
-            return self.close_attempt(id, Outcome::Ok, true, Some(&arrived.stats));
+            return self.close_attempt(id, Outcome::Ok, true, Some(&page.stats));
         }
         self.effects.push_back(Effect::NotifyPollers(id.0));
         self.progress_changed(id.0);
-        self.report_progress(id, &arrived.stats);
+        self.report_progress(id, &page.stats);
         self.fetch_page(id.0);
         self.process_events();
     }
 
-    /// Reads what an engine says of a session. An ending if that could not be kept.
+    /// Processes the session headers of a page. Returns how the statement ends if the session could not be
+    /// kept.
     pub(super) fn read_session(
         &mut self,
         id: StatementId,
         engine: EngineId,
-        arrived: &mut EnginePage,
+        page: &mut EnginePage,
     ) -> Option<Ending> {
-        if arrived.session.is_empty() {
+        if page.session.is_empty() {
             return None;
         }
         let s = self.statements.get_mut(&id)?;
         let record = self.records.get(&engine);
         let name = record.map_or("", |r| r.name.as_str());
-        let epoch = arrived.epoch.clone().unwrap_or_default();
-        let (user, headers) = (s.context.user.clone(), &mut arrived.session);
-        let read = self.sessions.read_answer(
+        let epoch = page.epoch.clone().unwrap_or_default();
+        let (user, headers) = (s.context.user.clone(), &mut page.session);
+        let result = self.sessions.read_answer(
             self.now,
             id.0,
             &mut s.session_use,
@@ -78,7 +82,7 @@
             &epoch,
             headers,
         );
-        let (full, binding) = read.err()?;
+        let (full, binding) = result.err()?;
         let address = record?.address;
         let transaction = binding.holds.transaction;
         self.effects.push_back(Effect::ReleaseSession { address, inner: binding.inner, transaction });
@@ -88,14 +92,15 @@
         )))
     }
 
-    /// An engine tells the life of its process; what its former one held is lost.
+    /// Handles the epoch of an engine process. Sessions of an earlier epoch are lost.
     pub fn engine_epoch(&mut self, now: Micros, engine: EngineId, epoch: &str) {
         self.advance_to(now);
         let lost = self.sessions.engine_epoch(self.now, engine, epoch);
         self.sessions_lost(lost);
     }
 
-    /// A client that carried these tokens has left for good: its session ends, and the engine is told.
+    /// Ends the sessions of these tokens, whose client has disconnected for good, and releases them on their
+    /// engines.
     pub fn release_sessions(&mut self, now: Micros, user: &str, tokens: &[&str]) {
         self.advance_to(now);
         for token in tokens {
@@ -105,7 +110,7 @@
         }
     }
 
-    /// Sessions are lost: statements of them that run end now, and what engines may still hold is freed.
+    /// Ends the running statements of lost sessions and releases what engines may still hold for them.
     pub(super) fn sessions_lost(&mut self, lost: Vec<Loss>) {
         for loss in lost {
             let engine = EngineId(loss.binding.engine);
@@ -117,11 +122,11 @@
                 }
             }
             let Some(id) = loss.running.map(StatementId) else { continue };
-            let told = self
+            let ending = self
                 .statements
                 .get(&id)
                 .and_then(|s| Some(sessions::loss_ending(s.session_use.as_ref()?, &loss, s.attempts)));
-            if let Some(ending) = told {
+            if let Some(ending) = ending {
                 self.finish(id, ending);
                 self.events.push_back(Event::Lapsed(RequestId(id.0)));
             }
@@ -129,38 +134,38 @@
         self.process_events();
     }
 
-    /// An attempt has ended without an answer.
+    /// Handles an attempt that ended without an answer.
     pub fn attempt_failed(&mut self, now: Micros, id: AttemptId, outcome: Outcome, why: &str) {
         self.advance_to(now);
         let Some(attempt) = self.attempts.get(&id) else { return };
-        let text = format!("engine {}: {why}", self.engine_name(attempt.engine));
-        self.fail_attempt(id, outcome, FAILED, text);
+        let message = format!("engine {}: {why}", self.engine_name(attempt.engine));
+        self.fail_attempt(id, outcome, FAILED, message);
     }
 
-    /// News of an attempt's progress reach the module when they say something new.
+    /// Reports the progress of an attempt to the decision module if it has changed.
     pub(super) fn report_progress(&mut self, id: AttemptId, stats: &Stats) {
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
-        // Only this state tells of the line for memory: a statement just taken is QUEUED too.
+        // Only this state says that the statement waits for memory: a newly accepted one is QUEUED too.
         let waits = stats.state == "WAITING_FOR_RESOURCES";
-        let done = stats.progress_percentage.unwrap_or(0.0).clamp(0.0, 100.0);
+        let percent = stats.progress_percentage.unwrap_or(0.0).clamp(0.0, 100.0);
         let note = if waits {
             Note::WaitsForMemory
         } else if stats.progress_percentage.is_some() {
-            Note::Progress(done / 100.0)
+            Note::Progress(percent / 100.0)
         } else {
             return;
         };
-        let seen = (waits, done as u64);
-        if std::mem::replace(&mut attempt.last_progress, seen) != seen {
+        let progress = (waits, percent as u64);
+        if std::mem::replace(&mut attempt.last_progress, progress) != progress {
             self.events.push_back(Event::Note { id: RequestId(id.0 .0), attempt: id.1, note });
         }
     }
 
-    /// Lets the connection go on while the client's buffer has room.
+    /// Lets the connection fetch the next page if the client's buffer has room.
     pub(super) fn fetch_page(&mut self, id: StatementId) {
         let Some(s) = self.statements.get(&id) else { return };
-        let (Some(number), true) = (s.current, s.pages.held() < self.limits.buffer) else { return };
-        // What was read ahead would be lost with this gateway.
+        let (Some(number), true) = (s.current_attempt, s.pages.held() < self.limits.buffer) else { return };
+        // Pages read ahead would be lost with this gateway.
         if s.protection.is_some() && !s.pages.may_advance() {
             return;
         }
@@ -171,26 +176,35 @@
         }
     }
 
-    /// An attempt failed. Where rows of it have reached the client, the statement has failed with it; else the
-    /// module is asked what to do.
-    pub(super) fn fail_attempt(&mut self, id: AttemptId, outcome: Outcome, name: &str, why: String) {
-        let mut over = false;
-        if let Some(s) = self.statements.get_mut(&id.0).filter(|s| s.current == Some(id.1)) {
+    /// Handles a failed attempt. If rows of it have reached the client, the statement fails too; otherwise
+    /// the decision module decides what to do.
+    pub(super) fn fail_attempt(
+        &mut self,
+        id: AttemptId,
+        outcome: Outcome,
+        error_name: &str,
+        message: String,
+    ) {
+        let mut complete = false;
+        if let Some(s) = self.statements.get_mut(&id.0).filter(|s| s.current_attempt == Some(id.1)) {
             if s.rows_sent {
-                over = true;
+                complete = true;
                 self.finish(
                     id.0,
-                    Ending::Failed(QueryError::failed(name, &format!("{why}, after rows had been sent"))),
+                    Ending::Failed(QueryError::failed(
+                        error_name,
+                        &format!("{message}, after rows had been sent"),
+                    )),
                 );
             } else {
                 s.pages.restart();
-                s.last_error = Some(why);
+                s.last_error = Some(message);
             }
         }
-        self.close_attempt(id, outcome, over, None);
+        self.close_attempt(id, outcome, complete, None);
     }
 
-    /// Tells the module how an attempt ended, and forgets it.
+    /// Removes an attempt and reports its outcome to the decision module.
     pub(super) fn close_attempt(
         &mut self,
         id: AttemptId,
@@ -200,19 +214,20 @@
     ) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         self.timers.remove(&(attempt.deadline, Timer::Attempt(id)));
-        if let Some(s) = self.statements.get_mut(&id.0).filter(|s| s.current == Some(id.1)) {
-            s.current = None;
+        if let Some(s) = self.statements.get_mut(&id.0).filter(|s| s.current_attempt == Some(id.1)) {
+            s.current_attempt = None;
         }
         self.record_attempt_end(id, &attempt, outcome);
         self.observe_attempt_end(id, attempt.engine, outcome, stats);
-        let told = stats.filter(|_| outcome == Outcome::Ok);
-        let work = told.map(|s| s.cpu_time_millis * 1000).filter(|&w| w > 0);
-        let memory_mb = told.map(|s| s.peak_memory_bytes as f64 / f64::from(1 << 20)).filter(|&m| m > 0.0);
+        let reported = stats.filter(|_| outcome == Outcome::Ok);
+        let work = reported.map(|s| s.cpu_time_millis * 1000).filter(|&w| w > 0);
+        let memory_mb =
+            reported.map(|s| s.peak_memory_bytes as f64 / f64::from(1 << 20)).filter(|&m| m > 0.0);
         self.events.push_back(Event::Answer(Answer {
             id: RequestId(id.0 .0),
             attempt: id.1,
             outcome,
-            took: self.now.saturating_sub(attempt.sent),
+            took: self.now.saturating_sub(attempt.sent_at),
             complete,
             work,
             memory_mb,
@@ -226,7 +241,7 @@
     }
 }
 
-/// What an engine's error says: turned away unseen, the statement's own fault, or a failure.
+/// Classifies an engine's error: rejected before execution, invalid statement, or failure.
 fn classify_error(error: &QueryError) -> (Outcome, &'static str) {
     match error.error_type {
         _ if error.error_name == QUEUE_FULL || error.error_name == "SERVER_STARTING_UP" => {
--- a/crates/gateway/src/core/deciding.rs
+++ b/crates/gateway/src/core/deciding.rs
@@ -1,14 +1,15 @@
-//! What the module decides, and what follows from that for statements.
+//! Exchange with the decision module: passing events in and carrying out its actions.
 
 use super::*;
 
 impl Core {
-    /// Passes what has happened to the module, and carries its actions over into effects, until nothing is left.
+    /// Passes all pending events to the decision module and turns its actions into effects, until nothing is
+    /// pending.
     pub(super) fn process_events(&mut self) {
         let mut actions = Vec::new();
         loop {
             if let Some(event) = self.events.pop_front() {
-                self.gateway.handle(self.now, event, &mut actions);
+                self.decider.handle(self.now, event, &mut actions);
                 for action in std::mem::take(&mut actions) {
                     self.apply_action(action);
                 }
@@ -20,6 +21,7 @@
         }
     }
 
+    /// Carries out one action of the decision module.
     pub(super) fn apply_action(&mut self, action: Action) {
         match action {
             Action::Dispatch { id, engine, until } => self.launch(StatementId(id.0), engine, until),
@@ -44,7 +46,9 @@
                 let id = AttemptId(StatementId(id.0), attempt);
                 if self.attempts.contains_key(&id) {
                     self.effects.push_back(Effect::Cancel(id));
-                    if let Some(s) = self.statements.get_mut(&id.0).filter(|s| s.current == Some(attempt)) {
+                    if let Some(s) =
+                        self.statements.get_mut(&id.0).filter(|s| s.current_attempt == Some(attempt))
+                    {
                         s.pages.restart();
                     }
                     self.close_cancelled(id);
@@ -60,18 +64,19 @@
         }
     }
 
-    /// The answer to a cancelled attempt, after the actions of this event.
+    /// Removes a cancelled attempt and queues its answer, to be handled after the remaining actions of the
+    /// current event.
     pub(super) fn close_cancelled(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         self.timers.remove(&(attempt.deadline, Timer::Attempt(id)));
-        if let Some(s) = self.statements.get_mut(&id.0).filter(|s| s.current == Some(id.1)) {
-            s.current = None;
+        if let Some(s) = self.statements.get_mut(&id.0).filter(|s| s.current_attempt == Some(id.1)) {
+            s.current_attempt = None;
         }
         self.events.push_back(Event::Answer(Answer {
             id: RequestId(id.0 .0),
             attempt: id.1,
             outcome: Outcome::Cancelled,
-            took: self.now.saturating_sub(attempt.sent),
+            took: self.now.saturating_sub(attempt.sent_at),
             complete: false,
             work: None,
             memory_mb: None,
@@ -79,23 +84,29 @@
         }));
     }
 
-    pub(super) fn launch(&mut self, id: StatementId, engine: EngineId, until: Micros) {
+    /// Starts an attempt of a statement on an engine.
+    pub(super) fn launch(&mut self, id: StatementId, engine: EngineId, deadline: Micros) {
         let (Some(s), Some(record)) = (self.statements.get_mut(&id), self.records.get(&engine)) else {
             return;
         };
         let number = s.attempts;
         s.attempts += 1;
-        s.current = Some(number);
+        s.current_attempt = Some(number);
         s.pages.restart();
         let attempt = AttemptId(id, number);
         let mut context = s.context.clone();
-        let is_member = s.session_use.is_some();
+        let in_session = s.session_use.is_some();
         if let Some(binding) = s.session_use.as_ref().and_then(|m| m.binding.as_ref()) {
-            // The engine knows its own name for the session, and only that of the life that it was opened in.
-            let named = format!("{}@{}", binding.inner, binding.epoch);
+            // The engine knows the session under its own id, which is valid only in the epoch in which it was
+            // opened.
+            let engine_session = format!("{}@{}", binding.inner, binding.epoch);
             context.transaction = context.transaction.filter(|t| !t.eq_ignore_ascii_case("none"));
-            context.transaction = context.transaction.map(|_| named.clone());
-            context.session.iter_mut().filter(|(n, _)| n == PROPERTY).for_each(|(_, v)| *v = named.clone());
+            context.transaction = context.transaction.map(|_| engine_session.clone());
+            context
+                .session
+                .iter_mut()
+                .filter(|(n, _)| n == PROPERTY)
+                .for_each(|(_, v)| *v = engine_session.clone());
         }
         if context.trace_token.is_none() {
             context.trace_token = Some(s.public_id.clone());
@@ -112,17 +123,18 @@
         if self.priorities {
             set(&self.limits.priority_property, s.grant.1.to_string());
         }
-        set("query_max_run_time", format!("{}ms", until.saturating_sub(self.now) / 1000));
+        set("query_max_run_time", format!("{}ms", deadline.saturating_sub(self.now) / 1000));
         let effect = self.classes[s.class].effect;
         if matches!(effect, violetward::Effect::Keyed { .. }) {
-            // A client's own mark travels, so that its further tries are repeats too, whichever gateway they go through.
-            let mark =
+            // The client's repeat mark is passed on, so that its own retries are recognised as repeats
+            // whichever gateway they go through.
+            let client_mark =
                 s.context.tagged(&self.selection.repeat_tag).map(|m| format!("{}.{m}", s.context.user));
-            let own = || match &s.protection {
+            let generated = || match &s.protection {
                 Some(guard) => guard.mark.clone(),
-                None => format!("{}.{}", self.life, id.0),
+                None => format!("{}.{}", self.instance, id.0),
             };
-            set(&self.limits.repeat_property, mark.unwrap_or_else(own));
+            set(&self.limits.repeat_property, client_mark.unwrap_or_else(generated));
         }
         let launch = Launch {
             attempt,
@@ -130,44 +142,45 @@
             address: record.address,
             text: s.text.clone(),
             context,
-            deadline: until,
-            new_connection: effect != violetward::Effect::Repeatable || is_member,
+            deadline,
+            new_connection: effect != violetward::Effect::Repeatable || in_session,
         };
         self.counts.attempts += 1;
         self.observations
             .iter_mut()
-            .for_each(|sights| sights.attempt_sent(s.class, number, self.now - s.accepted));
-        let (sent, heard) = (self.now, self.now);
+            .for_each(|observations| observations.attempt_sent(s.class, number, self.now - s.accepted_at));
         self.attempts.insert(
             attempt,
             Attempt {
                 engine,
-                sent,
-                deadline: until,
+                sent_at: self.now,
+                deadline,
                 paused: false,
-                last_answer: heard,
+                last_answer: self.now,
                 last_progress: (false, 0),
                 next_uri: None,
             },
         );
-        self.set_timer(until, Timer::Attempt(attempt));
+        self.set_timer(deadline, Timer::Attempt(attempt));
         self.effects.push_back(Effect::Launch(Box::new(launch)));
     }
 
-    /// Fixes a statement's end, once.
+    /// Sets the ending of a statement. Only the first ending counts.
     pub(super) fn finish(&mut self, id: StatementId, ending: Ending) {
         if self.must_record_first(id, &ending) {
             return;
         }
         let Some(s) = self.statements.get_mut(&id) else { return };
         let mut ending = ending;
-        if let (Some(member), None) = (&s.session_use, s.pages.end()) {
-            let asked = (&s.context, &*s.text);
-            let (told, left) =
-                self.sessions.statement_ended(self.now, id.0, member, asked, ending, s.attempts);
-            ending = told;
-            if let Some(record) = left.as_ref().and_then(|l| self.records.get(&EngineId(l.binding.engine))) {
-                let inner = left.map_or_else(String::new, |l| l.binding.inner);
+        if let (Some(session_use), None) = (&s.session_use, s.pages.end()) {
+            let request = (&s.context, &*s.text);
+            let (reported, to_release) =
+                self.sessions.statement_ended(self.now, id.0, session_use, request, ending, s.attempts);
+            ending = reported;
+            if let Some(record) =
+                to_release.as_ref().and_then(|l| self.records.get(&EngineId(l.binding.engine)))
+            {
+                let inner = to_release.map_or_else(String::new, |l| l.binding.inner);
                 self.effects.push_back(Effect::ReleaseSession {
                     address: record.address,
                     inner,
@@ -175,39 +188,41 @@
                 });
             }
         }
-        let word = ending.word();
+        let outcome = ending.word();
         if !s.pages.finish(ending) {
             return;
         }
-        // What has ended before it began does not begin.
+        // A statement that has ended must not start any more.
         s.pending = false;
         if let Some(token) = s.rebuild.as_ref().and_then(|r| r.token.as_ref()) {
             s.pages.session.push(sessions::token_header(token));
         }
         if let Some(client) = s.step_for {
-            let trouble = s.pages.end().and_then(|e| e.error()).map(|e| e.message.clone());
+            let error = s.pages.end().and_then(|e| e.error()).map(|e| e.message.clone());
             let token = sessions::opened_token(&s.pages.session);
-            self.finished_steps.push_back(Step { client, step: id, error: trouble, token });
+            self.finished_steps.push_back(FinishedStep { client, step: id, error, token });
         }
         self.open -= 1;
-        self.timers.remove(&(s.deadline, Timer::Overdue(id)));
+        self.timers.remove(&(s.deadline, Timer::Deadline(id)));
         let counts = &mut self.counts;
-        match word {
+        match outcome {
             "served" => counts.served += 1,
             "declined" => counts.declined += 1,
             "refused" => counts.refused += 1,
             "failed" => counts.failed += 1,
             _ => counts.cancelled += 1,
         }
-        s.pages.stats.elapsed_time_millis = (self.now - s.accepted) / 1000;
-        self.observations.iter_mut().for_each(|sights| sights.statement_ended(s.class, &s.context, word));
+        s.pages.stats.elapsed_time_millis = (self.now - s.accepted_at) / 1000;
+        self.observations
+            .iter_mut()
+            .for_each(|observations| observations.statement_ended(s.class, &s.context, outcome));
         let ended = Effect::Ended {
             id,
             public_id: s.public_id.clone(),
             class: self.names.classes.get(s.class).cloned().unwrap_or_default(),
             attempts: s.attempts,
-            ending: word,
-            took: Duration::from_micros(self.now - s.accepted),
+            ending: outcome,
+            took: Duration::from_micros(self.now - s.accepted_at),
         };
         self.effects.push_back(ended);
         self.effects.push_back(Effect::NotifyPollers(id));
--- a/crates/gateway/src/core/fronts.rs
+++ b/crates/gateway/src/core/fronts.rs
@@ -1,62 +1,70 @@
-//! What fronts pass on: statements, polls, cancellations.
+//! Handling of requests from the fronts: statements, polls and cancellations.
 
 use super::*;
 
 impl Core {
-    /// Takes a statement. What is safe to repeat begins at once; the rest when the first page is asked for: until
-    /// then its client knows no address of it, and might post it again if our answer were lost.
+    /// Accepts a statement. A repeatable statement starts at once, any other when its first page is
+    /// requested: until then the client knows no URI of the statement and might post it again if the answer
+    /// to the post were lost.
     pub fn submit(&mut self, now: Micros, submission: Submission) -> StatementId {
         self.submit_with_protection(now, submission, true)
     }
 
-    /// The same; `guards` if it may be protected.
+    /// Like [`Core::submit`]; `may_protect` says whether other gateways may be made to hold a record of the
+    /// statement.
     pub fn submit_with_protection(
         &mut self,
         now: Micros,
         submission: Submission,
-        guards: bool,
+        may_protect: bool,
     ) -> StatementId {
         self.advance_to(now);
         let id = StatementId(self.next_id);
         self.next_id += 1;
         let class = self.class_of(&submission);
         let give_up = self.classes[class].give_up;
-        let wanted = submission.context.property("query_max_run_time");
-        let wanted =
-            wanted.and_then(violetward_statement::session::duration).map(|d| d.as_micros() as Micros);
-        let due = now.saturating_add(wanted.map_or(give_up, |w| w.min(give_up)));
+        let max_run_time = submission.context.property("query_max_run_time");
+        let max_run_time =
+            max_run_time.and_then(violetward_statement::session::duration).map(|d| d.as_micros() as Micros);
+        let deadline = now.saturating_add(max_run_time.map_or(give_up, |w| w.min(give_up)));
         let admit = self.admit(id, &submission.context, &submission.text);
-        let (mut member, mut ended, mut rebuild) = (None, None, None);
+        let (mut session_use, mut ended, mut rebuild) = (None, None, None);
         match admit {
             Admit::NoSession => {}
-            Admit::InSession(its) => member = Some(its),
+            Admit::InSession(found) => session_use = Some(found),
             Admit::Ended(ending, headers) => ended = Some((ending, headers)),
-            Admit::RebuildFirst(left) => {
-                rebuild = Some(Box::new(Rebuild { remaining_statements: left.into(), ..Rebuild::default() }))
+            Admit::RebuildFirst(statements) => {
+                rebuild =
+                    Some(Box::new(Rebuild { remaining_statements: statements.into(), ..Rebuild::default() }))
             }
         }
-        let rebuilds = rebuild.is_some();
-        // Sessions live on one engine and in one gateway's table.
-        let guards =
-            guards && self.protected_classes[class] && !rebuilds && member.is_none() && ended.is_none();
-        let guard = guards.then(|| Box::new(Protection::new(format!("{}.{}", self.life, id.0))));
-        // What belongs to a session is never repeated behind its client's back.
-        let pending = self.classes[class].effect != violetward::Effect::Repeatable || member.is_some();
-        let pending = pending && !rebuilds;
+        let needs_rebuild = rebuild.is_some();
+        // A session is bound to one engine and known to one gateway only, so its statements cannot be taken
+        // over.
+        let may_protect = may_protect
+            && self.protected_classes[class]
+            && !needs_rebuild
+            && session_use.is_none()
+            && ended.is_none();
+        let protection =
+            may_protect.then(|| Box::new(Protection::new(format!("{}.{}", self.instance, id.0))));
+        // Statements of a session are never repeated without the client's request.
+        let pending = self.classes[class].effect != violetward::Effect::Repeatable || session_use.is_some();
+        let pending = pending && !needs_rebuild;
         let statement = Statement {
-            session_use: member,
+            session_use,
             rebuild,
             step_for: None,
-            protection: guard,
+            protection,
             public_id: submission.public_id,
             text: submission.text.into(),
             context: submission.context,
             class,
-            accepted: now,
-            deadline: due,
+            accepted_at: now,
+            deadline,
             grant: (0.0, 1),
             attempts: 0,
-            current: None,
+            current_attempt: None,
             pages: Pages::default(),
             last_poll: now,
             waiting_polls: 0,
@@ -65,14 +73,14 @@
             pending,
         };
         self.counts.taken += 1;
-        let full = self.open >= self.limits.most_open;
+        let too_many = self.open >= self.limits.most_open;
         self.open += 1;
         self.statements.insert(id, statement);
         self.set_timer(now + self.abandon_after(), Timer::Client(id));
-        if guards && !full {
+        if may_protect && !too_many {
             self.effects.push_back(Effect::Protect(id));
         }
-        if full {
+        if too_many {
             self.finish(id, Ending::Refused(QueryError::refused("too many statements are open here", 1000)));
         } else if let Some((ending, headers)) = ended {
             if let Some(s) = self.statements.get_mut(&id) {
@@ -82,11 +90,11 @@
                 }
             }
             self.finish(id, ending);
-        } else if rebuilds {
-            self.set_timer(due, Timer::Overdue(id));
+        } else if needs_rebuild {
+            self.set_timer(deadline, Timer::Deadline(id));
             self.next_rebuild_step(id);
         } else {
-            self.set_timer(due, Timer::Overdue(id));
+            self.set_timer(deadline, Timer::Deadline(id));
             if !pending {
                 self.begin(id);
             }
@@ -97,16 +105,17 @@
 
     pub(super) fn admit(&mut self, id: StatementId, context: &Context, text: &str) -> Admit {
         let records = &self.records;
-        let named = |name: &str| records.values().find(|r| r.name == name).map(|r| r.entry.engine);
-        self.sessions.admit(self.now, id.0, context, text, named)
+        let engine_by_name = |name: &str| records.values().find(|r| r.name == name).map(|r| r.entry.engine);
+        self.sessions.admit(self.now, id.0, context, text, engine_by_name)
     }
 
-    /// Hands a page out; `patient` if the caller would rather wait than get an empty one.
+    /// Hands out a page. With `patient`, the caller prefers [`Turn::Wait`] over an empty page.
     pub fn page(&mut self, now: Micros, id: StatementId, token: u64, patient: bool) -> Turn {
         self.page_after(now, id, token, None, patient)
     }
 
-    /// The same for a client that says up to which page of the engine it has rows, of whichever gateway it got them.
+    /// Like [`Core::page`]. `after` is the number of the engine page that follows the rows which the client has
+    /// received, from whichever gateway; `None` if it has received none.
     pub fn page_after(
         &mut self,
         now: Micros,
@@ -124,30 +133,30 @@
             self.process_events();
         }
         let Some(statement) = self.statements.get_mut(&id) else { return Turn::Unknown };
-        let before = statement.pages.begun;
+        let had_begun = statement.pages.begun;
         let turn = statement.pages.take(token, !patient);
-        if statement.pages.begun && !before {
+        if statement.pages.begun && !had_begun {
             statement.rows_sent = true;
-            if let Some(attempt) = statement.current {
-                // From here on the rows are the client's: nothing may start again.
+            if let Some(attempt) = statement.current_attempt {
+                // The client has rows of this attempt now, so it must not be restarted.
                 self.events.push_back(Event::Streaming(RequestId(id.0)));
-                let heard = self.attempts.get(&AttemptId(id, attempt)).map_or(now, |a| a.last_answer);
+                let last_answer = self.attempts.get(&AttemptId(id, attempt)).map_or(now, |a| a.last_answer);
                 let idle = self.limits.stream_idle.as_micros() as Micros;
-                self.set_timer(heard + idle, Timer::Stream(AttemptId(id, attempt)));
+                self.set_timer(last_answer + idle, Timer::Stream(AttemptId(id, attempt)));
             }
         }
         if let Turn::Page(page) = &turn {
             self.page_delivered(id, page.end.is_some());
             self.fetch_page(id);
         } else if self.statements.get(&id).is_some_and(|s| s.protection.is_some()) {
-            // That it is asked for says that the page before it has come.
+            // The request for this page confirms that the client has received the one before it.
             self.fetch_page(id);
         }
         self.process_events();
         turn
     }
 
-    /// For how long engines drop repeats of a statement that its client has marked.
+    /// Time for which engines discard repeats of a statement that carries the client's repeat mark.
     pub fn repeat_window(&self, id: StatementId) -> Option<Duration> {
         let s = self.statements.get(&id)?;
         s.context.tagged(&self.selection.repeat_tag)?;
@@ -157,12 +166,12 @@
         }
     }
 
-    /// Whether a statement's end is fixed.
+    /// Whether the ending of a statement is known.
     pub fn has_ended(&self, id: StatementId) -> bool {
         self.statements.get(&id).is_some_and(|s| s.pages.end().is_some())
     }
 
-    /// A poll begins or ends to wait; a client that waits is not let go.
+    /// Records that a poll starts or stops waiting. A client with a waiting poll is not considered gone.
     pub fn set_waiting(&mut self, now: Micros, id: StatementId, waits: bool) {
         self.advance_to(now);
         if let Some(statement) = self.statements.get_mut(&id) {
@@ -172,7 +181,7 @@
         }
     }
 
-    /// The client wants no more.
+    /// Cancels a statement on behalf of its client. Returns whether the statement is known.
     pub fn cancel(&mut self, now: Micros, id: StatementId) -> bool {
         self.advance_to(now);
         let known = self.statements.contains_key(&id);
@@ -185,21 +194,22 @@
         known
     }
 
+    /// The class of the first selector that matches, or the first class.
     pub(super) fn class_of(&self, submission: &Submission) -> usize {
         let context = &submission.context;
-        let word = text::first_word(&submission.text);
-        let any =
-            |list: &[String], found: &dyn Fn(&String) -> bool| list.is_empty() || list.iter().any(found);
-        let fits = self.selection.selectors.iter().find(|s| {
-            any(&s.sources, &|x| *x == context.source)
-                && any(&s.users, &|x| *x == context.user)
-                && any(&s.tags, &|x| context.tags.contains(x))
-                && any(&s.first_words, &|x| *x == word)
+        let first_word = text::first_word(&submission.text);
+        let matches =
+            |list: &[String], test: &dyn Fn(&String) -> bool| list.is_empty() || list.iter().any(test);
+        let selector = self.selection.selectors.iter().find(|s| {
+            matches(&s.sources, &|x| *x == context.source)
+                && matches(&s.users, &|x| *x == context.user)
+                && matches(&s.tags, &|x| context.tags.contains(x))
+                && matches(&s.first_words, &|x| *x == first_word)
         });
-        fits.map_or(0, |s| s.class)
+        selector.map_or(0, |s| s.class)
     }
 
-    /// Tells the module of a statement.
+    /// Reports a statement to the decision module.
     pub(super) fn begin(&mut self, id: StatementId) {
         let Some(s) = self.statements.get_mut(&id) else { return };
         s.pending = false;
@@ -228,8 +238,10 @@
             due: s.deadline.saturating_sub(margin),
         };
         self.offered_work[s.class] += request.cost as f64 / 1e3;
-        let guest =
-            self.observations.as_mut().is_some_and(|sights| sights.request_started(&request, &s.context));
+        let guest = self
+            .observations
+            .as_mut()
+            .is_some_and(|observations| observations.request_started(&request, &s.context));
         let event = match self.request_event(id, request) {
             Event::Request(request) if guest => Event::Guest(request),
             event => event,
--- a/crates/gateway/src/core/protection.rs
+++ b/crates/gateway/src/core/protection.rs
@@ -1,11 +1,11 @@
-//! Statements that outlive their gateway: what the core tells of one, how it takes one over, and how it lets go of one. Which
-//! gateway holds a statement is decided elsewhere, by `violetward-custody`.
+//! Statements that other gateways can take over if this one is lost: what the core reports about them, and
+//! how it adopts and hands over one. Which gateway holds a statement is decided by `violetward-custody`.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 use violetward::{
-    AdoptedAttempt, Answer, Effect as Repeats, Event, Load, Micros, Outcome, Request, RequestId,
+    AdoptedAttempt, Answer, Effect as RepeatEffect, Event, Load, Micros, Outcome, Request, RequestId,
 };
 use violetward_custody as custody;
 use violetward_statement::http::Headers;
@@ -15,33 +15,38 @@
 
 use super::{Attempt, AttemptId, Core, Effect, ErrorType, Statement, StatementId, Submission, Timer};
 
-/// How long after its last page was handed out a statement may still be taken over: that page may not have come.
-const AFTER_THE_LAST: Micros = 1_000_000;
+/// Time for which the record of a statement is kept after its last page was handed out: the page may not have
+/// reached the client.
+const RECORD_RETENTION_US: Micros = 1_000_000;
 
-/// An attempt of another gateway that is gone on with.
+/// Least time that an adopted attempt gets.
+const MIN_ADOPTED_ATTEMPT_US: Micros = 1_000_000;
+
+/// An attempt of another gateway to be continued here.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResumedAttempt {
-    /// Which one.
+    /// The attempt.
     pub attempt: AttemptId,
-    /// Where its engine is.
+    /// Address of its engine.
     pub address: SocketAddr,
-    /// The engine's own address of the page that is needed next.
+    /// The engine's URI of the next page needed.
     pub uri: String,
 }
 
-/// A statement that is to outlive this gateway.
+/// What other gateways keep of a statement, to take it over.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StatementRecord {
-    /// What it takes to begin it anew elsewhere.
+    /// The encoded statement, with everything needed to start it again.
     pub body: Vec<u8>,
-    /// What a repeat may do.
+    /// Whether the statement may be repeated.
     pub repeat: custody::Repeat,
-    /// How long its client still waits.
+    /// Time that is left until the client's deadline.
     pub remaining: Micros,
 }
 
+/// The encoding of a statement in its record.
 #[derive(Serialize, Deserialize)]
-struct Body {
+struct EncodedStatement {
     id: String,
     text: String,
     headers: Vec<(String, String)>,
@@ -49,27 +54,32 @@
     mark: String,
 }
 
+/// Whether the ending of a statement has been recorded.
 #[derive(Debug, Clone, PartialEq)]
 enum EndingRecord {
+    /// There is no ending that has to be recorded.
     None,
-    /// It is being recorded; until then nothing is told.
+    /// The ending is being recorded; the client is not told before.
     Pending(Ending),
+    /// The ending is recorded, or need not be.
     Done,
 }
 
-/// What a statement carries that is to outlive its gateway.
+/// State of a statement that other gateways can take over.
 #[derive(Debug)]
 pub(super) struct Protection {
-    /// The mark of its repeats, the same wherever it goes.
+    /// Mark by which engines recognise repeats. It stays the same on every gateway.
     pub(super) mark: String,
     ending_record: EndingRecord,
-    /// It came from another gateway, and its client has not asked here yet.
+    /// Adopted from another gateway, and its client has not polled here yet.
     awaits_client: bool,
-    /// Another gateway took it: the module has been asked for it once already, there.
+    /// Adopted from another gateway, whose decision module has charged the tenant for it already.
     adopted: bool,
+    /// The attempt to continue at the client's first poll.
     resumption: Option<ResumedAttempt>,
-    /// The attempt that has ended with its rows, or the last one that may have run where a repeat is not harmless.
+    /// The attempt that ended with its rows or, if a repeat is unsafe, the last one that may have run.
     last_run: Option<custody::Out>,
+    /// The record has been released; changes are no longer announced.
     record_released: bool,
 }
 
@@ -86,7 +96,7 @@
         }
     }
 
-    /// It came from another gateway, and its client has not asked here yet.
+    /// Whether it was adopted and its client has not polled here yet.
     pub(super) fn awaits_client(&self) -> bool {
         self.awaits_client
     }
@@ -95,24 +105,24 @@
         matches!(self.ending_record, EndingRecord::Pending(_))
     }
 
-    /// Its client is told nothing any more: what ends it needs no record.
+    /// Ends without recording the ending, because the client is not going to be told.
     pub(super) fn skip_recording(&mut self) {
         self.ending_record = EndingRecord::Done;
     }
 }
 
-/// The number of a page, from an engine's own address of it.
+/// The number of a page, from the engine's URI of it.
 pub(crate) fn page_number(uri: &str) -> Option<u64> {
     uri.rsplit('/').next()?.parse().ok()
 }
 
-/// The engine's address of another page of the same statement.
+/// The engine's URI of another page of the same statement.
 pub(crate) fn with_page_number(uri: &str, page: u64) -> Option<String> {
     let (stem, last) = uri.rsplit_once('/')?;
     last.parse::<u64>().ok().map(|_| format!("{stem}/{page}"))
 }
 
-/// An end, from how it is recorded.
+/// Converts a recorded ending.
 pub(crate) fn ending_from_record(recorded: &custody::Ending) -> Ending {
     match recorded {
         custody::Ending::Refused(why) => Ending::Refused(QueryError::refused(why, 0)),
@@ -123,7 +133,7 @@
     }
 }
 
-/// An end as it is recorded.
+/// Converts an ending to its recorded form.
 pub(crate) fn ending_to_record(ending: &Ending) -> custody::Ending {
     let why = ending.error().map(|e| e.message.clone()).unwrap_or_default();
     match ending {
@@ -134,29 +144,30 @@
 }
 
 impl Core {
-    /// Statements of these classes are to outlive this gateway; none unless told.
+    /// Sets by class whether other gateways must be able to take over its statements. Initially no class is
+    /// protected.
     pub fn protect_classes(&mut self, classes: Vec<bool>) {
         self.protected_classes = classes;
         self.protected_classes.resize(self.classes.len(), false);
     }
 
-    /// Whether a repeat of a statement is harmless.
+    /// Whether repeating the statement is harmless.
     pub fn is_repeatable(&self, id: StatementId) -> bool {
         let class = self.statements.get(&id).map(|s| &self.classes[s.class]);
-        class.is_some_and(|c| c.effect == Repeats::Repeatable)
+        class.is_some_and(|c| c.effect == RepeatEffect::Repeatable)
     }
 
-    /// When the client of a statement stops waiting.
+    /// The deadline of the statement's client.
     pub fn deadline(&self, id: StatementId) -> Option<Micros> {
         self.statements.get(&id).map(|s| s.deadline)
     }
 
-    /// What another gateway needs to know of a statement to begin it anew.
+    /// What another gateway needs to start the statement again.
     pub fn statement_record(&self, id: StatementId) -> Option<StatementRecord> {
         let s = self.statements.get(&id)?;
         let mut headers = Headers::default();
         s.context.write(&mut headers);
-        let body = Body {
+        let body = EncodedStatement {
             id: s.public_id.clone(),
             text: s.text.to_string(),
             headers: headers.iter().map(|(n, v)| (n.to_owned(), v.to_owned())).collect(),
@@ -164,22 +175,23 @@
             mark: s.protection.as_ref()?.mark.clone(),
         };
         let repeat = match self.classes[s.class].effect {
-            Repeats::Repeatable => custody::Repeat::Harmless,
+            RepeatEffect::Repeatable => custody::Repeat::Harmless,
             _ => custody::Repeat::Unsafe,
         };
         let body = serde_json::to_vec(&body).unwrap_or_default();
         Some(StatementRecord { body, repeat, remaining: s.deadline.saturating_sub(self.now) })
     }
 
-    /// Attempts spent, the attempt that is out, and the pages handed out of a statement that is to outlive this gateway.
+    /// Number of attempts made, the running attempt and the number of pages handed out of a protected
+    /// statement.
     pub fn progress(&self, id: StatementId) -> Option<(u32, Option<custody::Out>, u64)> {
         let s = self.statements.get(&id)?;
         s.protection.as_ref()?;
-        let out = s
-            .current
+        let running = s
+            .current_attempt
             .and_then(|number| Some(self.attempt_record(number, self.attempts.get(&AttemptId(id, number))?)));
-        let ran = || s.protection.as_ref().and_then(|g| g.last_run.clone());
-        Some((s.attempts, out.or_else(ran), s.pages.passed()))
+        let last_run = || s.protection.as_ref().and_then(|g| g.last_run.clone());
+        Some((s.attempts, running.or_else(last_run), s.pages.passed()))
     }
 
     fn attempt_record(&self, number: u32, attempt: &Attempt) -> custody::Out {
@@ -188,50 +200,58 @@
             engine: self.engine_name(attempt.engine),
             next: attempt.next_uri.clone(),
             page: attempt.next_uri.as_deref().and_then(page_number).unwrap_or(0),
-            sent: self.now.saturating_sub(attempt.sent),
-            within: attempt.deadline.saturating_sub(attempt.sent),
+            sent: self.now.saturating_sub(attempt.sent_at),
+            within: attempt.deadline.saturating_sub(attempt.sent_at),
         }
     }
 
-    /// An attempt has ended. The engine still gives the last page of one that ended with rows. One that may have run is told of
-    /// on and on where a repeat is not harmless: who knows nothing of it would take the statement for one that waits.
+    /// Records the end of an attempt. The last page of a successful attempt can still be fetched from the
+    /// engine. If a repeat is unsafe, an attempt that may have run stays in the record: without it another
+    /// gateway would take the statement for one that has not started.
     pub(super) fn record_attempt_end(&mut self, id: AttemptId, attempt: &Attempt, outcome: Outcome) {
-        let (harmless, out) = (self.is_repeatable(id.0), self.attempt_record(id.1, attempt));
-        let Some(guard) = self.statements.get_mut(&id.0).and_then(|s| s.protection.as_mut()) else { return };
+        let (is_repeatable, ended) = (self.is_repeatable(id.0), self.attempt_record(id.1, attempt));
+        let Some(protection) = self.statements.get_mut(&id.0).and_then(|s| s.protection.as_mut()) else {
+            return;
+        };
         match outcome {
-            Outcome::Ok | Outcome::Declined => guard.last_run = Some(out),
+            Outcome::Ok | Outcome::Declined => protection.last_run = Some(ended),
             Outcome::ConnectFailed | Outcome::Full | Outcome::Moot => {}
-            _ if harmless => {}
-            _ => guard.last_run = Some(custody::Out { next: None, ..out }),
+            _ if is_repeatable => {}
+            _ => protection.last_run = Some(custody::Out { next: None, ..ended }),
         }
         self.progress_changed(id.0);
     }
 
-    /// The end that was decided here is recorded: it may be told.
+    /// The ending decided here has been recorded and can be reported to the client.
     pub fn ending_recorded(&mut self, now: Micros, id: StatementId) {
         self.advance_to(now);
-        let Some(guard) = self.statements.get_mut(&id).and_then(|s| s.protection.as_mut()) else { return };
-        if let EndingRecord::Pending(ending) = std::mem::replace(&mut guard.ending_record, EndingRecord::Done)
+        let Some(protection) = self.statements.get_mut(&id).and_then(|s| s.protection.as_mut()) else {
+            return;
+        };
+        if let EndingRecord::Pending(ending) =
+            std::mem::replace(&mut protection.ending_record, EndingRecord::Done)
         {
             self.finish(id, ending);
             self.process_events();
         }
     }
 
-    /// Whether an end has to be recorded before it is told: one that was decided here, after an attempt was out. Until then no
-    /// other end takes its place.
+    /// Whether an ending has to be recorded before it is reported: this gateway decided it after an attempt
+    /// was started. No other ending replaces it meanwhile.
     pub(super) fn must_record_first(&mut self, id: StatementId, ending: &Ending) -> bool {
         let Some(s) = self.statements.get_mut(&id) else { return false };
-        let (attempts, over) = (s.attempts, s.pages.end().is_some());
-        let Some(guard) = s.protection.as_mut().filter(|g| !over && !g.record_released) else { return false };
-        match guard.ending_record {
+        let (attempts, has_ended) = (s.attempts, s.pages.end().is_some());
+        let Some(protection) = s.protection.as_mut().filter(|g| !has_ended && !g.record_released) else {
+            return false;
+        };
+        match protection.ending_record {
             EndingRecord::Done => false,
             EndingRecord::Pending(_) => true,
             EndingRecord::None if attempts == 0 || matches!(ending, Ending::Served | Ending::Declined(_)) => {
                 false
             }
             EndingRecord::None => {
-                guard.ending_record = EndingRecord::Pending(ending.clone());
+                protection.ending_record = EndingRecord::Pending(ending.clone());
                 s.pending = false;
                 self.effects.push_back(Effect::RecordEnding(id, ending.clone()));
                 true
@@ -239,24 +259,24 @@
         }
     }
 
-    /// Whether a statement came from another gateway and its client has not asked here yet.
+    /// Whether a statement was adopted and its client has not polled here yet.
     pub(super) fn awaits_client(&self, id: StatementId) -> bool {
         self.statements.get(&id).and_then(|s| s.protection.as_ref()).is_some_and(|g| g.awaits_client)
     }
 
-    /// Nobody could keep a statement, and it is not to go on like that.
+    /// Refuses a statement of which no other gateway could keep a record, if it must not run unprotected.
     pub fn refuse_unprotected(&mut self, now: Micros, id: StatementId, why: &str) {
         self.advance_to(now);
         let Some(s) = self.statements.get_mut(&id).filter(|s| s.pages.end().is_none()) else { return };
-        if let Some(guard) = s.protection.as_mut() {
-            guard.skip_recording();
+        if let Some(protection) = s.protection.as_mut() {
+            protection.skip_recording();
         }
         self.finish(id, Ending::Refused(QueryError::refused(why, 1000)));
         self.events.push_back(Event::Lapsed(RequestId(id.0)));
         self.process_events();
     }
 
-    /// Something about a statement has changed that another gateway would want to know.
+    /// Announces that the progress of a protected statement has changed.
     pub(super) fn progress_changed(&mut self, id: StatementId) {
         let Some(s) = self.statements.get(&id) else { return };
         if s.protection.as_ref().is_some_and(|g| !g.record_released) {
@@ -264,152 +284,156 @@
         }
     }
 
-    /// A page has been handed out.
+    /// Records that a page was handed out.
     pub(super) fn page_delivered(&mut self, id: StatementId, last: bool) {
         self.progress_changed(id);
         if last && self.statements.get(&id).is_some_and(|s| s.protection.is_some()) {
-            self.set_timer(self.now + AFTER_THE_LAST, Timer::ReleaseRecord(id));
+            self.set_timer(self.now + RECORD_RETENTION_US, Timer::ReleaseRecord(id));
         }
     }
 
-    /// Nobody will come back for a statement, or it cannot go anywhere else.
+    /// Releases the record of a statement that no client will ask for again or that cannot be taken over.
     pub(super) fn release_record(&mut self, id: StatementId) {
-        let Some(guard) = self.statements.get_mut(&id).and_then(|s| s.protection.as_mut()) else { return };
-        if !std::mem::replace(&mut guard.record_released, true) {
+        let Some(protection) = self.statements.get_mut(&id).and_then(|s| s.protection.as_mut()) else {
+            return;
+        };
+        if !std::mem::replace(&mut protection.record_released, true) {
             self.effects.push_back(Effect::ReleaseRecord(id));
         }
     }
 
-    /// The event by which the module hears of a statement: one that another gateway took is adopted, so that its tenant is not
-    /// charged for it again and its turn among those of its key is kept.
+    /// The event that reports a statement to the decision module. An adopted statement is reported as such,
+    /// so that its tenant is not charged twice and it keeps its place in the order of its key.
     pub(super) fn request_event(&self, id: StatementId, request: Request) -> Event {
         let adopted = |s: &&Statement| s.protection.as_ref().is_some_and(|g| g.adopted);
         let Some(s) = self.statements.get(&id).filter(adopted) else {
             return Event::Request(request);
         };
-        let out = s.current.and_then(|number| self.attempts.get(&AttemptId(id, number)));
-        let out = out.map(|a| AdoptedAttempt { engine: a.engine, sent: a.sent, until: a.deadline });
+        let out = s.current_attempt.and_then(|number| self.attempts.get(&AttemptId(id, number)));
+        let out = out.map(|a| AdoptedAttempt { engine: a.engine, sent: a.sent_at, until: a.deadline });
         Event::Adopted { request, attempts: s.attempts, out }
     }
 
-    /// Goes on with a statement of another gateway, under a number of its own.
+    /// Adopts a statement of another gateway under a new number.
     ///
     /// # Errors
-    /// If what was recorded cannot be read.
+    ///
+    /// If the record cannot be decoded.
     pub fn adopt(&mut self, now: Micros, record: &custody::Record) -> Result<StatementId, String> {
         self.advance_to(now);
-        let body: Body = serde_json::from_slice(&record.body).map_err(|e| e.to_string())?;
+        let body: EncodedStatement = serde_json::from_slice(&record.body).map_err(|e| e.to_string())?;
         let mut headers = Headers::default();
         body.headers.iter().for_each(|(name, value)| headers.push(name, value));
         let context = Context::read(&headers)?;
         let submission = Submission { public_id: body.id, text: body.text, context };
-        let named = self.names.classes.iter().position(|n| *n == body.class);
-        let class = named.unwrap_or_else(|| self.class_of(&submission));
+        let class_by_name = self.names.classes.iter().position(|n| *n == body.class);
+        let class = class_by_name.unwrap_or_else(|| self.class_of(&submission));
         let id = StatementId(self.next_id);
         self.next_id += 1;
-        let due = self.now + record.left;
-        let harmless = self.classes[class].effect == Repeats::Repeatable;
-        let mut guard = Protection::new(body.mark);
-        guard.awaits_client = true;
-        guard.adopted = true;
+        let deadline = self.now + record.left;
+        let is_repeatable = self.classes[class].effect == RepeatEffect::Repeatable;
+        let mut protection = Protection::new(body.mark);
+        protection.awaits_client = true;
+        protection.adopted = true;
         if record.ending.is_some() {
-            guard.skip_recording();
+            protection.skip_recording();
         }
         let out = record.out.as_ref();
         let engine = out.and_then(|o| self.records.values().find(|r| r.name == o.engine));
         let found = out.zip(engine).and_then(|(o, r)| Some((o, r.entry.engine, r.address, o.next.clone()?)));
-        let mut current = None;
+        let mut current_attempt = None;
         if let (Some((out, engine, address, uri)), None) = (&found, &record.ending) {
             let attempt = AttemptId(id, out.number);
-            let sent = self.now.saturating_sub(out.sent);
-            // Time for its client to come and for the engine to answer.
-            let until = (sent + out.within).max(self.now + 1_000_000);
-            let next = Some(uri.clone());
-            guard.resumption = Some(ResumedAttempt { attempt, address: *address, uri: uri.clone() });
-            // It waits for its client, who alone knows which rows have come.
-            let paused = Attempt {
+            let sent_at = self.now.saturating_sub(out.sent);
+            // Leaves time for the client to poll here and for the engine to answer.
+            let deadline = (sent_at + out.within).max(self.now + MIN_ADOPTED_ATTEMPT_US);
+            protection.resumption = Some(ResumedAttempt { attempt, address: *address, uri: uri.clone() });
+            // It waits for the client's first poll, which says which rows have been received.
+            let adopted = Attempt {
                 engine: *engine,
-                sent,
-                deadline: until,
+                sent_at,
+                deadline,
                 paused: false,
                 last_answer: self.now,
                 last_progress: (false, 0),
-                next_uri: next,
+                next_uri: Some(uri.clone()),
             };
-            self.attempts.insert(attempt, paused);
-            self.set_timer(until, Timer::Attempt(attempt));
-            current = Some(out.number);
+            self.attempts.insert(attempt, adopted);
+            self.set_timer(deadline, Timer::Attempt(attempt));
+            current_attempt = Some(out.number);
         }
-        let fails = current.is_none() && out.is_some() && !harmless && record.ending.is_none();
+        let cannot_continue =
+            current_attempt.is_none() && out.is_some() && !is_repeatable && record.ending.is_none();
         let statement = Statement {
             session_use: None,
             rebuild: None,
             step_for: None,
-            protection: Some(Box::new(guard)),
+            protection: Some(Box::new(protection)),
             public_id: submission.public_id,
             text: submission.text.into(),
             context: submission.context,
             class,
-            accepted: self.now,
-            deadline: due,
+            accepted_at: self.now,
+            deadline,
             grant: (0.0, 1),
             attempts: record.attempts,
-            current,
+            current_attempt,
             pages: Pages::default(),
             last_poll: self.now,
             waiting_polls: 0,
             rows_sent: false,
             last_error: None,
-            // It begins when its client asks here: one that has its end already does not ask, and many come over at once.
-            pending: current.is_none() && !fails,
+            // It starts when its client polls here. A client that has received the end does not poll, and
+            // many statements are adopted at once.
+            pending: current_attempt.is_none() && !cannot_continue,
         };
         self.counts.adopted += 1;
         self.open += 1;
         self.statements.insert(id, statement);
         self.set_timer(self.now + self.abandon_after(), Timer::Client(id));
-        self.set_timer(due, Timer::Overdue(id));
+        self.set_timer(deadline, Timer::Deadline(id));
         if let Some(recorded) = &record.ending {
             self.finish(id, ending_from_record(recorded));
-        } else if fails {
+        } else if cannot_continue {
             let why = "its gateway was lost, and its engine's answer with it";
             self.finish(id, Ending::Failed(QueryError::failed(FAILED, why)));
-        } else if current.is_some() {
+        } else if current_attempt.is_some() {
             self.begin(id);
         }
         self.process_events();
         Ok(id)
     }
 
-    /// The client of a statement that came from elsewhere asks here for the first time: only now it is known which rows it has.
+    /// Continues an adopted statement at its client's first poll here, which says which rows the client has.
     pub(super) fn resume_for_client(&mut self, id: StatementId, token: u64, after: Option<u64>) {
         let Some(s) = self.statements.get_mut(&id) else { return };
-        let Some(guard) = s.protection.as_mut() else { return };
-        if !std::mem::take(&mut guard.awaits_client) {
+        let Some(protection) = s.protection.as_mut() else { return };
+        if !std::mem::take(&mut protection.awaits_client) {
             return;
         }
         s.pages.resume(token, after);
-        if s.pages.end().is_some() || guard.ending_pending() {
+        if s.pages.end().is_some() || protection.ending_pending() {
             return;
         }
-        let resume = guard.resumption.take().filter(|f| s.current == Some(f.attempt.1));
+        let resumption = protection.resumption.take().filter(|r| s.current_attempt == Some(r.attempt.1));
         s.rows_sent = after.is_some();
-        let at = match (resume, after) {
-            (Some(follow), Some(page)) => {
-                with_page_number(&follow.uri, page).map(|uri| ResumedAttempt { uri, ..follow })
+        let continued = match (resumption, after) {
+            (Some(resumed), Some(page)) => {
+                with_page_number(&resumed.uri, page).map(|uri| ResumedAttempt { uri, ..resumed })
             }
-            (follow, _) => follow,
+            (resumed, _) => resumed,
         };
-        match at {
-            Some(follow) => {
-                if let Some(attempt) = self.attempts.get_mut(&follow.attempt) {
+        match continued {
+            Some(resumed) => {
+                if let Some(attempt) = self.attempts.get_mut(&resumed.attempt) {
                     attempt.last_answer = self.now;
                 }
                 if after.is_some() {
                     self.events.push_back(Event::Streaming(RequestId(id.0)));
                     let idle = self.limits.stream_idle.as_micros() as Micros;
-                    self.set_timer(self.now + idle, Timer::Stream(follow.attempt));
+                    self.set_timer(self.now + idle, Timer::Stream(resumed.attempt));
                 }
-                self.effects.push_back(Effect::Resume(Box::new(follow)));
+                self.effects.push_back(Effect::Resume(Box::new(resumed)));
             }
             None if after.is_some() => {
                 let why = "its gateway was lost after rows had been sent, and the rest cannot be found";
@@ -421,23 +445,24 @@
         self.process_events();
     }
 
-    /// Another gateway holds the statement: what is out goes on for that one, and nothing is told here.
+    /// Drops a statement that another gateway holds now. Its running attempt continues for that gateway, and
+    /// the client gets no ending from here.
     pub fn detach(&mut self, now: Micros, id: StatementId) {
         self.advance_to(now);
         let Some(s) = self.statements.remove(&id) else { return };
         self.counts.handed_over += 1;
-        self.timers.remove(&(s.deadline, Timer::Overdue(id)));
-        let out: Vec<AttemptId> =
-            self.attempts.keys().filter(|a| a.0 == id && s.current == Some(a.1)).copied().collect();
-        for attempt in out {
+        self.timers.remove(&(s.deadline, Timer::Deadline(id)));
+        let running: Vec<AttemptId> =
+            self.attempts.keys().filter(|a| a.0 == id && s.current_attempt == Some(a.1)).copied().collect();
+        for attempt in running {
             self.effects.push_back(Effect::Detach(attempt));
-            if let Some(gone) = self.attempts.remove(&attempt) {
-                self.timers.remove(&(gone.deadline, Timer::Attempt(attempt)));
+            if let Some(removed) = self.attempts.remove(&attempt) {
+                self.timers.remove(&(removed.deadline, Timer::Attempt(attempt)));
                 self.events.push_back(Event::Answer(Answer {
                     id: RequestId(id.0),
                     attempt: attempt.1,
                     outcome: Outcome::Cancelled,
-                    took: self.now.saturating_sub(gone.sent),
+                    took: self.now.saturating_sub(removed.sent_at),
                     complete: true,
                     work: None,
                     memory_mb: None,
--- a/crates/gateway/src/core/rebuilding.rs
+++ b/crates/gateway/src/core/rebuilding.rs
@@ -1,10 +1,10 @@
-//! Temporary tables that are made anew on another engine before a statement goes on there.
+//! Rebuilding of a lost session's temporary tables on another engine before a statement continues there.
 
 use super::*;
 
 impl Core {
-    /// Begins the next step of rebuilding a statement's session, a statement of its own that is admitted and charged like any;
-    /// after the last one the statement itself begins.
+    /// Starts the next step of rebuilding a statement's session. Each step is a statement that is admitted
+    /// and charged like any other; after the last one the client's statement itself starts.
     pub(super) fn next_rebuild_step(&mut self, client: StatementId) {
         let id = StatementId(self.next_id);
         let Some(s) = self.statements.get_mut(&client) else { return };
@@ -21,7 +21,7 @@
         };
         rebuild.steps_done += 1;
         let public_id = format!("{}_r{}", s.public_id, rebuild.steps_done);
-        let (due, class) = (s.deadline, s.class);
+        let (deadline, class) = (s.deadline, s.class);
         self.next_id += 1;
         let class = match self.selection.selectors.is_empty() {
             true => class,
@@ -32,8 +32,8 @@
             }),
         };
         let admit = self.admit(id, &context, &text);
-        let member = match admit {
-            Admit::InSession(member) => Some(member),
+        let session_use = match admit {
+            Admit::InSession(session_use) => Some(session_use),
             Admit::NoSession => None,
             Admit::RebuildFirst(_) | Admit::Ended(..) => {
                 return self.fail_rebuild(client, "its session was lost again");
@@ -44,36 +44,36 @@
             text: text.into(),
             context,
             class,
-            accepted: self.now,
-            deadline: due,
+            accepted_at: self.now,
+            deadline,
             grant: (0.0, 1),
             attempts: 0,
-            current: None,
+            current_attempt: None,
             pages: Pages::default(),
             last_poll: self.now,
             waiting_polls: 1,
             rows_sent: false,
             last_error: None,
             pending: false,
-            session_use: member,
+            session_use,
             rebuild: None,
             step_for: Some(client),
             protection: None,
         };
         self.open += 1;
         self.statements.insert(id, statement);
-        self.set_timer(due, Timer::Overdue(id));
+        self.set_timer(deadline, Timer::Deadline(id));
         self.begin(id);
     }
 
-    /// All steps are done: the statement runs in its new session.
+    /// Starts the client's statement in its rebuilt session.
     pub(super) fn finish_rebuild(&mut self, client: StatementId) {
         let Some(s) = self.statements.get(&client) else { return };
         let (context, text) = (s.context.clone(), s.text.clone());
         match self.admit(client, &context, &text) {
-            Admit::InSession(member) => {
+            Admit::InSession(session_use) => {
                 if let Some(s) = self.statements.get_mut(&client) {
-                    s.session_use = Some(member);
+                    s.session_use = Some(session_use);
                 }
                 self.begin(client);
             }
@@ -81,6 +81,7 @@
         }
     }
 
+    /// Ends the client's statement because its session could not be rebuilt.
     pub(super) fn fail_rebuild(&mut self, client: StatementId, why: &str) {
         let why = format!("its session could not be rebuilt: {why}");
         self.finish(
@@ -89,12 +90,12 @@
         );
     }
 
-    /// A step has ended.
-    pub(super) fn rebuild_step_ended(&mut self, step: Step) {
+    /// Handles the end of a rebuilding step.
+    pub(super) fn rebuild_step_ended(&mut self, step: FinishedStep) {
         self.statements.remove(&step.step);
-        let wanted = self.statements.get(&step.client).is_some_and(|s| s.pages.end().is_none());
-        if !wanted {
-            // Its client has its end already: nobody will use what was built.
+        let still_needed = self.statements.get(&step.client).is_some_and(|s| s.pages.end().is_none());
+        if !still_needed {
+            // The client's statement has ended meanwhile, so the rebuilt session is not needed.
             let user = self.statements.get(&step.client).map(|s| s.context.user.clone());
             if let (Some(user), Some(token)) = (user, &step.token) {
                 let loss = self.sessions.release(self.now, &user, token);
@@ -102,8 +103,8 @@
             }
             return;
         }
-        if let Some(trouble) = step.error {
-            return self.fail_rebuild(step.client, &trouble);
+        if let Some(error) = step.error {
+            return self.fail_rebuild(step.client, &error);
         }
         if let Some(rebuild) = self.statements.get_mut(&step.client).and_then(|s| s.rebuild.as_mut()) {
             rebuild.token = step.token.or(rebuild.token.take());
--- a/crates/gateway/src/core/time.rs
+++ b/crates/gateway/src/core/time.rs
@@ -1,21 +1,26 @@
-//! What is due by the clock.
+//! Timers and everything that becomes due with the time.
 
 use super::*;
 
+/// Delay until the time-out of an adopted attempt is checked again while its client has not polled.
+const ADOPTED_RECHECK_US: Micros = 500_000;
+/// Least delay until the client of a statement is checked again.
+const CLIENT_RECHECK_US: Micros = 100_000;
+
 impl Core {
-    /// This gateway's part of the fleet, as its membership has it.
-    pub fn set_share(&mut self, now: Micros, part: f64) {
+    /// Sets this gateway's share of the fleet, as given by the membership.
+    pub fn set_share(&mut self, now: Micros, share: f64) {
         self.advance_to(now);
-        self.events.push_back(Event::Share(part));
+        self.events.push_back(Event::Share(share));
         self.process_events();
     }
 
-    /// Work asked for since the start by class, in core milliseconds by the estimates that came along.
+    /// Estimated work requested since the start, by class, in core milliseconds.
     pub fn offered_work(&self) -> &[f64] {
         &self.offered_work
     }
 
-    /// Time has passed.
+    /// Advances the time and handles all timers that are due.
     pub fn wake(&mut self, now: Micros) {
         self.advance_to(now);
         let lost = self.sessions.advance(self.now);
@@ -28,7 +33,7 @@
                 Timer::Module(handle) => self.events.push_back(Event::Elapsed(handle)),
                 Timer::Attempt(id) => self.attempt_timed_out(id),
                 Timer::Client(id) => self.check_client(id),
-                Timer::Overdue(id) => self.deadline_passed(id),
+                Timer::Deadline(id) => self.deadline_passed(id),
                 Timer::Stream(id) => self.check_stream(id),
                 Timer::ReleaseRecord(id) => self.release_record(id),
             }
@@ -36,25 +41,27 @@
         }
     }
 
+    /// Fails an attempt at its deadline, unless rows of it have been sent.
     pub(super) fn attempt_timed_out(&mut self, id: AttemptId) {
         if self.awaits_client(id.0) {
-            // Nothing is begun again for a client that may have its end already.
-            return self.set_timer(self.now + 500_000, Timer::Attempt(id));
+            // The client may have received the end already, so nothing is restarted before it polls here.
+            return self.set_timer(self.now + ADOPTED_RECHECK_US, Timer::Attempt(id));
         }
-        let bound = self.statements.get(&id.0).is_some_and(|s| s.rows_sent && s.current == Some(id.1));
-        if self.attempts.contains_key(&id) && !bound {
+        let rows_sent =
+            self.statements.get(&id.0).is_some_and(|s| s.rows_sent && s.current_attempt == Some(id.1));
+        if self.attempts.contains_key(&id) && !rows_sent {
             self.effects.push_back(Effect::Cancel(id));
             let engine = self.engine_name(self.attempts[&id].engine);
             self.fail_attempt(id, Outcome::Timeout, FAILED, format!("engine {engine}: no answer in time"));
         }
     }
 
-    /// An engine that has stopped in the middle of a stream is not awaited for ever.
+    /// Fails an attempt whose engine has stopped sending pages in the middle of a result.
     pub(super) fn check_stream(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get(&id) else { return };
         let (idle, paused) = (self.limits.stream_idle.as_micros() as Micros, attempt.paused);
-        let last = if paused { self.now } else { attempt.last_answer };
-        if self.now >= last + idle {
+        let last_answer = if paused { self.now } else { attempt.last_answer };
+        if self.now >= last_answer + idle {
             self.effects.push_back(Effect::Cancel(id));
             let engine = self.engine_name(attempt.engine);
             self.fail_attempt(
@@ -64,23 +71,24 @@
                 format!("engine {engine} stopped in the middle of the rows"),
             );
         } else {
-            self.set_timer(last + idle, Timer::Stream(id));
+            self.set_timer(last_answer + idle, Timer::Stream(id));
         }
     }
 
-    /// Lets go of a client that has left, and of what was kept for one that may have taken its end.
+    /// Drops a statement whose client has stopped polling, or has had time to fetch the ending.
     pub(super) fn check_client(&mut self, id: StatementId) {
         let Some(s) = self.statements.get(&id) else { return };
-        let keep = if s.pages.end().is_some() { self.limits.keep_ended } else { self.limits.abandon_after };
-        let until = s.last_poll + keep.as_micros() as Micros;
+        let retention =
+            if s.pages.end().is_some() { self.limits.keep_ended } else { self.limits.abandon_after };
+        let until = s.last_poll + retention.as_micros() as Micros;
         if s.waiting_polls > 0 || self.now < until {
-            let next = until.max(self.now + 100_000);
-            return self.set_timer(next, Timer::Client(id));
+            let next_check = until.max(self.now + CLIENT_RECHECK_US);
+            return self.set_timer(next_check, Timer::Client(id));
         }
         if s.pages.end().is_none() {
             self.counts.abandoned += 1;
-            if let Some(guard) = self.statements.get_mut(&id).and_then(|s| s.protection.as_mut()) {
-                guard.skip_recording();
+            if let Some(protection) = self.statements.get_mut(&id).and_then(|s| s.protection.as_mut()) {
+                protection.skip_recording();
             }
             let error =
                 QueryError::new(ErrorType::UserError, 7, "ABANDONED_QUERY", "its client stopped polling");
@@ -93,7 +101,7 @@
         }
     }
 
-    /// The module ends everything before its deadline; if it ever did not, the client is told all the same.
+    /// Ends a statement at its deadline. The decision module should have ended it before.
     pub(super) fn deadline_passed(&mut self, id: StatementId) {
         let Some(s) = self.statements.get(&id) else { return };
         if s.pages.end().is_some() || s.rows_sent || s.protection.as_ref().is_some_and(|g| g.ending_pending())
@@ -102,14 +110,17 @@
         }
         if !s.pending && !s.protection.as_ref().is_some_and(|g| g.awaits_client()) {
             self.counts.overdue += 1;
-            self.effects.push_back(Effect::Log(format!("statement {} is overdue: a fault", s.public_id)));
+            self.effects.push_back(Effect::Log(format!(
+                "statement {} was not ended by its deadline; this is a bug",
+                s.public_id
+            )));
         }
-        let error = if s.attempts == 0 {
+        let ending = if s.attempts == 0 {
             Ending::Refused(QueryError::refused("its time passed before it began", 0))
         } else {
             Ending::Failed(QueryError::failed(FAILED, "its time has passed"))
         };
-        self.finish(id, error);
+        self.finish(id, ending);
         self.events.push_back(Event::Lapsed(RequestId(id.0)));
     }
 
