--- a/crates/gateway/src/custody.rs
+++ b/crates/gateway/src/custody.rs
@@ -591,7 +591,7 @@
         let (code, says) = page.slug.split_once('.')?;
         let code = code.is_ascii().then(|| code.split_at_checked(8)).flatten()?;
         let of = u32::from_str_radix(code.0, 16).ok()?;
-        let code = crate::front::unhex(code.1)?;
+        let code = crate::front::parse_hex(code.1)?;
         let believed = |key: &violetward_transport::Key| {
             let said = key.code(&[USE, page.id.as_bytes(), b"/", says.as_bytes()]);
             said.verify_truncated_left(&code).is_ok()
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -1,5 +1,5 @@
-//! One attempt on one engine, over the engine's side of the statement protocol. Decides nothing: it tells the core
-//! honestly what came of the attempt, above all whether the statement can have been read.
+//! One attempt on one engine, over the engine's side of the statement protocol. It makes no decisions but
+//! reports the outcome of the attempt to the core, above all whether the engine can have read the statement.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -20,23 +20,30 @@
 use crate::core::{AttemptId, EnginePage, Launch, ResumedAttempt};
 use crate::host::Host;
 
-/// How long a withdrawn attempt's first answer is awaited, so that its work can still be cancelled.
+/// How long the first answer of a cancelled attempt is awaited, so that its work can still be cancelled.
 const CLEANUP_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Pages without rows that another gateway may have passed over since it last told of one.
+/// Maximum number of empty pages that another gateway may have fetched since it last recorded its progress.
 const MAX_SKIPPED_PAGES: usize = 64;
 
-/// What an answer's headers say: changes of the session, and the life of the engine's process.
+/// Polls of one page while the engine answers 503.
+const MAX_BUSY_POLLS: u32 = 5;
+
+/// Polls of one page while its connections break.
+const MAX_BROKEN_POLLS: u32 = 2;
+
+/// Session headers of an engine's answer: changes of the client's session, and the epoch of the engine
+/// process.
 #[derive(Default)]
 struct SessionHeaders {
     changes: Vec<(String, String)>,
     epoch: Option<String>,
 }
 
-/// How an attempt ends without an answer.
+/// Outcome and message of an attempt that ended without an answer.
 struct AttemptError(Outcome, String);
 
-/// Runs an attempt until it has ended or is stop_requests.
+/// Runs an attempt until it has ended or is stopped.
 pub(crate) async fn attempt(
     host: Rc<Host>,
     launch: Launch,
@@ -45,53 +52,54 @@
 ) {
     let id = launch.attempt;
     let pool = host.pool(launch.address);
-    let (first_sender, first) = async_channel::bounded::<Result<EnginePage, AttemptError>>(1);
-    let next: Rc<std::cell::RefCell<Option<String>>> = Rc::default();
-    // The post goes on when the attempt is stop_requests: only its answer tells what to cancel.
+    let (first_sender, first_page) = async_channel::bounded::<Result<EnginePage, AttemptError>>(1);
+    let next_uri: Rc<std::cell::RefCell<Option<String>>> = Rc::default();
+    // The post continues when the attempt is stopped: only its answer says what to cancel.
     {
-        let (host, next, pool) = (host.clone(), next.clone(), pool.clone());
+        let (host, next_uri, pool) = (host.clone(), next_uri.clone(), pool.clone());
         let owner = host.clone();
         owner.spawn(async move {
             let result = post(&host, &pool, &launch).await;
             let result = result.map(|(results, session)| {
-                *next.borrow_mut() = results.next_uri.clone();
+                *next_uri.borrow_mut() = results.next_uri.clone();
                 engine_page(results, session)
             });
             if first_sender.try_send(result).is_err() {
-                // Nobody waits any more: the attempt has been withdrawn meanwhile.
-                cancel(&host, &pool, &next).await;
+                // Nobody waits for the answer any more: the attempt has been cancelled meanwhile.
+                cancel(&host, &pool, &next_uri).await;
             }
         });
     }
-    run_attempt(&host, id, &pool, &first, &fetch_requests, &stop_requests, &next).await;
+    run_attempt(&host, id, &pool, &first_page, &fetch_requests, &stop_requests, &next_uri).await;
 }
 
-/// Goes on with another gateway's attempt until it has ended or is stop_requests.
+/// Continues an attempt of another gateway until it has ended or is stopped.
 pub(crate) async fn resume(
     host: Rc<Host>,
-    at: ResumedAttempt,
+    resumed: ResumedAttempt,
     fetch_requests: Receiver<()>,
     stop_requests: Receiver<bool>,
 ) {
-    let pool = host.pool(at.address);
-    let (first_sender, first) = async_channel::bounded::<Result<EnginePage, AttemptError>>(1);
-    let next: Rc<std::cell::RefCell<Option<String>>> = Rc::new(Some(at.uri.clone()).into());
+    let pool = host.pool(resumed.address);
+    let (first_sender, first_page) = async_channel::bounded::<Result<EnginePage, AttemptError>>(1);
+    let next_uri: Rc<std::cell::RefCell<Option<String>>> = Rc::new(Some(resumed.uri.clone()).into());
     {
-        let (host, next, pool, id) = (host.clone(), next.clone(), pool.clone(), at.attempt);
+        let (host, next_uri, pool, id) = (host.clone(), next_uri.clone(), pool.clone(), resumed.attempt);
         let owner = host.clone();
         owner.spawn(async move {
-            let result = poll_resumed(&host, &pool, id, &at.uri).await.map(|(results, session)| {
-                *next.borrow_mut() = results.next_uri.clone();
+            let result = poll_resumed(&host, &pool, id, &resumed.uri).await.map(|(results, session)| {
+                *next_uri.borrow_mut() = results.next_uri.clone();
                 engine_page(results, session)
             });
             first_sender.try_send(result).ok();
         });
     }
-    run_attempt(&host, at.attempt, &pool, &first, &fetch_requests, &stop_requests, &next).await;
+    run_attempt(&host, resumed.attempt, &pool, &first_page, &fetch_requests, &stop_requests, &next_uri).await;
 }
 
-/// Asks for a page from which on its client has nothing. Pages of no rows that the other gateway has passed over are gone: it
-/// asked for none after one with rows before that one had come.
+/// Requests the first page that the client has not received. Empty pages that the other gateway has fetched
+/// since are no longer available and are skipped. None of the skipped pages had rows: the other gateway
+/// requested no page beyond one with rows before the client had received that one.
 async fn poll_resumed(
     host: &Rc<Host>,
     pool: &Pool,
@@ -102,13 +110,13 @@
     for _ in 0..MAX_SKIPPED_PAGES {
         match poll_once(host, pool, &uri).await {
             Err(PollError::Gone) => {}
-            Err(PollError::Failed(broken)) => return Err(broken),
+            Err(PollError::Failed(error)) => return Err(error),
             Ok(found) => return Ok(found),
         }
         let next = protection::page_number(&uri).and_then(|n| protection::with_page_number(&uri, n + 1));
         uri = next.ok_or_else(unknown_statement)?;
     }
-    tracing::warn!(n = id.0 .0, "an engine's page was not found again");
+    tracing::warn!(n = id.0 .0, "page to resume from is no longer available at the engine");
     Err(unknown_statement())
 }
 
@@ -116,37 +124,40 @@
     AttemptError(Outcome::Reset, "it no longer knows the statement".into())
 }
 
+/// Follows an attempt's pages until it has ended or is stopped, and reports its end.
 async fn run_attempt(
     host: &Rc<Host>,
     id: AttemptId,
     pool: &Pool,
-    first: &Receiver<Result<EnginePage, AttemptError>>,
+    first_page: &Receiver<Result<EnginePage, AttemptError>>,
     fetch_requests: &Receiver<()>,
     stop_requests: &Receiver<bool>,
-    next: &Rc<std::cell::RefCell<Option<String>>>,
+    next_uri: &Rc<std::cell::RefCell<Option<String>>>,
 ) {
-    let work = async {
-        let outcome = follow(host, id, pool, first, fetch_requests, next).await;
+    let pages = async {
+        let outcome = follow(host, id, pool, first_page, fetch_requests, next_uri).await;
         if let Err(AttemptError(outcome, why)) = outcome {
             host.with_core(|core, now| core.attempt_failed(now, id, outcome, &why));
         }
         None
     };
-    // A closed channel is no stop: the core has dropped the attempt because it is over.
+    // A closed channel does not stop the attempt: the core has dropped it because it is over.
     let stop = async { stop_requests.recv().await.ok() };
-    let was_stopped = future::or(work, stop).await;
+    let stopped = future::or(pages, stop).await;
     host.remove_attempt(id);
-    match was_stopped {
+    match stopped {
         Some(true) => {
-            first.close();
-            cancel(host, pool, next).await;
+            first_page.close();
+            cancel(host, pool, next_uri).await;
         }
-        // Another gateway goes on with it: a post that is on its way is not cancelled when its answer comes.
-        Some(false) => drop(first.recv().await),
+        // Another gateway continues the attempt, so a post in flight must not be cancelled when its answer
+        // arrives.
+        Some(false) => drop(first_page.recv().await),
         None => {}
     }
 }
 
+/// Sends the statement to the engine.
 async fn post(
     host: &Rc<Host>,
     pool: &Pool,
@@ -160,7 +171,7 @@
     let connection = if launch.new_connection { pool.connect(within).await } else { pool.get(within).await };
     let mut connection =
         connection.map_err(|e| AttemptError(Outcome::ConnectFailed, format!("no connection: {e}")))?;
-    // The last look: connecting may have taken long, and this process may have stood still.
+    // The last check before sending: connecting may have taken long, and this process may have been paused.
     if !host.may_send(launch.attempt, &launch.engine) {
         return Err(AttemptError(Outcome::Moot, "not sent: the rules have changed".into()));
     }
@@ -174,7 +185,7 @@
     };
     match message.status() {
         200 => read(pool, connection, message),
-        // By the protocol these tell that the statement has not been taken.
+        // By the protocol, these codes say that the statement was not accepted.
         429 | 503 => Err(AttemptError(Outcome::Full, format!("turned away with {}", message.status()))),
         status => Err(AttemptError(Outcome::Error, format!("answered {status} to the statement"))),
     }
@@ -194,6 +205,7 @@
     }
 }
 
+/// Reads an engine's answer and returns its connection to the pool.
 fn read(
     pool: &Pool,
     connection: Connection,
@@ -234,17 +246,17 @@
     }
 }
 
-/// Follows the pages to the last one, as fast as the core gives leave.
+/// Fetches the pages up to the last one, each when the core permits it.
 async fn follow(
     host: &Rc<Host>,
     id: AttemptId,
     pool: &Pool,
-    first: &Receiver<Result<EnginePage, AttemptError>>,
+    first_page: &Receiver<Result<EnginePage, AttemptError>>,
     fetch_requests: &Receiver<()>,
-    next: &Rc<std::cell::RefCell<Option<String>>>,
+    next_uri: &Rc<std::cell::RefCell<Option<String>>>,
 ) -> Result<(), AttemptError> {
-    let gone = || AttemptError(Outcome::Reset, "the attempt was dropped".into());
-    let mut page = first.recv().await.map_err(|_| gone())??;
+    let dropped = || AttemptError(Outcome::Reset, "the attempt was dropped".into());
+    let mut page = first_page.recv().await.map_err(|_| dropped())??;
     loop {
         let last = page.last || page.error.is_some();
         host.with_core(|core, now| core.page_received(now, id, page));
@@ -254,39 +266,40 @@
         if fetch_requests.recv().await.is_err() {
             return Ok(());
         }
-        let uri = next.borrow().clone().ok_or_else(gone)?;
+        let uri = next_uri.borrow().clone().ok_or_else(dropped)?;
         let (results, session) = poll(host, pool, &uri).await?;
-        *next.borrow_mut() = results.next_uri.clone();
+        *next_uri.borrow_mut() = results.next_uri.clone();
         page = engine_page(results, session);
     }
 }
 
 async fn poll(host: &Host, pool: &Pool, uri: &str) -> Result<(QueryResults, SessionHeaders), AttemptError> {
-    poll_once(host, pool, uri).await.map_err(|missed| match missed {
+    poll_once(host, pool, uri).await.map_err(|error| match error {
         PollError::Gone => unknown_statement(),
-        PollError::Failed(broken) => broken,
+        PollError::Failed(error) => error,
     })
 }
 
-/// Why there is no page.
+/// Why a page could not be fetched.
 enum PollError {
-    /// It was there and is gone: a later one has been asked for.
+    /// The engine has dropped the page, because a later one has been requested.
     Gone,
     Failed(AttemptError),
 }
 
 impl From<AttemptError> for PollError {
-    fn from(broken: AttemptError) -> Self {
-        PollError::Failed(broken)
+    fn from(error: AttemptError) -> Self {
+        PollError::Failed(error)
     }
 }
 
-/// Asks for a page; asking twice gives the same page, so that a broken connection is tried once more.
+/// Requests a page. Repeating the request gives the same page, so it is tried once more on another connection
+/// if the first one breaks.
 async fn poll_once(host: &Host, pool: &Pool, uri: &str) -> Result<(QueryResults, SessionHeaders), PollError> {
     let target = path(uri);
-    let mut tries = 0;
+    let mut attempts = 0;
     loop {
-        tries += 1;
+        attempts += 1;
         let within = host.config.host.connect_within;
         let connection = pool.get(within).await;
         let mut connection = connection
@@ -300,30 +313,31 @@
                 }
                 return Err(PollError::Gone);
             }
-            Ok(message) if message.status() == 503 && tries < 5 => {
-                violetward_net::sleep(Duration::from_millis(50 << tries)).await;
+            Ok(message) if message.status() == 503 && attempts < MAX_BUSY_POLLS => {
+                violetward_net::sleep(Duration::from_millis(50 << attempts)).await;
             }
             Ok(message) => {
                 let why = format!("answered {} to a poll", message.status());
                 return Err(AttemptError(Outcome::Error, why).into());
             }
-            Err(NetError::Io(_)) if tries < 2 => pool.clear(),
+            Err(NetError::Io(_)) if attempts < MAX_BROKEN_POLLS => pool.clear(),
             Err(e) => return Err(net_error(&e).into()),
         }
     }
 }
 
+/// The path of a URI.
 fn path(uri: &str) -> &str {
     let after = uri.find("://").map_or(uri, |at| &uri[at + 3..]);
     after.find('/').map_or("/", |at| &after[at..])
 }
 
-/// Ends the work of an attempt, where cancels are heeded.
-async fn cancel(host: &Host, pool: &Pool, next: &Rc<std::cell::RefCell<Option<String>>>) {
+/// Cancels the work of an attempt on its engine, if cancellation is enabled.
+async fn cancel(host: &Host, pool: &Pool, next_uri: &Rc<std::cell::RefCell<Option<String>>>) {
     if !host.config.settings.may_cancel {
         return;
     }
-    let Some(uri) = next.borrow_mut().take() else { return };
+    let Some(uri) = next_uri.borrow_mut().take() else { return };
     let work = async {
         let Ok(mut connection) = pool.get(host.config.host.connect_within).await else { return };
         let answer = connection.call("DELETE", path(&uri), &host_header(pool.address()), b"").await;
@@ -334,7 +348,8 @@
     timeout(CLEANUP_TIMEOUT, work).await;
 }
 
-/// Frees what a lost session holds on its engine. Best effort: the engine's own idle limit stands behind it.
+/// Releases a lost session on its engine. Best effort: what remains is dropped by the engine's own idle
+/// limit.
 pub(crate) async fn release(host: &Host, address: SocketAddr, inner: &str, transaction: bool) {
     let pool = host.pool(address);
     let session = vec![(PROPERTY.to_owned(), inner.to_owned())];
@@ -343,7 +358,7 @@
         user: "violetward".into(),
         session,
         transaction: transaction_id,
-        // Not an attempt of any request, and told apart from those.
+        // Keeps it distinct from the attempts of requests.
         trace_token: Some(format!("release-{address}-{inner}")),
         ..Context::default()
     };
@@ -361,7 +376,8 @@
     timeout(CLEANUP_TIMEOUT, work).await;
 }
 
-/// Asks an engine how it is; `None` without a good answer in time. The life of its process comes with the load.
+/// Requests the status of an engine. Returns its load and the epoch of its process, or `None` without a valid
+/// answer in time.
 pub(crate) async fn status(host: &Host, address: SocketAddr) -> Option<(Load, Option<String>)> {
     let pool = host.pool(address);
     let work = async {
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -1,4 +1,4 @@
-//! The statement front: the public client REST protocol over HTTP/1.1. Knows nothing of engines.
+//! The statement front: the client REST protocol over HTTP/1.1. It has no knowledge of engines.
 
 use std::cell::Cell;
 use std::net::TcpListener;
@@ -23,26 +23,29 @@
 use crate::host::Host;
 use crate::metrics;
 
-/// Header of the answer to a post: for how many milliseconds engines drop a repeat of this statement's mark, counted from
-/// its first sending. Absent where they drop none. Clients that don't know it pass it over.
+/// Header of the answer to a post: for how many milliseconds, counted from the first sending, engines discard
+/// a repeat with this statement's mark. Absent if they do not discard repeats. Clients that do not know the
+/// header ignore it.
 pub const REPEAT_WINDOW: &str = "X-Violetward-Repeat-Window-Millis";
 
-/// Header of the answer to a post: any gateway of the fleet gives the statement's pages. Clients that don't know it pass it over.
+/// Header of the answer to a post: the statement's pages can be requested from any gateway of the fleet.
+/// Clients that do not know the header ignore it.
 pub const ANY_GATEWAY: &str = "X-Violetward-Any-Gateway";
 
-/// Between two looks at who holds a statement: here, and at others.
-const LOCAL_RECHECK: Duration = Duration::from_millis(50);
-const REMOTE_RECHECK: Duration = Duration::from_millis(200);
+/// Interval at which this gateway checks again who holds a statement, as far as it knows.
+const LOCAL_LOOKUP_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval at which other gateways are asked again for a statement.
+const REMOTE_LOOKUP_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The front. One for each listening socket.
+/// The HTTP service of one listening socket.
 pub struct Front {
     host: Rc<Host>,
-    /// Makes the part of a page's path that can't be guessed.
+    /// Key for the unguessable part of page paths.
     secret: [u8; 32],
     connections: Cell<usize>,
 }
 
-/// What is answered to one request.
+/// The answer to one request.
 struct Reply {
     status: u16,
     headers: Headers,
@@ -68,14 +71,14 @@
 }
 
 impl Front {
-    /// A front on a host, with a secret that must be new at every start.
+    /// Creates a front on a host. The secret must be new at every start.
     pub fn new(host: Rc<Host>, secret: [u8; 32]) -> Rc<Self> {
         let front = Rc::new(Front { host, secret, connections: Cell::new(0) });
         *front.host.front.borrow_mut() = Rc::downgrade(&front);
         front
     }
 
-    /// Takes connections. Never ends.
+    /// Accepts connections. Never returns.
     pub async fn run(self: Rc<Self>, listener: Async<TcpListener>) {
         loop {
             match listener.accept().await {
@@ -88,7 +91,8 @@
                     });
                 }
                 Err(e) => {
-                    // Out of descriptors: what is open gets its answers, and the next one waits in the backlog.
+                    // Out of file descriptors: open connections are still served, and new ones wait in the
+                    // backlog.
                     tracing::warn!("cannot accept a connection: {e}");
                     sleep(Duration::from_millis(20)).await;
                 }
@@ -96,22 +100,23 @@
         }
     }
 
+    /// Serves one connection until it ends.
     async fn serve(&self, socket: Async<std::net::TcpStream>) {
-        let limits = Limits { body: self.host.config.host.statement_bytes, ..Limits::default() };
-        let mut connection = Connection::server(socket, limits);
-        let spans = &self.host.config.host;
-        if self.connections.get() > spans.most_connections {
+        let http_limits = Limits { body: self.host.config.host.statement_bytes, ..Limits::default() };
+        let mut connection = Connection::server(socket, http_limits);
+        let limits = &self.host.config.host;
+        if self.connections.get() > limits.most_connections {
             let reply = Reply::text(503, "too many connections; nothing was taken");
             self.send(&mut connection, reply, false).await;
             return;
         }
         loop {
             if !connection.has_partial_message()
-                && timeout(spans.idle_connection, connection.wait_readable()).await.is_none()
+                && timeout(limits.idle_connection, connection.wait_readable()).await.is_none()
             {
                 return;
             }
-            let message = match timeout(spans.request_within, connection.read()).await {
+            let message = match timeout(limits.request_within, connection.read()).await {
                 Some(Ok(Some(message))) => message,
                 Some(Ok(None)) | Some(Err(NetError::Io(_))) => return,
                 Some(Err(NetError::Http(e))) => {
@@ -132,6 +137,7 @@
         }
     }
 
+    /// Writes a reply. Returns whether the client has taken it in time.
     async fn send(&self, connection: &mut Connection, reply: Reply, keep_alive: bool) -> bool {
         let mut out = Vec::with_capacity(reply.body.len() + 256);
         http::write_response(&mut out, reply.status, &reply.headers, &reply.body, keep_alive);
@@ -139,13 +145,13 @@
         matches!(sent, Some(Ok(())))
     }
 
-    /// Answers a request that another gateway has passed on.
-    pub(crate) async fn answer_forwarded(&self, asked: &Asked) -> (Told, Vec<u8>) {
-        let path = asked.path.split('?').next().unwrap_or_default();
-        let host = format!("http://{}", asked.host);
-        let until = Instant::now() + Duration::from_millis(asked.wait_millis);
+    /// Answers a request that another gateway has forwarded.
+    pub(crate) async fn answer_forwarded(&self, request: &Asked) -> (Told, Vec<u8>) {
+        let path = request.path.split('?').next().unwrap_or_default();
+        let host = format!("http://{}", request.host);
+        let until = Instant::now() + Duration::from_millis(request.wait_millis);
         let Some((custody, token)) = self.protected_page(path) else { return Default::default() };
-        let request = Request { method: &asked.method, base: &host, until };
+        let request = Request { method: &request.method, base: &host, until };
         match self.answer_if_held(&custody, &token, &request, None).await {
             HeldAnswer::Reply(reply) => {
                 let headers = reply.headers.iter().map(|(n, v)| (n.to_owned(), v.to_owned())).collect();
@@ -153,17 +159,18 @@
                 (Told { status: reply.status, headers, whole, at: None }, reply.body)
             }
             HeldAnswer::Elsewhere(at) => (Told { at, ..Told::default() }, Vec::new()),
-            HeldAnswer::Left => Default::default(),
+            HeldAnswer::Disconnected => Default::default(),
         }
     }
 
+    /// Decodes the path of a page of a protected statement.
     fn protected_page(&self, path: &str) -> Option<(Rc<Custody>, Token)> {
         let custody = self.host.custody()?;
         let token = custody.token(path)?;
         Some((custody, token))
     }
 
-    /// The reply for a statement that any gateway may hold.
+    /// Answers a request for a statement that any gateway may hold.
     async fn answer_protected(
         &self,
         (custody, token): (Rc<Custody>, Token),
@@ -176,19 +183,19 @@
         let until = Instant::now() + self.poll_timeout(query);
         let request = Request { method, base: &base, until };
         loop {
-            let at = match self.answer_if_held(&custody, &token, &request, Some(connection)).await {
+            let holder = match self.answer_if_held(&custody, &token, &request, Some(connection)).await {
                 HeldAnswer::Reply(reply) => return Some(reply),
-                HeldAnswer::Left => return None,
-                HeldAnswer::Elsewhere(at) => at,
+                HeldAnswer::Disconnected => return None,
+                HeldAnswer::Elsewhere(holder) => holder,
             };
-            let asked = Asked {
+            let forwarded = Asked {
                 method: method.to_owned(),
                 path: target.to_owned(),
                 host: message.headers.get("host").unwrap_or("localhost").to_owned(),
                 wait_millis: until.saturating_duration_since(Instant::now()).as_millis() as u64,
                 from: 0,
             };
-            match custody.pass_on(&self.host, &token, &asked, at).await {
+            match custody.pass_on(&self.host, &token, &forwarded, holder).await {
                 Passed::Told(told, body) => {
                     let mut headers = Headers::default();
                     told.headers.iter().for_each(|(name, value)| headers.push(name, value));
@@ -200,23 +207,23 @@
                         from,
                         number,
                         at = self.host.now(),
-                        "nobody knows this statement any more"
+                        "statement lost: no gateway has a record of it"
                     );
                     return Some(lost_reply());
                 }
-                // What may not act now takes nothing over: somebody else may know more.
+                // A gateway that may not act now cannot take the statement over; another one may know more.
                 Passed::Later
                     if Instant::now() >= until || self.host.is_draining() || !custody.may_act(&self.host) =>
                 {
                     return Some(unreachable_reply())
                 }
-                // It may come to be held here, or somebody may be told of.
-                Passed::Later => custody::news(&custody, until, REMOTE_RECHECK).await,
+                // The statement may be taken over by this gateway or another one meanwhile.
+                Passed::Later => custody::news(&custody, until, REMOTE_LOOKUP_INTERVAL).await,
             }
         }
     }
 
-    /// The reply for a statement that is held here, or who holds it as far as is known here.
+    /// Answers a request for a statement that this gateway holds, or names the gateway that may hold it.
     async fn answer_if_held(
         &self,
         custody: &Rc<Custody>,
@@ -224,53 +231,59 @@
         request: &Request<'_>,
         connection: Option<&Connection>,
     ) -> HeldAnswer {
-        let rest = request.until.min(Instant::now() + custody.rest());
+        let confirm_until = request.until.min(Instant::now() + custody.rest());
         loop {
-            let (place, local) = custody.find(&token.key);
-            let may = custody.may_act(&self.host);
-            // It comes to hold nothing then.
-            let until = if may { request.until } else { rest };
-            match (place, local) {
-                // This one may come to hold it: whoever holds it is doubted.
+            let (whereabouts, local_id) = custody.find(&token.key);
+            let may_act = custody.may_act(&self.host);
+            // A gateway that may not act does not take anything over.
+            let until = if may_act { request.until } else { confirm_until };
+            match (whereabouts, local_id) {
+                // The holder may be dead, and this gateway may take the statement over.
                 (Whereabouts::At(life), None) if Instant::now() < until && !self.is_alive(&life) => {
-                    custody::news(custody, until, LOCAL_RECHECK).await;
+                    custody::news(custody, until, LOCAL_LOOKUP_INTERVAL).await;
                 }
                 (Whereabouts::At(life), _) => return HeldAnswer::Elsewhere(Some(life.name)),
                 (Whereabouts::Taking | Whereabouts::Here, None) if Instant::now() < until => {
-                    custody::news(custody, until, LOCAL_RECHECK).await;
+                    custody::news(custody, until, LOCAL_LOOKUP_INTERVAL).await;
                 }
                 (Whereabouts::Taking | Whereabouts::Here, None) => {
                     return HeldAnswer::Reply(unreachable_reply())
                 }
-                // A gateway that stood still does nothing for what it holds before it knows that it still does.
-                // Others may have taken it over since; who has passed the poll on asks them himself.
-                (Whereabouts::Here, Some(_)) if !may => {
-                    if Instant::now() >= rest {
+                // After a pause, this gateway must not act for the statements it holds until it has confirmed
+                // that it still holds them: others may have taken them over. A gateway that forwarded the
+                // poll asks those itself.
+                (Whereabouts::Here, Some(_)) if !may_act => {
+                    if Instant::now() >= confirm_until {
                         return match connection {
                             Some(_) => HeldAnswer::Elsewhere(None),
                             None => HeldAnswer::Reply(unreachable_reply()),
                         };
                     }
-                    custody::news(custody, rest, LOCAL_RECHECK).await;
+                    custody::news(custody, confirm_until, LOCAL_LOOKUP_INTERVAL).await;
                 }
                 (_, Some(id)) if request.method == "DELETE" => {
-                    let known = self.host.with_core(|core, now| core.cancel(now, id));
+                    let is_known = self.host.with_core(|core, now| core.cancel(now, id));
                     let headers = Headers::default();
-                    return HeldAnswer::Reply(if known {
+                    return HeldAnswer::Reply(if is_known {
                         Reply { status: 204, headers, body: Vec::new() }
                     } else {
                         unknown_reply()
                     });
                 }
                 (_, Some(id)) => match self.poll(request, id, &token.page, token.after, connection).await {
-                    // Another gateway has come to hold it meanwhile.
+                    // Another gateway has taken the statement over meanwhile.
                     Some(reply) if reply.status == 404 && custody.find(&token.key).1.is_none() => {}
                     Some(reply) => return HeldAnswer::Reply(reply),
-                    None => return HeldAnswer::Left,
+                    None => return HeldAnswer::Disconnected,
                 },
                 (Whereabouts::Over(ending), None) => {
                     let (from, number) = (&token.key.taken_by.name, token.key.number);
-                    tracing::debug!(from, number, at = self.host.now(), "asked for after its end");
+                    tracing::debug!(
+                        from,
+                        number,
+                        at = self.host.now(),
+                        "page requested after the end of its statement"
+                    );
                     return HeldAnswer::Reply(self.ended_reply(token, request, ending));
                 }
                 (Whereabouts::Unknown, None) => return HeldAnswer::Elsewhere(None),
@@ -278,7 +291,7 @@
         }
     }
 
-    /// The reply for a statement that has ended and is not kept any more.
+    /// The reply for a statement that has ended and whose pages have been dropped.
     fn ended_reply(
         &self,
         token: &Token,
@@ -295,15 +308,16 @@
         self.host.peers().is_some_and(|peers| peers.lives(life))
     }
 
+    /// The page that tells a statement's ending.
     fn final_page(&self, token: &Token, request: &Request<'_>, ending: Ending) -> Reply {
         if request.method == "DELETE" {
             return Reply { status: 204, headers: Headers::default(), body: Vec::new() };
         }
-        let mut made = pages::Pages::default();
-        made.resume(token.page.token, None);
-        made.finish(ending);
-        match made.take(token.page.token, true) {
-            Turn::Page(made) => self.document(request.base, &token.page, &made),
+        let mut pages = pages::Pages::default();
+        pages.resume(token.page.token, None);
+        pages.finish(ending);
+        match pages.take(token.page.token, true) {
+            Turn::Page(page) => self.document(request.base, &token.page, &page),
             _ => unknown_reply(),
         }
     }
@@ -312,11 +326,11 @@
     fn poll_timeout(&self, query: &str) -> Duration {
         let wanted = query.split('&').find_map(|p| p.strip_prefix("maxWait="));
         let wanted = wanted.and_then(violetward_statement::session::duration);
-        let hold = self.host.config.host.long_poll;
-        wanted.map_or(hold, |wanted| hold.min(wanted))
+        let longest = self.host.config.host.long_poll;
+        wanted.map_or(longest, |wanted| longest.min(wanted))
     }
 
-    /// The reply to a request; `None` if its client has left meanwhile.
+    /// Answers a request; `None` if its client has disconnected meanwhile.
     async fn answer(&self, message: &Message, connection: &Connection) -> Option<Reply> {
         let (method, target) = message.request();
         let (path, query) = target.split_once('?').unwrap_or((target, ""));
@@ -338,9 +352,9 @@
                     self.poll(&request, id, &page, None, Some(connection)).await
                 }
                 Some((id, _)) => {
-                    let known = self.host.with_core(|core, now| core.cancel(now, id));
+                    let is_known = self.host.with_core(|core, now| core.cancel(now, id));
                     let headers = Headers::default();
-                    Some(if known {
+                    Some(if is_known {
                         Reply { status: 204, headers, body: Vec::new() }
                     } else {
                         unknown_reply()
@@ -357,6 +371,7 @@
         }
     }
 
+    /// Accepts a statement.
     async fn post(&self, message: &Message) -> Reply {
         if self.host.is_draining() {
             return Reply::text(503, "this gateway is stopping; the statement was not taken");
@@ -371,19 +386,20 @@
         if text.trim().is_empty() {
             return Reply::text(400, "the statement is empty");
         }
-        // Named after the number that the core gives next, so that a path leads back without a table.
+        // The id contains the number that the core assigns next, so that a page path leads to the statement
+        // without a table.
         let public_id = self.host.next_public_id();
         let submission = Submission { public_id: public_id.clone(), text, context };
-        let protects = match self.host.custody().map(|custody| custody.takes(&self.host)) {
+        let may_protect = match self.host.custody().map(|custody| custody.takes(&self.host)) {
             Some(Takes::No(why)) => return Reply::text(503, why),
             Some(Takes::Unprotected) => false,
             Some(Takes::Protected) | None => true,
         };
-        let id = self.host.with_core(|core, now| core.submit_with_protection(now, submission, protects));
+        let id = self.host.with_core(|core, now| core.submit_with_protection(now, submission, may_protect));
         let mut page = PageRef { slug: self.slug_of(id, &public_id, None), id: public_id, token: 0 };
         if self.host.read_core(|core| core.has_ended(id)) {
-            if let Turn::Page(made) = self.host.with_core(|core, now| core.page(now, id, 0, true)) {
-                return self.document(&base_uri(message), &page, &made);
+            if let Turn::Page(contents) = self.host.with_core(|core, now| core.page(now, id, 0, true)) {
+                return self.document(&base_uri(message), &page, &contents);
             }
         }
         let custody = self.host.custody().filter(|custody| custody.knows(id));
@@ -391,7 +407,8 @@
             if !custody.settles(&self.host, id).await {
                 return Reply::text(503, "no other gateway could keep the statement; it was not taken");
             }
-            // Others may have been named meanwhile. One that has been handed over keeps the names it had.
+            // Further gateways may have got its record meanwhile. A statement that has been handed over keeps
+            // its slug.
             if custody.knows(id) {
                 page.slug = self.slug_of(id, &page.id, None);
             }
@@ -406,6 +423,7 @@
         reply
     }
 
+    /// Answers a poll; `None` if its client disconnects meanwhile.
     async fn poll(
         &self,
         request: &Request<'_>,
@@ -417,35 +435,36 @@
         let until = request.until;
         self.host.with_core(|core, now| core.set_waiting(now, id, true));
         let reply = loop {
-            let heard = self.host.subscribe(id);
+            let changed = self.host.subscribe(id);
             let patient = Instant::now() < until;
             match self.host.with_core(|core, now| core.page_after(now, id, page.token, after, patient)) {
-                Turn::Page(made) => {
-                    // The page after it is named by what its client has then, and by who may hold it then.
-                    let slug = match made.end {
-                        None => self.slug_of(id, &page.id, made.after),
+                Turn::Page(contents) => {
+                    // The slug of the next page contains which rows the client has by then and which gateways
+                    // may hold the statement.
+                    let slug = match contents.end {
+                        None => self.slug_of(id, &page.id, contents.after),
                         Some(_) => page.slug.clone(),
                     };
-                    break Some(self.document(request.base, &PageRef { slug, ..page.clone() }, &made));
+                    break Some(self.document(request.base, &PageRef { slug, ..page.clone() }, &contents));
                 }
                 Turn::Gone => break Some(Reply::text(410, "this page has been taken and is gone")),
                 Turn::Unknown => break Some(unknown_reply()),
                 Turn::Wait => {}
             }
-            let news = async {
-                future::or(heard, violetward_net::sleep_until(until)).await;
+            let page_or_timeout = async {
+                future::or(changed, violetward_net::sleep_until(until)).await;
                 true
             };
-            let left = async {
+            let disconnected = async {
                 let Some(connection) = connection else { return future::pending().await };
                 connection.wait_readable().await;
                 if connection.is_closed() {
                     return false;
                 }
-                // The next request has come already; it waits for its turn.
+                // The client has sent its next request already; it waits its turn.
                 future::pending().await
             };
-            if !future::or(news, left).await {
+            if !future::or(page_or_timeout, disconnected).await {
                 break None;
             }
         };
@@ -454,10 +473,11 @@
         reply
     }
 
-    fn document(&self, base: &str, page: &PageRef, made: &Page) -> Reply {
-        let error = made.end.as_ref().and_then(|e| e.error());
-        let mut reply = Reply::document(pages::document(base, page, made));
-        for (name, value) in &made.session {
+    /// The reply with a page of results.
+    fn document(&self, base: &str, page: &PageRef, contents: &Page) -> Reply {
+        let error = contents.end.as_ref().and_then(|e| e.error());
+        let mut reply = Reply::document(pages::document(base, page, contents));
+        for (name, value) in &contents.session {
             reply.headers.push(name, value.clone());
         }
         let advice = error.and_then(|e| e.failure_info.as_ref()).and_then(|i| i.retry_after_millis);
@@ -468,39 +488,42 @@
         reply
     }
 
+    /// Decodes the path of a page whose statement only this gateway knows.
     fn local_page(&self, path: &str) -> Option<(StatementId, PageRef)> {
         let page = PageRef::parse(path)?;
         let mac = self.mac(&page.id);
-        mac.verify_truncated_left(&unhex(&page.slug)?).ok()?;
+        mac.verify_truncated_left(&parse_hex(&page.slug)?).ok()?;
         let number = page.id.rsplit('_').nth(1)?.parse().ok()?;
         Some((StatementId(number), page))
     }
 
+    /// The code that authenticates the slugs of a statement.
     fn mac(&self, id: &str) -> Hmac<Sha256> {
-        let mut mac = Hmac::<Sha256>::new_from_slice(&self.secret).expect("any length of key will do");
+        let mut mac = Hmac::<Sha256>::new_from_slice(&self.secret).expect("HMAC accepts keys of any length");
         mac.update(id.as_bytes());
         mac
     }
 
-    /// The slug of a statement's next page: one that all gateways read if it is protected.
+    /// The slug of a statement's next page. If the statement is protected, all gateways can decode it.
     fn slug_of(&self, id: StatementId, public_id: &str, after: Option<u64>) -> String {
-        let due = self.host.read_core(|core| core.deadline(id)).unwrap_or(0);
-        let guarded = || self.host.custody()?.slug(id, public_id, after, due);
-        guarded().unwrap_or_else(|| self.slug(public_id))
+        let deadline = self.host.read_core(|core| core.deadline(id)).unwrap_or(0);
+        let shared_slug = || self.host.custody()?.slug(id, public_id, after, deadline);
+        shared_slug().unwrap_or_else(|| self.slug(public_id))
     }
 
+    /// The slug of a page that only this gateway can decode.
     fn slug(&self, id: &str) -> String {
         self.mac(id).finalize().into_bytes()[..16].iter().map(|b| format!("{b:02x}")).collect()
     }
 
     fn info(&self) -> Reply {
-        let up = self.host.started.elapsed();
+        let uptime = self.host.started.elapsed();
         Reply::json(&serde_json::json!({
             "nodeVersion": { "version": env!("CARGO_PKG_VERSION") },
             "environment": "violetward",
             "coordinator": true,
             "starting": false,
-            "uptime": format!("{:.2}s", up.as_secs_f64()),
+            "uptime": format!("{:.2}s", uptime.as_secs_f64()),
         }))
     }
 
@@ -565,20 +588,20 @@
             let (status, text) = agreed.clock_is_right(&self.host, after, &key, &code);
             return Reply::text(status, text);
         }
-        let dry = query == "dry";
-        let (status, report) = agreed.proposed(&self.host, &message.body, after, dry, &key, &code).await;
+        let dry_run = query == "dry";
+        let (status, report) = agreed.proposed(&self.host, &message.body, after, dry_run, &key, &code).await;
         Reply { status, ..Reply::json(&report) }
     }
 
     fn status(&self) -> Reply {
         let (open, held, counts) = self.host.read_core(|core| (core.open(), core.held(), core.counts));
-        let node = NodeStatus {
+        let status = NodeStatus {
             node_id: self.host.instance.clone(),
             uptime_millis: self.host.started.elapsed().as_millis() as u64,
             running_statements: Some(open as u32),
             ..NodeStatus::default()
         };
-        let mut value = serde_json::to_value(&node).unwrap_or_default();
+        let mut value = serde_json::to_value(&status).unwrap_or_default();
         value["gateway"] = serde_json::json!({
             "held": held, "connections": self.connections.get(), "taken": counts.taken, "served": counts.served,
             "declined": counts.declined, "refused": counts.refused, "failed": counts.failed,
@@ -608,31 +631,32 @@
     }
 }
 
-/// A request for a page, its client's or one passed on.
+/// A request for a page, from a client or forwarded by another gateway.
 struct Request<'a> {
     method: &'a str,
-    /// The address of this service as the client calls it.
+    /// Base URI of this service as the client addresses it.
     base: &'a str,
     until: Instant,
 }
 
-/// What came of asking here for a statement.
+/// The result of looking for a statement in this gateway.
 enum HeldAnswer {
     Reply(Reply),
-    /// It is not here; who may hold it.
+    /// The statement is not here. The name of the gateway that may hold it, if known.
     Elsewhere(Option<String>),
-    /// The client has left.
-    Left,
+    /// The client has disconnected.
+    Disconnected,
 }
 
-/// It is known neither where the statement is nor that it is nowhere. By the protocol the client asks again.
+/// It cannot be found out now who holds the statement or whether it is lost. By the protocol, 503 makes the
+/// client poll again.
 fn unreachable_reply() -> Reply {
     let mut reply = Reply::text(503, "whoever holds this statement cannot be reached now; ask again");
     reply.headers.push("Retry-After", "1");
     reply
 }
 
-/// Not an ending: nobody can say any more whether it ran.
+/// Reports that the statement is lost. This is no ending, because nobody knows whether the statement ran.
 fn lost_reply() -> Reply {
     Reply::text(410, "this statement was lost with the gateways that knew of it; it may have run")
 }
@@ -653,7 +677,8 @@
     format!("http://{}", message.headers.get("host").unwrap_or("localhost"))
 }
 
-pub(crate) fn unhex(text: &str) -> Option<[u8; 16]> {
+/// Decodes 32 hexadecimal digits.
+pub(crate) fn parse_hex(text: &str) -> Option<[u8; 16]> {
     let mut out = [0; 16];
     if text.len() != 32 || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
         return None;
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -1,4 +1,5 @@
-//! Carries out the core's effects: attempts, probes, timers, and waking of pollers. Everything runs on one thread.
+//! Carries out the core's effects: attempts, probes, timers and the wake-up of pollers. Everything runs on
+//! one thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -23,47 +24,56 @@
 use crate::terms::Config;
 use crate::windows::Windows;
 
-/// Sessions that may wait to be freed.
+/// Maximum number of sessions waiting to be released.
 const MAX_QUEUED_RELEASES: usize = 10_000;
 
-/// What an attempt's task is told.
+/// Maximum number of idle connections kept to an engine.
+const MAX_IDLE_CONNECTIONS: usize = 64;
+
+/// Control channels of an attempt's task.
 pub(crate) struct AttemptControl {
+    /// Lets the attempt fetch its next page.
     pub fetch_page: async_channel::Sender<()>,
-    /// Whether its work is to be ended at the engine too.
+    /// Stops the attempt. The value says whether its work on the engine is cancelled too.
     pub stop: async_channel::Sender<bool>,
 }
 
 impl AttemptControl {
-    /// Stops it; its work at the engine goes on.
+    /// Stops the attempt here but leaves its work on the engine running.
     fn detach(&self) {
         self.stop.try_send(false).ok();
     }
 }
 
-/// The host. Fronts and engine connections share it.
+/// The runtime that fronts and engine connections share.
 pub struct Host {
     /// The configuration.
     pub config: Config,
-    /// This process's name; another one at every start.
+    /// Name of this process, different at every start.
     pub instance: String,
     pub(crate) clock: Clock,
-    /// The other gateways, where this one knows of them.
+    /// Membership of the fleet, if configured.
     pub(crate) peers: RefCell<Option<Rc<Peers>>>,
-    /// The settings on which they agree, and until when the core's rules hold without a look at them.
+    /// Agreement on settings, if configured.
     pub(crate) agreed: RefCell<Option<Rc<Agreed>>>,
+    /// Until when the core's rules are known to hold without another check.
     pub(crate) rules_valid_until: Cell<Micros>,
-    /// Windows of maintenance, where gateways hold them.
+    /// Maintenance windows, if configured.
     pub(crate) windows: RefCell<Option<Rc<Windows>>>,
-    /// Statements that outlive their gateway, where some do; and the front that answers for those passed on.
+    /// Custody of statements, if configured.
     pub(crate) custody: RefCell<Option<Rc<Custody>>>,
+    /// The front that answers requests forwarded by other gateways.
     pub(crate) front: RefCell<std::rc::Weak<Front>>,
-    /// The sites, where they are watched.
+    /// Monitoring of sites, if configured.
     pub(crate) outage: RefCell<Option<Rc<Outage>>>,
     core: RefCell<Core>,
     executor: Rc<LocalExecutor<'static>>,
     attempts: RefCell<HashMap<AttemptId, AttemptControl>>,
+    /// Events that wake the pollers of a statement.
     pollers: RefCell<HashMap<StatementId, Rc<Event>>>,
+    /// Connection pools of the engines.
     pools: RefCell<HashMap<SocketAddr, Rc<Pool>>>,
+    /// Sessions to release: address of the engine, its id of the session, and whether it has a transaction.
     release_sender: async_channel::Sender<(SocketAddr, String, bool)>,
     release_receiver: async_channel::Receiver<(SocketAddr, String, bool)>,
     alarm: Alarm,
@@ -72,15 +82,20 @@
 }
 
 impl Host {
-    /// A host for a core made from the same configuration.
-    pub fn new(config: Config, life: String, core: Core, executor: Rc<LocalExecutor<'static>>) -> Rc<Self> {
-        let (releases, to_release) = async_channel::bounded(MAX_QUEUED_RELEASES);
+    /// Creates a host for a core made from the same configuration.
+    pub fn new(
+        config: Config,
+        instance: String,
+        core: Core,
+        executor: Rc<LocalExecutor<'static>>,
+    ) -> Rc<Self> {
+        let (release_sender, release_receiver) = async_channel::bounded(MAX_QUEUED_RELEASES);
         Rc::new(Host {
-            release_sender: releases,
-            release_receiver: to_release,
+            release_sender,
+            release_receiver,
             core: RefCell::new(core),
             config,
-            instance: life,
+            instance,
             clock: Clock::new(),
             peers: RefCell::default(),
             agreed: RefCell::default(),
@@ -99,18 +114,19 @@
         })
     }
 
-    /// The time of the core.
+    /// The current time of the core's clock.
     pub fn now(&self) -> Micros {
         self.clock.now()
     }
 
-    /// Date and time (UTC) as the protocol's statement ids begin with them: `20261201_122130`.
+    /// Date and time (UTC) in the form that statement ids of the protocol begin with: `20261201_122130`.
     pub fn compact_timestamp(&self) -> String {
         let [year, month, day, hour, minute, second] = self.calendar();
         format!("{year:04}{month:02}{day:02}_{hour:02}{minute:02}{second:02}")
     }
 
-    /// The public id of the statement that is handed in next; its number leads back to it without a table.
+    /// The public id of the next statement. It contains the statement's number, so that no table is needed to
+    /// find it.
     pub fn next_public_id(&self) -> String {
         let number = self.read_core(Core::next_number);
         format!("{}_{number:05}_{}", self.compact_timestamp(), self.instance)
@@ -132,7 +148,7 @@
         self.executor.spawn(task).detach();
     }
 
-    /// Passes something to the core and carries out what follows.
+    /// Calls the core and carries out the resulting effects.
     pub fn with_core<T>(self: &Rc<Self>, act: impl FnOnce(&mut Core, Micros) -> T) -> T {
         let now = self.refresh_rules();
         let result = act(&mut self.core.borrow_mut(), now);
@@ -147,15 +163,15 @@
         result
     }
 
-    /// Passes something to the core; what follows from it is carried out later, by [`Host::core`].
+    /// Calls the core; the resulting effects are carried out by the next [`Host::with_core`].
     pub(crate) fn with_core_deferred<T>(self: &Rc<Self>, act: impl FnOnce(&mut Core, Micros) -> T) -> T {
         let now = self.refresh_rules();
         act(&mut self.core.borrow_mut(), now)
     }
 
-    /// The last look at the lease: a process that stood still for longer than its lease must not act on the old rules when it
-    /// wakes, whichever of its tasks is first.
-    /// Gives the time of that look, which is the core's.
+    /// Refreshes the rules if they are no longer known to hold, and returns the time for the core. A process
+    /// that was paused for longer than its lease must not act on the old rules, whichever of its tasks runs
+    /// first.
     fn refresh_rules(self: &Rc<Self>) -> Micros {
         let now = self.clock.now();
         if now < self.rules_valid_until.get() {
@@ -163,43 +179,43 @@
         }
         let agreed = self.agreed.borrow().clone();
         agreed.iter().for_each(|agreed| agreed.refresh(self));
-        // The core's time never goes back: new rules have passed it on.
+        // Setting new rules has advanced the core's time, which never goes back.
         self.clock.now()
     }
 
-    /// Whether an attempt may still be sent, by the rules of now: to be asked just before it is written.
+    /// Whether an attempt may still be sent under the current rules. To be checked just before it is written.
     pub(crate) fn may_send(self: &Rc<Self>, attempt: AttemptId, engine: &str) -> bool {
         self.refresh_rules();
-        // What another gateway holds now must not be written by a task that was connecting when it was left.
-        let wanted = || self.attempts.borrow().contains_key(&attempt);
-        let held = self.custody().is_none_or(|custody| wanted() && custody.may_go(self, attempt.0));
-        held && self.read_core(|core| core.may_send(attempt, engine))
+        // An attempt that was still connecting when its statement was handed over must not be written.
+        let still_here = || self.attempts.borrow().contains_key(&attempt);
+        let may_act = self.custody().is_none_or(|custody| still_here() && custody.may_go(self, attempt.0));
+        may_act && self.read_core(|core| core.may_send(attempt, engine))
     }
 
-    /// Custody of statements, where there is any.
+    /// Custody of statements, if configured.
     pub(crate) fn custody(&self) -> Option<Rc<Custody>> {
         self.custody.borrow().clone()
     }
 
-    /// The sites, where they are watched.
+    /// Monitoring of sites, if configured.
     pub(crate) fn outage(&self) -> Option<Rc<Outage>> {
         self.outage.borrow().clone()
     }
 
-    /// The front that answers for statements here.
+    /// The front that answers requests forwarded by other gateways.
     pub(crate) fn front(&self) -> Option<Rc<Front>> {
         self.front.borrow().upgrade()
     }
 
-    /// Begins an attempt.
+    /// Starts an attempt.
     pub(crate) fn launch(self: &Rc<Self>, launch: Launch) {
-        let (pull, pulled) = async_channel::bounded(1);
-        let (stop, stopped) = async_channel::bounded(1);
-        self.attempts.borrow_mut().insert(launch.attempt, AttemptControl { fetch_page: pull, stop });
-        self.spawn(engine::attempt(self.clone(), launch, pulled, stopped));
+        let (fetch_page, fetch_requests) = async_channel::bounded(1);
+        let (stop, stop_requests) = async_channel::bounded(1);
+        self.attempts.borrow_mut().insert(launch.attempt, AttemptControl { fetch_page, stop });
+        self.spawn(engine::attempt(self.clone(), launch, fetch_requests, stop_requests));
     }
 
-    /// This gateway's own list has been read.
+    /// Applies a new version of this gateway's engine list.
     pub(crate) fn update_engine_list(
         self: &Rc<Self>,
         list: &std::collections::BTreeMap<String, crate::record::EngineRecord>,
@@ -209,13 +225,14 @@
         agreed.iter().for_each(|agreed| agreed.listed(self, list));
     }
 
-    /// The other gateways, where this one knows of them.
+    /// Membership of the fleet, if configured.
     pub(crate) fn peers(&self) -> Option<Rc<Peers>> {
         self.peers.borrow().clone()
     }
 
-    fn apply_engine_status(self: &Rc<Self>, engine: EngineId, told: Option<(Load, Option<String>)>) {
-        let (load, epoch) = told.map_or((None, None), |(load, epoch)| (Some(load), epoch));
+    /// Passes the status of an engine and the epoch of its process to the core.
+    fn apply_engine_status(self: &Rc<Self>, engine: EngineId, status: Option<(Load, Option<String>)>) {
+        let (load, epoch) = status.map_or((None, None), |(load, epoch)| (Some(load), epoch));
         self.with_core(|core, now| {
             if let Some(epoch) = epoch {
                 core.engine_epoch(now, engine, &epoch);
@@ -224,7 +241,7 @@
         });
     }
 
-    /// Frees what lost sessions hold, eight at a time. Never ends.
+    /// Releases lost sessions on their engines, eight at a time. Never returns.
     pub async fn run_releases(self: Rc<Self>) {
         let worker = || async {
             while let Ok((address, inner, transaction)) = self.release_receiver.recv().await {
@@ -235,27 +252,27 @@
         future::zip(pairs(), pairs()).await;
     }
 
-    /// Looks at the core.
-    pub fn read_core<T>(&self, look: impl FnOnce(&Core) -> T) -> T {
-        look(&self.core.borrow())
+    /// Reads from the core.
+    pub fn read_core<T>(&self, read: impl FnOnce(&Core) -> T) -> T {
+        read(&self.core.borrow())
     }
 
-    /// No new statements from now on.
+    /// Stops accepting new statements.
     pub fn drain(&self) {
         self.draining.set(true);
     }
 
-    /// New statements are not taken.
+    /// Whether new statements are refused.
     pub fn is_draining(&self) -> bool {
         self.draining.get()
     }
 
-    /// Tells when the pages of a statement may have changed.
+    /// Subscribes to changes of a statement's pages.
     pub fn subscribe(&self, id: StatementId) -> EventListener {
         self.pollers.borrow_mut().entry(id).or_default().listen()
     }
 
-    /// Drops the list of pollers of a statement that has none.
+    /// Removes the event of a statement that has no subscribers left.
     pub fn unsubscribe(&self, id: StatementId) {
         let mut pollers = self.pollers.borrow_mut();
         if pollers.get(&id).is_some_and(|e| e.total_listeners() == 0) {
@@ -263,17 +280,22 @@
         }
     }
 
-    /// Idle connections to an engine.
+    /// The connection pool of an engine.
     pub(crate) fn pool(&self, address: SocketAddr) -> Rc<Pool> {
         let limits = Limits { body: self.config.host.page_bytes, ..Limits::default() };
         let mut pools = self.pools.borrow_mut();
-        pools.entry(address).or_insert_with(|| Rc::new(Pool::new(address, limits, 64))).clone()
+        pools
+            .entry(address)
+            .or_insert_with(|| Rc::new(Pool::new(address, limits, MAX_IDLE_CONNECTIONS)))
+            .clone()
     }
 
+    /// Drops the control channels of an attempt that is over.
     pub(crate) fn remove_attempt(&self, id: AttemptId) {
         self.attempts.borrow_mut().remove(&id);
     }
 
+    /// Carries out an effect of the core.
     fn apply_effect(self: &Rc<Self>, effect: Effect) {
         match effect {
             Effect::Launch(launch) => {
@@ -283,16 +305,16 @@
                 };
                 launch.into_iter().for_each(|launch| self.launch(*launch));
             }
-            Effect::Resume(follow) => {
-                let (pull, pulled) = async_channel::bounded(1);
-                let (stop, stopped) = async_channel::bounded(1);
-                self.attempts.borrow_mut().insert(follow.attempt, AttemptControl { fetch_page: pull, stop });
-                self.spawn(engine::resume(self.clone(), *follow, pulled, stopped));
+            Effect::Resume(resumed) => {
+                let (fetch_page, fetch_requests) = async_channel::bounded(1);
+                let (stop, stop_requests) = async_channel::bounded(1);
+                self.attempts.borrow_mut().insert(resumed.attempt, AttemptControl { fetch_page, stop });
+                self.spawn(engine::resume(self.clone(), *resumed, fetch_requests, stop_requests));
             }
             Effect::Detach(id) => {
                 let parked = self.custody().is_some_and(|custody| custody.withdrawn(id));
-                if let (Some(reins), false) = (self.attempts.borrow_mut().remove(&id), parked) {
-                    reins.detach();
+                if let (Some(control), false) = (self.attempts.borrow_mut().remove(&id), parked) {
+                    control.detach();
                 }
             }
             Effect::Protect(id) => self.custody().iter().for_each(|c| c.taken(self, id)),
@@ -304,29 +326,31 @@
             Effect::ReleaseRecord(id) => self.custody().iter().for_each(|c| c.forget(self, id)),
             Effect::Removed(id) => self.custody().iter().for_each(|c| c.gone(id)),
             Effect::FetchPage(id) => {
-                if let Some(reins) = self.attempts.borrow().get(&id) {
-                    reins.fetch_page.try_send(()).ok();
+                if let Some(control) = self.attempts.borrow().get(&id) {
+                    control.fetch_page.try_send(()).ok();
                 }
             }
             Effect::Cancel(id) => {
                 if let Some(custody) = self.custody() {
                     custody.withdrawn(id);
                 }
-                if let Some(reins) = self.attempts.borrow_mut().remove(&id) {
-                    reins.stop.try_send(true).ok();
+                if let Some(control) = self.attempts.borrow_mut().remove(&id) {
+                    control.stop.try_send(true).ok();
                 }
             }
             Effect::Probe(engine, address) => {
                 let host = self.clone();
                 self.spawn(async move {
-                    let told = engine::status(&host, address).await;
-                    host.apply_engine_status(engine, told);
+                    let status = engine::status(&host, address).await;
+                    host.apply_engine_status(engine, status);
                 });
             }
             Effect::ReleaseSession { address, inner, transaction } => {
-                // A wave of them goes out a few at a time; what is dropped is left to the engine's own limits.
+                // A burst is sent a few at a time; what does not fit into the queue expires by the engine's own limits.
                 if self.release_sender.try_send((address, inner, transaction)).is_err() {
-                    tracing::warn!("too many sessions to be freed at once; the rest is left to the engines");
+                    tracing::warn!(
+                        "queue of sessions to release is full; this one expires by its engine's limits"
+                    );
                 }
             }
             Effect::NotifyPollers(id) => {
@@ -352,35 +376,37 @@
         }
     }
 
-    /// Wakes the core when it asks for it. Never ends.
+    /// Wakes the core at the times it requests. Never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             self.alarm.wait(&self.clock, || self.read_core(Core::next_wake)).await;
             self.with_core(|core, now| core.wake(now));
-            // Gives the tasks that this has woken their turn.
+            // Lets the tasks run that this has woken.
             future::yield_now().await;
         }
     }
 
-    /// Asks each engine for its load, again and again, where the configuration says so. Never ends.
+    /// Polls the load of all engines at the configured interval. Never returns.
     pub async fn run_status(self: Rc<Self>) {
-        let every = self.config.host.status_every;
-        let asked: Rc<RefCell<std::collections::HashSet<EngineId>>> = Rc::default();
+        let interval = self.config.host.status_every;
+        let pending: Rc<RefCell<std::collections::HashSet<EngineId>>> = Rc::default();
         loop {
-            violetward_net::sleep(if every.is_zero() { Duration::from_secs(3600) } else { every }).await;
+            violetward_net::sleep(if interval.is_zero() { Duration::from_secs(3600) } else { interval })
+                .await;
             let engines: Vec<(EngineId, SocketAddr)> =
                 self.read_core(|core| core.engines().map(|r| (r.entry.engine, r.address)).collect());
             for (engine, address) in engines {
-                if !asked.borrow_mut().insert(engine) {
+                if !pending.borrow_mut().insert(engine) {
                     continue;
                 }
-                let (host, asked) = (self.clone(), asked.clone());
+                let (host, pending) = (self.clone(), pending.clone());
                 self.spawn(async move {
-                    let told = engine::status(&host, address).await;
-                    asked.borrow_mut().remove(&engine);
-                    // Only good news count here: whether silence means sickness is for the module's own probes.
-                    if told.is_some() {
-                        host.apply_engine_status(engine, told);
+                    let status = engine::status(&host, address).await;
+                    pending.borrow_mut().remove(&engine);
+                    // Only answers count here: whether silence means that an engine is unhealthy is decided
+                    // by the decision module's probes.
+                    if status.is_some() {
+                        host.apply_engine_status(engine, status);
                     }
                 });
             }
