--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -37,6 +37,9 @@
 /// Interval at which other gateways are asked again for a statement.
 const REMOTE_LOOKUP_INTERVAL: Duration = Duration::from_millis(200);
 
+/// Delay after a failure to accept a connection.
+const ACCEPT_RETRY: Duration = Duration::from_millis(20);
+
 /// The HTTP service of one listening socket.
 pub struct Front {
     host: Rc<Host>,
@@ -94,7 +97,7 @@
                     // Out of file descriptors: open connections are still served, and new ones wait in the
                     // backlog.
                     tracing::warn!("cannot accept a connection: {e}");
-                    sleep(Duration::from_millis(20)).await;
+                    sleep(ACCEPT_RETRY).await;
                 }
             }
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,10 +1,13 @@
-//! The query gateway: fronts that clients speak to, the core that owns the decisions, and engine connections.
+//! The query gateway: the fronts that clients connect to, the core that decides, and the connections to
+//! engines.
 //!
-//! Free of I/O and clock: [`core`] and what it stands on, [`terms`], [`record`] and [`rules`], which know no syntax; [`forms`]
-//! and what is read from it, [`config`] and [`list`]. What moves bytes: [`host`] (the core's
-//! effects, timers, probes), [`engine`] (one attempt on one engine), [`front`] (the statement API), [`notebook`]
-//! (a notebook kernel), [`watch`] (the
-//! engine list's file), [`peers`] (datagrams among gateways); [`service`] ties them together.
+//! The following modules perform no I/O and read no clock: [`core`], [`sessions`], and the terms they work
+//! with, [`terms`], [`record`] and [`rules`], which are independent of any syntax; [`forms`], the reader of
+//! S-expressions, and what is read with it, [`config`] and [`list`].
+//!
+//! The I/O is done by [`host`] (effects of the core, timers, probes), [`engine`] (an attempt on an engine),
+//! [`front`] (the statement API), [`notebook`] (a notebook kernel), [`watch`] (the file of the engine list)
+//! and [`peers`] (datagrams between gateways). [`service`] starts and stops them.
 
 pub mod agreed;
 pub mod config;
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -1,4 +1,4 @@
-//! The file that lists the engines. A damaged record never costs a good one its place.
+//! The file that lists the engines. A damaged record does not affect the valid ones.
 
 use std::collections::BTreeMap;
 
@@ -8,26 +8,28 @@
 pub use crate::record::{engine_id, hash, zone_id, EngineRecord};
 use crate::terms::Names;
 
-/// What a reading of the file gave.
+/// The result of parsing the file.
 #[derive(Debug, Default)]
 pub struct ParsedList {
-    /// Good records by name.
+    /// Valid records by name.
     pub records: BTreeMap<String, EngineRecord>,
-    /// Names of records that are there but damaged: what was known of them stands.
+    /// Names of damaged records, whose previous state is kept.
     pub damaged: Vec<String>,
-    /// Every mistake.
+    /// All mistakes found.
     pub mistakes: Vec<Mistake>,
 }
 
-/// Reads `(engine NAME (address A) (kind K) (zone Z) (cell N) (state up|draining) (came-up MILLISECONDS))` records.
-/// `came-up` counts from the Unix epoch; 0 or absent: long ago.
+/// Parses `(engine NAME (address A) (kind K) (zone Z) (cell N) (state up|draining) (came-up MILLISECONDS))`
+/// records. `came-up` counts from the Unix epoch; 0 or absence means long ago.
 ///
 /// # Errors
-/// If the text is not S-expressions at all: then nothing of it is to be believed, and the old list stands.
+///
+/// If the text is not a sequence of S-expressions. Nothing of it is used then, and the previous list stays in
+/// force.
 pub fn parse(text: &str, names: &Names) -> Result<ParsedList, Mistake> {
     let data = forms::read(text)?;
     let mut c = Checker::default();
-    let mut reading = ParsedList::default();
+    let mut parsed = ParsedList::default();
     for datum in &data {
         let Some(form) = c.form(datum.as_ref()) else { continue };
         if form.name != "engine" {
@@ -35,21 +37,21 @@
             continue;
         }
         let Some(name) = c.name(&form) else { continue };
-        let before = c.mistakes.len();
+        let mistakes_before = c.mistakes.len();
         let record = record(&mut c, &form, &name, names);
-        if reading.records.contains_key(&name) || reading.damaged.contains(&name) {
+        if parsed.records.contains_key(&name) || parsed.damaged.contains(&name) {
             c.at(&form, format!("engine {name} stands twice; the first counts"));
             continue;
         }
         match record {
-            Some(record) if c.mistakes.len() == before => {
-                reading.records.insert(name, record);
+            Some(record) if c.mistakes.len() == mistakes_before => {
+                parsed.records.insert(name, record);
             }
-            _ => reading.damaged.push(name),
+            _ => parsed.damaged.push(name),
         }
     }
-    reading.mistakes = c.mistakes;
-    Ok(reading)
+    parsed.mistakes = c.mistakes;
+    Ok(parsed)
 }
 
 fn record(c: &mut Checker, form: &Form<'_>, name: &str, names: &Names) -> Option<EngineRecord> {
@@ -86,10 +88,10 @@
     Some(EngineRecord { name: name.to_owned(), address: address?, entry })
 }
 
-/// The list that now holds: good records, and for damaged ones what was known before.
-pub fn merge(old: &BTreeMap<String, EngineRecord>, reading: &ParsedList) -> BTreeMap<String, EngineRecord> {
-    let mut new = reading.records.clone();
-    for name in &reading.damaged {
+/// The new list: valid records, and the previous state of damaged ones.
+pub fn merge(old: &BTreeMap<String, EngineRecord>, parsed: &ParsedList) -> BTreeMap<String, EngineRecord> {
+    let mut new = parsed.records.clone();
+    for name in &parsed.damaged {
         if let Some(known) = old.get(name) {
             new.insert(name.clone(), known.clone());
         }
@@ -106,20 +108,20 @@
     }
 
     #[test]
-    fn a_damaged_record_keeps_its_old_place_and_costs_no_other() {
+    fn a_damaged_record_keeps_its_previous_state_and_affects_no_other() {
         let good = "(engine e1 (address \"127.0.0.1:1\") (kind m8))\n(engine e2 (address \"127.0.0.1:2\"))";
         let old = parse(good, &names()).unwrap().records;
         let bad = "(engine e1 (address \"nowhere\"))\n(engine e2 (address \"127.0.0.1:2\") (state draining))";
-        let reading = parse(bad, &names()).unwrap();
-        assert_eq!(reading.damaged, ["e1"]);
-        assert_eq!((reading.mistakes[0].line, reading.mistakes[0].column), (1, 12));
-        let new = merge(&old, &reading);
+        let parsed = parse(bad, &names()).unwrap();
+        assert_eq!(parsed.damaged, ["e1"]);
+        assert_eq!((parsed.mistakes[0].line, parsed.mistakes[0].column), (1, 12));
+        let new = merge(&old, &parsed);
         assert_eq!(new["e1"], old["e1"]);
         assert_eq!(new["e2"].entry.listed, Listed::Draining);
     }
 
     #[test]
-    fn a_text_that_is_cut_off_is_not_believed() {
+    fn a_truncated_text_is_rejected() {
         assert!(parse("(engine e1 (address \"127.0.0.1:1\")", &names()).is_err());
     }
 }
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `violetward`.
+//! The `violetward` command.
 
 use std::io::IsTerminal;
 use std::path::PathBuf;
@@ -10,18 +10,19 @@
 use violetward_dns::zone::{Change, Zone};
 use violetward_gateway::{agreed, config, peers, service, watch};
 
-/// A workload manager for analytic engines: it admits statements, sends each to an engine that can answer it in time,
-/// and refuses at once what none could. Clients speak the public statement protocol of Trino to it.
+/// A workload manager for analytic engines. It admits statements, routes each to an engine that can answer it
+/// in time, and refuses at once those that none could answer. Clients connect with the statement protocol of
+/// Trino.
 #[derive(Parser)]
 #[command(name = "violetward", version)]
 struct Cli {
-    /// How the log is written to standard error.
+    /// Format of the log, which is written to standard error.
     #[arg(long, value_enum, default_value_t = LogForm::Plain, global = true)]
     log: LogForm,
-    /// What is logged: error, warn, info, debug, or a filter such as "info,violetward::module=warn".
+    /// Log level (error, warn, info, debug) or a filter such as "info,violetward::module=warn".
     #[arg(long, default_value = "info", global = true)]
     log_level: String,
-    /// End with the process that started this one, even if that is killed outright.
+    /// Exit together with the parent process, even if that is killed.
     #[arg(long, global = true, hide = true)]
     with_parent: bool,
     #[command(subcommand)]
@@ -30,50 +31,51 @@
 
 #[derive(Clone, Copy, PartialEq, ValueEnum)]
 enum LogForm {
-    /// Lines for people.
+    /// Plain text lines.
     Plain,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a gateway with the configuration FILE until SIGTERM; what has been taken then still gets its answer.
+    /// Run a gateway with the configuration FILE until SIGTERM. Accepted statements are still answered after
+    /// that.
     Serve {
-        /// The configuration (S-expressions; see docs/operators.md).
+        /// Configuration file (S-expressions; see docs/operators.md).
         file: PathBuf,
-        /// Write the address that the gateway listens on to this file, once it does.
+        /// Write the listening address to this file once the gateway listens.
         #[arg(long)]
         address_file: Option<PathBuf>,
     },
-    /// Check the configuration FILE: each mistake with its line, its column and what was expected.
+    /// Check the configuration FILE and report each mistake with its line, its column and what was expected.
     Check {
-        /// The configuration.
+        /// Configuration file.
         file: PathBuf,
     },
-    /// Run the query gateway of a platform that tells its configuration by PROXY_CONFIG and PROXY_LISTEN.
+    /// Run the query gateway of a platform that passes its configuration in PROXY_CONFIG and PROXY_LISTEN.
     Platform {
-        /// The configuration (JSON; see docs/operators.md).
+        /// Configuration file (JSON; see docs/operators.md).
         #[arg(long, env = "PROXY_CONFIG")]
         config: PathBuf,
-        /// The address that clients connect to, if not that of the configuration.
+        /// Listening address for clients, instead of that in the configuration.
         #[arg(long, env = "PROXY_LISTEN")]
         listen: Option<std::net::SocketAddr>,
     },
-    /// Show the gateways that the one at ADDRESS knows of, as a table.
+    /// Show the gateways known to the gateway at ADDRESS as a table.
     Members {
-        /// Where that gateway takes statements.
+        /// Address at which the gateway serves the statement API.
         address: std::net::SocketAddr,
-        /// As JSON.
+        /// Print JSON.
         #[arg(long)]
         json: bool,
     },
-    /// The settings on which the gateways agree.
+    /// Manage the settings on which the gateways agree.
     Settings {
         #[command(subcommand)]
         what: SettingsCommand,
     },
-    /// Look at zone files that list engines.
+    /// Inspect zone files that list engines.
     Zone {
         #[command(subcommand)]
         what: ZoneCommand,
@@ -82,91 +84,96 @@
 
 #[derive(Subcommand)]
 enum SettingsCommand {
-    /// Make the file in which the gateway of the configuration FILE keeps its votes, before its very first start.
+    /// Create the vote file of the gateway with the configuration FILE. To be run once, before its very first
+    /// start.
     Init {
-        /// The configuration.
+        /// Configuration file.
         file: PathBuf,
     },
-    /// Make a new file for the gateway of the configuration FILE, which votes and has lost its own, while it does not run: from
-    /// what a majority of the voters, this one not among them, say.
+    /// Re-create the lost vote file of the voting gateway with the configuration FILE, from the answers of a
+    /// majority of the voters without this one. The gateway must not be running.
     Replace {
-        /// The configuration.
+        /// Configuration file.
         file: PathBuf,
-        /// Where those other voters take statements.
+        /// Addresses at which those other voters serve the statement API.
         #[arg(required = true)]
         others: Vec<std::net::SocketAddr>,
     },
-    /// Propose the rules in FILE as the next version; tells what they change.
+    /// Propose the rules in FILE as the next version, and print what they change.
     Propose {
-        /// Where a gateway that votes takes statements.
+        /// Address at which a voting gateway serves the statement API.
         address: std::net::SocketAddr,
-        /// The rules.
+        /// File with the rules.
         file: PathBuf,
-        /// The file of the operator's key: the first one signs.
+        /// File with operator keys; the first key signs.
         #[arg(long)]
         key_file: PathBuf,
-        /// Only tell what they would change.
+        /// Only print what the rules would change.
         #[arg(long)]
         dry_run: bool,
     },
-    /// Propose the rules of an earlier version as the next one: that before the newest, or that with the number TO.
+    /// Propose the rules of an earlier version as the next one: those of the version before the newest, or of
+    /// version TO.
     Undo {
-        /// Where a gateway that votes takes statements.
+        /// Address at which a voting gateway serves the statement API.
         address: std::net::SocketAddr,
-        /// The version whose rules are to hold again; 0: the configuration alone.
+        /// Version whose rules are proposed again; 0 stands for the configuration alone.
         #[arg(long)]
         to: Option<u64>,
-        /// The file of the operator's key: the first one signs.
+        /// File with operator keys; the first key signs.
         #[arg(long)]
         key_file: PathBuf,
     },
-    /// Show what the gateway at ADDRESS acts on, and the newest rules.
+    /// Show the settings that the gateway at ADDRESS acts on, and the newest rules.
     Show {
-        /// Where that gateway takes statements.
+        /// Address at which the gateway serves the statement API.
         address: std::net::SocketAddr,
-        /// As JSON, all versions included.
+        /// Print JSON with all versions.
         #[arg(long)]
         json: bool,
     },
-    /// Show the versions that the gateway at ADDRESS keeps, and what each changed.
+    /// Show the versions kept by the gateway at ADDRESS, and what each one changed.
     History {
-        /// Where that gateway takes statements.
+        /// Address at which the gateway serves the statement API.
         address: std::net::SocketAddr,
     },
-    /// Say that the wall clock of the gateway at ADDRESS, which was set, is right: windows go by it again.
+    /// Confirm that the wall clock of the gateway at ADDRESS is right after it was set, so that maintenance
+    /// windows follow it again.
     Clock {
-        /// Where that gateway takes statements.
+        /// Address at which the gateway serves the statement API.
         address: std::net::SocketAddr,
-        /// The file of the operator's key: the first one signs.
+        /// File with operator keys; the first key signs.
         #[arg(long)]
         key_file: PathBuf,
     },
     /// Show the lines in which two versions differ.
     Diff {
-        /// Where a gateway takes statements.
+        /// Address at which a gateway serves the statement API.
         address: std::net::SocketAddr,
-        /// The older version.
+        /// Older version.
         from: u64,
-        /// The newer one.
+        /// Newer version.
         to: u64,
     },
 }
 
-/// The rules of a version that a gateway keeps; 0 is the configuration alone.
+/// The rules of a version kept by a gateway; version 0 is the configuration alone.
 fn content(standing: &agreed::Standing, number: u64) -> Result<String, String> {
     if number == 0 {
         return Ok(String::new());
     }
     let found = standing.history.iter().find(|v| v.number == number);
-    found.map(|v| v.content.clone()).ok_or_else(|| format!("version {number} is not kept there"))
+    found.map(|v| v.content.clone()).ok_or_else(|| format!("the gateway does not keep version {number}"))
 }
 
-fn operator(file: &std::path::Path) -> Result<(String, String), String> {
+/// Reads the first key of a file of operator keys.
+fn operator_key(file: &std::path::Path) -> Result<(String, String), String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
     let keys = config::read_operators(&text).map_err(|e| format!("{}: {e}", file.display()))?;
-    keys.into_iter().next().ok_or_else(|| "no key".into())
+    keys.into_iter().next().ok_or_else(|| format!("{}: contains no key", file.display()))
 }
 
+/// Proposes rules as the version after `after` and prints the result. Returns whether they were accepted.
 async fn propose(
     address: std::net::SocketAddr,
     rules: &str,
@@ -174,27 +181,28 @@
     dry_run: bool,
     key_file: &std::path::Path,
 ) -> Result<bool, String> {
-    let report = agreed::propose(address, rules.as_bytes(), after, dry_run, &operator(key_file)?).await?;
+    let report = agreed::propose(address, rules.as_bytes(), after, dry_run, &operator_key(key_file)?).await?;
     report.changes.iter().for_each(|change| println!("{change}"));
     let number = report.number.map_or(String::new(), |n| format!(" as version {n}"));
     println!("{}{number}{}{}", report.outcome, if report.text.is_empty() { "" } else { ": " }, report.text);
     Ok(matches!(report.outcome.as_str(), "committed" | "would commit"))
 }
 
+/// Runs a `settings` command. Returns whether it succeeded.
 async fn settings(what: SettingsCommand) -> Result<bool, String> {
     match what {
         SettingsCommand::Init { file } => {
             let config = config::load(&file).map_err(|mistakes| mistakes.join("\n"))?;
             let terms = config.agreement.ok_or("the configuration has no (agreement ...)")?;
             if !terms.voters.contains(&terms.name) {
-                return Err(format!("{} does not vote and needs no file", terms.name));
+                return Err(format!("{} does not vote and needs no vote file", terms.name));
             }
-            println!("{}: made", agreed::init(&terms)?.display());
+            println!("{}: created", agreed::init(&terms)?.display());
         }
         SettingsCommand::Replace { file, others } => {
             let config = config::load(&file).map_err(|mistakes| mistakes.join("\n"))?;
             let terms = config.agreement.ok_or("the configuration has no (agreement ...)")?;
-            println!("{}: made", agreed::replace(&terms, &others).await?.display());
+            println!("{}: created", agreed::replace(&terms, &others).await?.display());
         }
         SettingsCommand::Propose { address, file, key_file, dry_run } => {
             let rules = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
@@ -222,7 +230,7 @@
             }
         }
         SettingsCommand::Clock { address, key_file } => {
-            println!("{}", agreed::clock_is_right(address, &operator(&key_file)?).await?);
+            println!("{}", agreed::clock_is_right(address, &operator_key(&key_file)?).await?);
         }
         SettingsCommand::Diff { address, from, to } => {
             let standing = agreed::ask(address).await?;
@@ -238,37 +246,38 @@
 
 #[derive(Subcommand)]
 enum ZoneCommand {
-    /// Tell each mistake with its line and column.
+    /// Report each mistake with its line and column.
     Check {
-        /// The master file.
+        /// Master file.
         file: PathBuf,
-        /// The zone's name.
+        /// Name of the zone.
         #[arg(long)]
         origin: String,
     },
-    /// Show its records, whole and in order.
+    /// Print all records in order.
     Show {
-        /// The master file.
+        /// Master file.
         file: PathBuf,
-        /// The zone's name.
+        /// Name of the zone.
         #[arg(long)]
         origin: String,
     },
-    /// Show what has changed from one file to another.
+    /// Show the differences between two files.
     Diff {
-        /// The master file of before.
+        /// Older master file.
         old: PathBuf,
-        /// That of after.
+        /// Newer master file.
         new: PathBuf,
-        /// The zone's name.
+        /// Name of the zone.
         #[arg(long)]
         origin: String,
     },
 }
 
-/// Reads a zone, and tells what is wrong with it; `None` if nothing of it can be used.
+/// Reads a zone and reports its mistakes. Returns whether it has none, or `None` if nothing of it can be
+/// used.
 fn read_zone(file: &std::path::Path, origin: &str) -> Option<(Zone, bool)> {
-    let told = |why: String| eprintln!("{}:{why}", file.display());
+    let report = |why: String| eprintln!("{}:{why}", file.display());
     let origin = match Name::parse(origin, &Name::root()) {
         Ok(origin) => origin,
         Err(e) => {
@@ -276,28 +285,28 @@
             return None;
         }
     };
-    let text = std::fs::read_to_string(file).map_err(|e| told(format!(" {e}"))).ok()?;
+    let text = std::fs::read_to_string(file).map_err(|e| report(format!(" {e}"))).ok()?;
     let reading = master::read(&text, &origin, &mut |name| watch::include(file, name));
-    let (zone, wrong) = master::zone(&origin, &reading);
-    let mut good = reading.mistakes.is_empty() && wrong.is_empty();
-    reading.mistakes.iter().for_each(|m| told(m.to_string()));
-    wrong.into_iter().for_each(|w| told(format!(" {w}")));
+    let (zone, inconsistencies) = master::zone(&origin, &reading);
+    let mut good = reading.mistakes.is_empty() && inconsistencies.is_empty();
+    reading.mistakes.iter().for_each(|m| report(m.to_string()));
+    inconsistencies.into_iter().for_each(|w| report(format!(" {w}")));
     if reading.cut {
-        told(" the file is cut off".into());
+        report(" the file is truncated".into());
         good = false;
     }
     if zone.serial().is_none() {
-        told(" there is no SOA record: no gateway would believe it".into());
+        report(" there is no SOA record: gateways would reject the zone".into());
         good = false;
     }
     Some((zone, good))
 }
 
 fn zone(what: &ZoneCommand) -> ExitCode {
-    let done = match what {
+    let result = match what {
         ZoneCommand::Check { file, origin } => read_zone(file, origin).map(|(zone, good)| {
             if good {
-                println!("{}: good, {} sets of records", file.display(), zone.len());
+                println!("{}: valid, {} record sets", file.display(), zone.len());
             }
             good
         }),
@@ -317,7 +326,7 @@
             })
         }
     };
-    if done == Some(true) {
+    if result == Some(true) {
         ExitCode::SUCCESS
     } else {
         ExitCode::from(2)
@@ -347,7 +356,7 @@
         Ok(view) if json => println!("{}", serde_json::to_string_pretty(&view).unwrap_or_default()),
         Ok(view) => {
             println!("{view}");
-            // Without custody there is nothing to tell.
+            // Without custody there is nothing to show.
             let custody = futures_lite::future::block_on(violetward_gateway::custody::ask(address));
             custody.iter().for_each(|standing| println!("{standing}"));
         }
@@ -398,15 +407,17 @@
     };
     let Command::Serve { address_file, .. } = cli.command else {
         let (classes, kinds) = (config.names.classes.join(", "), config.names.kinds.join(", "));
-        println!("{}: good. Classes: {classes}. Kinds: {kinds}.", file.display());
+        println!("{}: valid. Classes: {classes}. Kinds: {kinds}.", file.display());
         if let Some(terms) = &config.custody {
-            let kept = config.names.classes.iter().zip(&terms.protect).filter(|c| *c.1);
-            let kept: Vec<&str> = kept.map(|c| c.0.as_str()).collect();
-            println!("Statements outlive their gateway: {}.", kept.join(", "));
+            let protected = config.names.classes.iter().zip(&terms.protect).filter(|c| *c.1);
+            let protected: Vec<&str> = protected.map(|c| c.0.as_str()).collect();
+            println!("Classes whose statements other gateways can take over: {}.", protected.join(", "));
         }
         if let Some(terms) = &config.agreement {
             let bound = std::time::Duration::from_micros(terms.bound());
-            println!("T: {bound:.1?} after a version is committed nobody acts on an earlier one alone.");
+            println!(
+                "Bound T: {bound:.1?} after a version is committed, no gateway acts on an earlier one alone."
+            );
         }
         return ExitCode::SUCCESS;
     };
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,5 +1,5 @@
-//! `GET /metrics`: the gateway's counts in the usual exposition (OpenMetrics text), read when they are asked for. Nothing is kept
-//! for it, and a label has no more values than there are kinds of endings, states or classes.
+//! `GET /metrics`: the gateway's counters and gauges in OpenMetrics text format, collected at each request. A
+//! label has no more values than there are kinds of endings, member states or classes.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,17 +13,17 @@
 
 use crate::host::Host;
 
-/// The type of the text.
+/// Content type of the exposition.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// What is told, as it stood at one moment.
+/// Values of all metrics at the time of the request.
 #[derive(Debug)]
 struct Snapshot {
-    /// Statements by how they ended.
+    /// Statements by ending.
     endings: [(&'static str, u64); 6],
     counters: Vec<(&'static str, &'static str, u64)>,
     gauges: Vec<(&'static str, &'static str, f64)>,
-    /// Members by what is believed of them.
+    /// Members of the fleet by state.
     members: BTreeMap<&'static str, i64>,
 }
 
@@ -136,12 +136,12 @@
     }
 }
 
-/// The text.
+/// Renders the exposition.
 pub fn render(host: &Rc<Host>, connections: usize) -> String {
     let mut registry = Registry::with_prefix("violetward");
     registry.register_collector(Box::new(Snapshot::new(host, connections)));
     let mut text = String::new();
-    // Only a name that OpenMetrics does not allow could fail, and a test reads them all.
+    // Encoding fails only for names that OpenMetrics does not allow, and a test reads all of them.
     prometheus_client::encoding::text::encode(&mut text, &registry).ok();
     text
 }
--- a/crates/gateway/src/notebook.rs
+++ b/crates/gateway/src/notebook.rs
@@ -1,5 +1,5 @@
-//! The notebook front: a Jupyter kernel over ZMTP on five TCP sockets, on the same core as the statement front. A cell is
-//! a statement. Knows nothing of engines.
+//! The notebook front: a Jupyter kernel over ZMTP on five TCP sockets, on the same core as the statement
+//! front. A cell is a statement. It has no knowledge of engines.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -23,50 +23,64 @@
 use crate::core::{StatementId, Submission};
 use crate::host::Host;
 
-/// Messages that wait for one iopub subscriber; further ones are dropped for it alone.
+/// Maximum number of messages queued for an iopub subscriber; further ones are dropped for this subscriber.
 const MAX_QUEUED_IOPUB: usize = 512;
-/// Replies that wait for one client; a client that lets more pile up is cut off.
+/// Maximum number of replies queued for a client; a client that exceeds it is disconnected.
 const MAX_QUEUED_REPLIES: usize = 512;
-/// Sessions that carry something from one cell to the next.
+/// Maximum number of notebook sessions that carry state from one cell to the next.
 const MAX_CARRIED_SESSIONS: usize = 65_536;
-/// Signatures remembered against replays.
+/// Maximum number of subscriptions of a connection.
+const MAX_SUBSCRIPTIONS: usize = 64;
+/// Maximum number of tags taken from a cell's metadata.
+const MAX_TAGS: usize = 64;
+/// Size of the buffer for reading from a connection.
+const READ_CHUNK_BYTES: usize = 16 << 10;
+/// Delay after a failure to accept a connection.
+const ACCEPT_RETRY: std::time::Duration = std::time::Duration::from_millis(20);
+/// Maximum number of signatures remembered to detect replays.
 const MAX_SIGNATURES: usize = 65_536;
 
 pub use crate::terms::KernelConfig;
 
+/// The outgoing queue of a connection.
 type Peer = Sender<Vec<u8>>;
 
-/// Prefixes that a subscriber wants, and its way.
+/// The topic prefixes and the outgoing queue of an iopub subscriber.
 type Subscriber = (Vec<Vec<u8>>, Peer);
 
-/// The front: one kernel that any number of clients share.
+/// The notebook front: one kernel shared by any number of clients.
 pub struct Notebook {
     host: Rc<Host>,
     config: KernelConfig,
     kernel: RefCell<Kernel>,
     signer: RefCell<Signer>,
+    /// Session id of the kernel's own messages.
     session: String,
-    next: Cell<u64>,
+    /// Number of the next connection or message.
+    next_number: Cell<u64>,
+    /// Outgoing queues of the request sockets' connections.
     clients: RefCell<HashMap<u64, Peer>>,
     subscribers: RefCell<HashMap<u64, Subscriber>>,
+    /// Statements of the running cells.
     runs: RefCell<HashMap<u64, StatementId>>,
-    /// What sessions carry, for as long as a connection of theirs lives.
+    /// State carried from cell to cell, by notebook session, as long as a connection of the session lives.
     carried: RefCell<HashMap<String, Carried>>,
-    /// Sessions of each connection.
+    /// Notebook sessions of each connection.
     sessions_of: RefCell<HashMap<u64, HashSet<String>>>,
-    /// Counts kernels: cells of one that was shut down end nowhere.
-    life: Cell<u64>,
-    /// Messages that were dropped for slow subscribers.
+    /// Number of kernels shut down; results for cells of an earlier kernel are discarded.
+    kernels_shut_down: Cell<u64>,
+    /// Messages dropped for slow subscribers.
     pub dropped: Cell<u64>,
-    /// Messages that were not to be believed.
+    /// Messages rejected because they could not be authenticated or parsed.
     pub refused: Cell<u64>,
 }
 
 impl Notebook {
-    /// Binds the five sockets, writes the connection file and starts to answer.
+    /// Binds the five sockets, writes the connection file and starts to serve.
     ///
     /// # Errors
-    /// If a socket cannot be bound or the file not be written.
+    ///
+    /// If a socket cannot be bound or the file cannot be written.
     pub fn start(host: Rc<Host>, ip: IpAddr, config: KernelConfig) -> std::io::Result<Rc<Notebook>> {
         let key: String = rand::random::<[u8; 16]>().iter().map(|b| format!("{b:02x}")).collect();
         let bind = || Async::<TcpListener>::bind((ip, 0));
@@ -85,13 +99,13 @@
             kernel: RefCell::new(Kernel::new()),
             signer: RefCell::new(Signer::new(key.as_bytes(), MAX_SIGNATURES)),
             session,
-            next: Cell::new(1),
+            next_number: Cell::new(1),
             clients: RefCell::default(),
             subscribers: RefCell::default(),
             runs: RefCell::default(),
             carried: RefCell::default(),
             sessions_of: RefCell::default(),
-            life: Cell::new(0),
+            kernels_shut_down: Cell::new(0),
             dropped: Cell::new(0),
             refused: Cell::new(0),
         });
@@ -100,34 +114,35 @@
         host.spawn(notebook.clone().accept(stdin, Socket::Router, None));
         host.spawn(notebook.clone().accept(iopub, Socket::Pub, None));
         host.spawn(notebook.clone().accept(hb, Socket::Rep, None));
-        tracing::info!(file = %notebook.config.connection_file.display(), "taking cells");
+        tracing::info!(file = %notebook.config.connection_file.display(), "accepting notebook cells");
         Ok(notebook)
     }
 
+    /// Accepts connections of one socket. Never returns.
     async fn accept(self: Rc<Self>, listener: Async<TcpListener>, socket: Socket, channel: Option<Channel>) {
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     let notebook = self.clone();
-                    let n = self.next.replace(self.next.get() + 1);
+                    let connection = self.next_number.replace(self.next_number.get() + 1);
                     self.host.spawn(async move {
-                        if let Err(why) = notebook.serve(n, stream, socket, channel).await {
-                            tracing::debug!("a notebook client was cut off: {why}");
+                        if let Err(why) = notebook.serve(connection, stream, socket, channel).await {
+                            tracing::debug!("notebook client disconnected: {why}");
                         }
-                        notebook.clients.borrow_mut().remove(&n);
-                        notebook.subscribers.borrow_mut().remove(&n);
-                        notebook.left(n);
+                        notebook.clients.borrow_mut().remove(&connection);
+                        notebook.subscribers.borrow_mut().remove(&connection);
+                        notebook.connection_ended(connection);
                     });
                 }
-                Err(_) => sleep(std::time::Duration::from_millis(20)).await,
+                Err(_) => sleep(ACCEPT_RETRY).await,
             }
         }
     }
 
-    /// One connection, to its end.
+    /// Serves one connection until it ends.
     async fn serve(
         self: &Rc<Self>,
-        n: u64,
+        connection: u64,
         stream: Async<TcpStream>,
         socket: Socket,
         channel: Option<Channel>,
@@ -138,26 +153,27 @@
         let stream = Rc::new(stream);
         future::or(
             write(stream.clone(), outgoing, self.host.config.host.stream_idle),
-            self.read(n, stream, socket, channel, sender),
+            self.read(connection, stream, socket, channel, sender),
         )
         .await
     }
 
+    /// Reads and handles the messages of a connection until it ends.
     async fn read(
         self: &Rc<Self>,
-        n: u64,
+        connection: u64,
         stream: Rc<Async<TcpStream>>,
         socket: Socket,
         channel: Option<Channel>,
         sender: Peer,
     ) -> Result<(), String> {
         let mut reader = Reader::new(socket, Limits::default());
-        let mut chunk = vec![0; 16 << 10];
+        let mut chunk = vec![0; READ_CHUNK_BYTES];
         let mut ready = false;
         loop {
             let within = self.host.config.host.request_within;
             let read = async { (&*stream).read(&mut chunk).await };
-            // The handshake is bounded in time; after it a peer may be silent for as long as it likes.
+            // The handshake is limited in time; after it, a peer may stay silent.
             let read = if ready { Some(read.await) } else { timeout(within, read).await };
             let size = read.ok_or("no handshake in time")?.map_err(|e| e.to_string())?;
             if size == 0 {
@@ -169,24 +185,24 @@
                     Got::Ready(_) => {
                         ready = true;
                         if channel.is_some() {
-                            self.clients.borrow_mut().insert(n, sender.clone());
+                            self.clients.borrow_mut().insert(connection, sender.clone());
                         }
                         if socket == Socket::Pub {
-                            self.subscribers.borrow_mut().insert(n, (Vec::new(), sender.clone()));
+                            self.subscribers.borrow_mut().insert(connection, (Vec::new(), sender.clone()));
                         }
                     }
                     Got::Message(parts) if socket == Socket::Rep => {
-                        sender.try_send(zmtp::message(&parts)).map_err(|_| "heartbeats pile up")?;
+                        sender.try_send(zmtp::message(&parts)).map_err(|_| "too many unsent heartbeats")?;
                     }
                     Got::Message(parts) => {
                         if let Some(channel) = channel {
-                            self.request(n, channel, &parts);
+                            self.request(connection, channel, &parts);
                         }
                     }
-                    Got::Subscribe(way, prefix) => {
-                        if let Some((prefixes, _)) = self.subscribers.borrow_mut().get_mut(&n) {
-                            match way {
-                                true if prefixes.len() < 64 => prefixes.push(prefix),
+                    Got::Subscribe(subscribes, prefix) => {
+                        if let Some((prefixes, _)) = self.subscribers.borrow_mut().get_mut(&connection) {
+                            match subscribes {
+                                true if prefixes.len() < MAX_SUBSCRIPTIONS => prefixes.push(prefix),
                                 true => return Err("too many subscriptions".into()),
                                 false => {
                                     if let Some(at) = prefixes.iter().position(|p| *p == prefix) {
@@ -197,44 +213,47 @@
                         }
                     }
                     Got::Ping(context) => {
-                        sender.try_send(zmtp::pong(&context)).map_err(|_| "pings pile up")?;
+                        sender.try_send(zmtp::pong(&context)).map_err(|_| "too many unsent pongs")?;
                     }
                 }
             }
         }
     }
 
-    fn request(self: &Rc<Self>, n: u64, channel: Channel, parts: &[Vec<u8>]) {
+    /// Handles a message of a request socket.
+    fn request(self: &Rc<Self>, connection: u64, channel: Channel, parts: &[Vec<u8>]) {
         let message = self.signer.borrow_mut().read(parts);
         match message {
             Ok(mut message) => {
                 if channel == Channel::Shell && message.header.msg_type == "execute_request" {
                     let session = message.header.session.clone();
-                    self.sessions_of.borrow_mut().entry(n).or_default().insert(session);
+                    self.sessions_of.borrow_mut().entry(connection).or_default().insert(session);
                 }
-                // The way back begins with the connection.
-                message.identities.insert(0, n.to_be_bytes().to_vec());
-                let out = self.kernel.borrow_mut().handle(channel, message);
-                self.carry_out(out);
+                // The first identity names the connection, so that the reply finds its way back.
+                message.identities.insert(0, connection.to_be_bytes().to_vec());
+                let outputs = self.kernel.borrow_mut().handle(channel, message);
+                self.apply_outputs(outputs);
             }
             Err(why) => {
                 self.refused.set(self.refused.get() + 1);
-                tracing::warn!("a notebook message is dropped: {why}");
+                tracing::warn!("notebook message rejected: {why}");
             }
         }
     }
 
-    fn carry_out(self: &Rc<Self>, out: Vec<Out>) {
-        for out in out {
-            match out {
+    /// Carries out what the kernel asks for.
+    fn apply_outputs(self: &Rc<Self>, outputs: Vec<Out>) {
+        for output in outputs {
+            match output {
                 Out::Reply { identities, parent, kind, content, .. } => {
-                    let Some((n, way)) = identities.split_first() else { continue };
-                    let n = u64::from_be_bytes(n.as_slice().try_into().unwrap_or_default());
-                    let bytes = zmtp::message(&self.write(way, &parent, kind, &content));
-                    let full = self.clients.borrow().get(&n).is_some_and(|c| c.try_send(bytes).is_err());
-                    if full {
-                        // It does not read its replies: without its sender its connection ends.
-                        if let Some(client) = self.clients.borrow_mut().remove(&n) {
+                    let Some((connection, return_path)) = identities.split_first() else { continue };
+                    let connection = u64::from_be_bytes(connection.as_slice().try_into().unwrap_or_default());
+                    let bytes = zmtp::message(&self.write(return_path, &parent, kind, &content));
+                    let queue_full =
+                        self.clients.borrow().get(&connection).is_some_and(|c| c.try_send(bytes).is_err());
+                    if queue_full {
+                        // The client does not read its replies. Closing its queue ends the connection.
+                        if let Some(client) = self.clients.borrow_mut().remove(&connection) {
                             client.close();
                         }
                     }
@@ -247,27 +266,35 @@
                     }
                 }
                 Out::Shutdown => {
-                    // The kernel's state ends; the gateway stays, and a new kernel takes its place.
-                    self.life.set(self.life.get() + 1);
-                    let all: Vec<String> = self.carried.borrow().keys().cloned().collect();
-                    all.iter().for_each(|session| self.let_go(session));
+                    // The state of the kernel is dropped, and a new kernel takes its place; the gateway keeps
+                    // running.
+                    self.kernels_shut_down.set(self.kernels_shut_down.get() + 1);
+                    let sessions: Vec<String> = self.carried.borrow().keys().cloned().collect();
+                    sessions.iter().for_each(|session| self.end_session(session));
                     *self.kernel.borrow_mut() = Kernel::new();
                 }
             }
         }
     }
 
-    fn write(&self, way: &[Vec<u8>], parent: &Value, kind: &str, content: &Value) -> Vec<Vec<u8>> {
-        let n = self.next.replace(self.next.get() + 1);
-        let header =
-            kernel::header(format!("{}-{n}", self.session), &self.session, kind, self.host.iso_timestamp());
-        self.signer.borrow().write(way, &header, parent, content)
+    /// Signs and encodes a message.
+    fn write(&self, identities: &[Vec<u8>], parent: &Value, kind: &str, content: &Value) -> Vec<Vec<u8>> {
+        let number = self.next_number.replace(self.next_number.get() + 1);
+        let header = kernel::header(
+            format!("{}-{number}", self.session),
+            &self.session,
+            kind,
+            self.host.iso_timestamp(),
+        );
+        self.signer.borrow().write(identities, &header, parent, content)
     }
 
+    /// Sends a message to the iopub subscribers that want it.
     fn publish(&self, parent: &Value, kind: &str, content: &Value) {
-        // Led by the session that asked, so that a client of a busy kernel can subscribe to what is its own.
-        let asked = parent["session"].as_str().unwrap_or_default();
-        let topic = format!("{asked}.kernel.{}.{kind}", self.session).into_bytes();
+        // The topic starts with the requesting session, so that a client of a busy kernel can subscribe to
+        // its own messages.
+        let session = parent["session"].as_str().unwrap_or_default();
+        let topic = format!("{session}.kernel.{}.{kind}", self.session).into_bytes();
         let bytes = zmtp::message(&self.write(std::slice::from_ref(&topic), parent, kind, content));
         for (prefixes, peer) in self.subscribers.borrow().values() {
             let wanted = prefixes.iter().any(|p| topic.starts_with(p));
@@ -277,7 +304,7 @@
         }
     }
 
-    /// A cell is a statement like any other.
+    /// Runs a cell as a statement.
     fn run(self: &Rc<Self>, run: u64, session: String, code: String, terms: &Value) {
         let public_id = self.host.next_public_id();
         let mut context = self.context(terms);
@@ -285,18 +312,18 @@
         let id =
             self.host.with_core(|core, now| core.submit(now, Submission { public_id, text: code, context }));
         self.runs.borrow_mut().insert(run, id);
-        let (notebook, life) = (self.clone(), self.life.get());
+        let (notebook, kernels_shut_down) = (self.clone(), self.kernels_shut_down.get());
         self.host.spawn(async move {
             let end = notebook.collect(id, &session).await;
             notebook.runs.borrow_mut().remove(&run);
-            if notebook.life.get() == life {
-                let out = notebook.kernel.borrow_mut().ended(run, end);
-                notebook.carry_out(out);
+            if notebook.kernels_shut_down.get() == kernels_shut_down {
+                let outputs = notebook.kernel.borrow_mut().ended(run, end);
+                notebook.apply_outputs(outputs);
             }
         });
     }
 
-    /// What a cell's metadata says, as the headers of the statement front would.
+    /// The context of a cell's metadata, like that of the headers of the statement front.
     fn context(&self, terms: &Value) -> Context {
         let millis = |name: &str| terms[name].as_u64().map(std::time::Duration::from_millis);
         let tags = terms["tags"].as_array().into_iter().flatten().filter_map(Value::as_str);
@@ -305,7 +332,7 @@
         Context {
             user: self.config.user.clone(),
             source: "kernel".into(),
-            tags: tags.take(64).map(str::to_owned).collect(),
+            tags: tags.take(MAX_TAGS).map(str::to_owned).collect(),
             session: session.into_iter().collect(),
             trace_token: terms["trace"].as_str().map(str::to_owned),
             estimated_cpu: millis("cpu_millis"),
@@ -314,58 +341,59 @@
         }
     }
 
-    /// Keeps what an answer says of the session for its next cell.
-    fn carry(&self, session: &str, changes: &[(String, String)]) {
+    /// Applies the session changes of an answer to the state carried to the session's next cell.
+    fn carry_changes(&self, session: &str, changes: &[(String, String)]) {
         if changes.is_empty() {
             return;
         }
-        let mut all = self.carried.borrow_mut();
-        if all.len() >= MAX_CARRIED_SESSIONS && !all.contains_key(session) {
-            tracing::warn!("too many sessions carry something; one of a notebook is forgotten");
+        let mut carried_by_session = self.carried.borrow_mut();
+        if carried_by_session.len() >= MAX_CARRIED_SESSIONS && !carried_by_session.contains_key(session) {
+            tracing::warn!("too many notebook sessions carry state; the state of one is dropped");
             return;
         }
-        let carried = all.entry(session.to_owned()).or_default();
+        let carried = carried_by_session.entry(session.to_owned()).or_default();
         changes.iter().for_each(|(name, value)| carried.take(name, value));
         if carried.is_empty() {
-            all.remove(session);
+            carried_by_session.remove(session);
         }
     }
 
-    /// A connection has ended: sessions without another one end with it.
-    fn left(&self, n: u64) {
-        let Some(sessions) = self.sessions_of.borrow_mut().remove(&n) else { return };
+    /// Ends the notebook sessions that have no other connection.
+    fn connection_ended(&self, connection: u64) {
+        let Some(sessions) = self.sessions_of.borrow_mut().remove(&connection) else { return };
         for session in sessions {
             if !self.sessions_of.borrow().values().any(|s| s.contains(&session)) {
-                self.let_go(&session);
+                self.end_session(&session);
             }
         }
     }
 
-    fn let_go(&self, session: &str) {
+    /// Ends a notebook session and releases what it holds on engines.
+    fn end_session(&self, session: &str) {
         let Some(carried) = self.carried.borrow_mut().remove(session) else { return };
         let property = carried.session.iter().find(|(n, _)| n == PROPERTY).map(|(_, v)| v.as_str());
         let tokens: Vec<&str> = carried.transaction.as_deref().into_iter().chain(property).collect();
         self.host.with_core(|core, now| core.release_sessions(now, &self.config.user, &tokens));
     }
 
-    /// Takes the pages of a statement to its end.
+    /// Fetches the pages of a statement to its end.
     async fn collect(&self, id: StatementId, session: &str) -> CellEnd {
         let mut table = Table::default();
         let mut token = 0;
         self.host.with_core(|core, now| core.set_waiting(now, id, true));
         let end = loop {
-            let heard = self.host.subscribe(id);
+            let changed = self.host.subscribe(id);
             match self.host.with_core(|core, now| core.page(now, id, token, true)) {
                 Turn::Page(page) => {
-                    add(&mut table, &page, self.config.rows);
+                    add_page(&mut table, &page, self.config.rows);
                     token += 1;
                     if let Some(end) = &page.end {
-                        self.carry(session, &page.session);
+                        self.carry_changes(session, &page.session);
                         break end.error().map_or(CellEnd::Table(table), cell_error);
                     }
                 }
-                Turn::Wait => heard.await,
-                Turn::Gone | Turn::Unknown => break lost(),
+                Turn::Wait => changed.await,
+                Turn::Gone | Turn::Unknown => break unknown_ending(),
             }
         };
         self.host.with_core(|core, now| core.set_waiting(now, id, false));
@@ -374,6 +402,7 @@
     }
 }
 
+/// Writes queued messages to the connection until it ends.
 async fn write(
     stream: Rc<Async<TcpStream>>,
     outgoing: Receiver<Vec<u8>>,
@@ -381,19 +410,20 @@
 ) -> Result<(), String> {
     while let Ok(bytes) = outgoing.recv().await {
         let sent = timeout(within, async { (&*stream).write_all(&bytes).await }).await;
-        sent.ok_or("it does not read")?.map_err(|e| e.to_string())?;
+        sent.ok_or("messages not read in time")?.map_err(|e| e.to_string())?;
     }
-    Err("it let its replies pile up".into())
+    Err("too many unread replies".into())
 }
 
-fn add(table: &mut Table, page: &Page, most: usize) {
+/// Adds a page to a cell's table, which keeps at most `max_rows` rows.
+fn add_page(table: &mut Table, page: &Page, max_rows: usize) {
     if let (true, Some(columns)) = (table.columns.is_empty(), &page.columns) {
         let columns: Vec<Value> = serde_json::from_str(columns.get()).unwrap_or_default();
         table.columns = columns.iter().map(|c| c["name"].as_str().unwrap_or_default().to_owned()).collect();
     }
     if let Some(data) = &page.data {
         let rows: Vec<Vec<Value>> = serde_json::from_str(data.get()).unwrap_or_default();
-        let room = most.saturating_sub(table.rows.len());
+        let room = max_rows.saturating_sub(table.rows.len());
         table.hidden += rows.len().saturating_sub(room);
         table.rows.extend(rows.into_iter().take(room));
     }
@@ -412,18 +442,18 @@
     }
 }
 
-fn lost() -> CellEnd {
+fn unknown_ending() -> CellEnd {
     let error = QueryError::failed(violetward_statement::results::FAILED, "its end is no longer known");
     cell_error(&error)
 }
 
-/// Writes a file that only its owner can read: it holds the key.
+/// Writes a file that only its owner can read, because it contains the key.
 fn write_private(path: &std::path::Path, bytes: &[u8]) -> std::io::Result<()> {
     use std::io::Write;
     use std::os::unix::fs::OpenOptionsExt;
-    let fresh = path.with_extension("new");
-    std::fs::remove_file(&fresh).ok();
-    let mut file = std::fs::File::options().write(true).create_new(true).mode(0o600).open(&fresh)?;
+    let temporary = path.with_extension("new");
+    std::fs::remove_file(&temporary).ok();
+    let mut file = std::fs::File::options().write(true).create_new(true).mode(0o600).open(&temporary)?;
     file.write_all(bytes)?;
-    std::fs::rename(&fresh, path)
+    std::fs::rename(&temporary, path)
 }
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -1,4 +1,4 @@
-//! An engine as the gateway knows it, and the numbers that the module knows it by.
+//! The record of an engine, and the ids derived from names.
 
 use std::net::SocketAddr;
 
@@ -7,24 +7,25 @@
 pub use crate::terms::hash;
 use crate::terms::Names;
 
-/// An engine as the list has it.
+/// An engine according to the list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineRecord {
-    /// Its name; the module's number is made from it, so it is the same at every gateway.
+    /// Name of the engine. Its id is derived from the name and is therefore the same at every gateway.
     pub name: String,
-    /// Where it listens.
+    /// Address that the engine listens on.
     pub address: SocketAddr,
-    /// What the module is told.
+    /// The entry passed to the decision module.
     pub entry: EngineEntry,
 }
 
-/// The number of an engine: FNV-1a of its name, 64 bits.
+/// The id of an engine: the 64-bit FNV-1a hash of its name.
 pub fn engine_id(name: &str) -> EngineId {
     EngineId(hash(name))
 }
 
-/// The number of a zone. One that the configuration does not name is a zone all the same: far from every class bound to one.
+/// The id of a zone. A zone that is missing from the configuration gets an id of its own, which matches no
+/// class bound to a zone.
 pub fn zone_id(zone: &str, names: &Names) -> ZoneId {
-    let place = names.zones.iter().position(|z| z == zone);
-    ZoneId(place.unwrap_or_else(|| names.zones.len() + hash(zone) as usize % 65_536))
+    let index = names.zones.iter().position(|z| z == zone);
+    ZoneId(index.unwrap_or_else(|| names.zones.len() + hash(zone) as usize % 65_536))
 }
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -1,4 +1,4 @@
-//! A whole gateway: its tasks on one thread, from the first connection to the last answer.
+//! Starts and stops a whole gateway. All its tasks run on one thread.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -31,61 +31,70 @@
 use crate::windows::Windows;
 use crate::zonefront::ZoneFront;
 
-/// Runs a gateway until SIGTERM or SIGINT; then takes nothing new and ends once what was taken has its answer. The
-/// address that it listens on is written to `address_file`.
+/// Interval at which conditions are checked while the gateway starts or stops.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
+/// Time for sending the last answers before the process ends.
+const LAST_ANSWERS: Duration = Duration::from_millis(50);
+
+/// Runs a gateway until SIGTERM or SIGINT. It then refuses new statements and ends once all accepted ones
+/// have been answered. The address that it listens on is written to `address_file`.
 ///
 /// # Errors
+///
 /// If it cannot listen.
 pub fn serve(config: Config, address_file: Option<&Path>) -> std::io::Result<()> {
     let module = Gateway::new(config.settings.clone(), rand::random());
     serve_with(config, address_file, Box::new(module))
 }
 
-/// The same with another decider than the module, for experiments.
+/// Like [`serve`], with another decision module, for experiments.
 ///
 /// # Errors
+///
 /// If it cannot listen.
 pub fn serve_with(
     config: Config,
     address_file: Option<&Path>,
     decider: Box<dyn Decide>,
 ) -> std::io::Result<()> {
-    // Before anything can be reached from outside: a signal that comes early must not end the process.
+    // Installed before the gateway listens, so that an early signal does not kill the process.
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
     let executor = Rc::new(LocalExecutor::new());
     let drain_within = config.host.drain_within;
     let (host, address) = start(config, decider, executor.clone())?;
     if let Some(file) = address_file {
-        let fresh = file.with_extension("new");
-        std::fs::write(&fresh, address.to_string())?;
-        std::fs::rename(&fresh, file)?;
+        let temporary = file.with_extension("new");
+        std::fs::write(&temporary, address.to_string())?;
+        std::fs::rename(&temporary, file)?;
     }
-    tracing::info!(%address, "taking statements");
+    tracing::info!(%address, "accepting statements");
     async_io::block_on(executor.run(async move {
         next_signal(&mut signals).await;
-        let second = async {
+        let second_signal = async {
             next_signal(&mut signals).await;
         };
-        future::or(stop(&host, drain_within), second).await;
+        future::or(stop(&host, drain_within), second_signal).await;
         tracing::info!(undelivered = host.read_core(|core| core.undelivered()), "stopped");
     }));
     Ok(())
 }
 
-/// Starts a gateway's tasks on an executor; they run as long as that does. Gives the address that it listens on.
+/// Starts a gateway's tasks on an executor and returns the address that it listens on. The tasks run as long
+/// as the executor does.
 ///
 /// # Errors
+///
 /// If it cannot listen.
 pub fn start(
     config: Config,
     decider: Box<dyn Decide>,
     executor: Rc<LocalExecutor<'static>>,
 ) -> std::io::Result<(Rc<Host>, SocketAddr)> {
-    let life = format!("g{}x{:08x}", config.settings.me.0, rand::random::<u32>());
-    let core = Core::with(&config, &life, decider);
+    let instance = format!("g{}x{:08x}", config.settings.me.0, rand::random::<u32>());
+    let core = Core::with(&config, &instance, decider);
     let listener = Async::<std::net::TcpListener>::bind(config.listen)?;
     let address = listener.get_ref().local_addr()?;
-    let host = Host::new(config, life, core, executor.clone());
+    let host = Host::new(config, instance, core, executor.clone());
     let front = Front::new(host.clone(), rand::random());
     executor.spawn(host.clone().run_timers()).detach();
     executor.spawn(host.clone().run_status()).detach();
@@ -111,33 +120,34 @@
         ZoneFront::start(host.clone(), membership, Updates::new(keys), listen)?;
     }
     if let Some(path) = host.config.sessions.key_file.clone() {
-        let (of, every) = (host.clone(), host.config.host.list_every);
-        let take = move |text: &str| {
-            crate::config::read_keys(text).map(|keys| of.with_core(|core, _| core.set_keys(keys)))
+        let (key_host, interval) = (host.clone(), host.config.host.list_every);
+        let set_keys = move |text: &str| {
+            crate::config::read_keys(text).map(|keys| key_host.with_core(|core, _| core.set_keys(keys)))
         };
-        executor.spawn(watch::keys(path, every, take)).detach();
+        executor.spawn(watch::keys(path, interval, set_keys)).detach();
     }
     if let Some(kernel) = host.config.kernel.clone() {
         Notebook::start(host.clone(), address.ip(), kernel)?;
     }
-    // Stays open while the gateway stops: polls may come on new connections.
+    // Keeps listening while the gateway stops, because polls may come on new connections.
     let started = host.clone();
-    let run = async move {
+    let listen = async move {
         wait_for_lease(&started).await;
         front.run(listener).await;
     };
-    executor.spawn(run).detach();
+    executor.spawn(listen).detach();
     Ok((host, address))
 }
 
+/// Starts custody of statements. It needs the membership.
 fn start_custody(
     host: &Rc<Host>,
     terms: &CustodyTerms,
     executor: Rc<LocalExecutor<'static>>,
 ) -> std::io::Result<()> {
     let missing = || std::io::Error::other("custody needs membership");
-    let (peers, ring) = host.peers().zip(host.config.peers.as_ref()).ok_or_else(missing)?;
-    let keys = ring.keys.clone();
+    let (peers, peer_terms) = host.peers().zip(host.config.peers.as_ref()).ok_or_else(missing)?;
+    let keys = peer_terms.keys.clone();
     let (life, _) = peers.me();
     let me = Me { name: life.name, life: life.life };
     let station = Station::new(executor, host.clock, me, keys.clone(), Patience::default());
@@ -145,37 +155,39 @@
     Custody::start(host, terms, station, keys, listener).map(|_| ())
 }
 
-/// Waits for the first lease, where there is to be one, for as long as the configuration says; then clients are served
-/// narrowly. Connections wait meanwhile.
+/// Waits for the first lease, if settings are agreed, but no longer than the configuration allows; after
+/// that, clients are served under the restrictions that hold without a lease. Connections wait meanwhile.
 async fn wait_for_lease(host: &Rc<Host>) {
     let Some(terms) = &host.config.agreement else { return };
     let until = Instant::now() + terms.wait_at_start;
     let has_lease = || host.agreed.borrow().as_ref().is_none_or(|a| a.has_lease());
     while !has_lease() && Instant::now() < until {
-        violetward_net::sleep(Duration::from_millis(10)).await;
+        violetward_net::sleep(CHECK_INTERVAL).await;
     }
 }
 
-/// Takes nothing new, and returns once every client has its answer, or has stopped asking, or the time is up.
+/// Refuses new statements, and returns once every client has received its answer or stopped polling, or after
+/// the time `within`.
 pub async fn stop(host: &Rc<Host>, within: Duration) {
     host.drain();
     let (peers, custody) = (host.peers(), host.custody());
-    // Others take its share at once; but what it holds can only go to them while it counts as living.
+    // Leaving makes the other gateways take over this one's share at once. With custody it must wait:
+    // statements can be handed over only while this gateway counts as alive.
     let leave = || peers.iter().for_each(|peers| peers.leave(host));
     match &custody {
         Some(custody) => custody.hand_over(host),
         None => leave(),
     }
     let open = host.read_core(|core| core.open());
-    tracing::info!(open, "stopping: no new statements; those taken get their answer here or elsewhere");
+    tracing::info!(open, "stopping: refusing new statements; accepted ones are answered here or handed over");
     let until = Instant::now() + within;
-    let handed_over = || custody.as_ref().is_none_or(|custody| custody.handed_over());
-    while (host.read_core(|core| core.undelivered()) > 0 || !handed_over()) && Instant::now() < until {
-        violetward_net::sleep(Duration::from_millis(10)).await;
+    let all_handed_over = || custody.as_ref().is_none_or(|custody| custody.handed_over());
+    while (host.read_core(|core| core.undelivered()) > 0 || !all_handed_over()) && Instant::now() < until {
+        violetward_net::sleep(CHECK_INTERVAL).await;
     }
     custody.iter().for_each(|_| leave());
     let agreed = host.agreed.borrow().clone();
     agreed.iter().for_each(|agreed| agreed.leave(host));
-    // The last answers are on their way out of this process.
-    violetward_net::sleep(Duration::from_millis(50)).await;
+    // Gives the last answers time to be sent.
+    violetward_net::sleep(LAST_ANSWERS).await;
 }
--- a/crates/gateway/src/timestamp.rs
+++ b/crates/gateway/src/timestamp.rs
@@ -1,10 +1,11 @@
-//! Dates and times of day (UTC) as people write them: `2026-12-02T03:00:00Z`.
+//! Dates and times of day (UTC) in ISO 8601: `2026-12-02T03:00:00Z`.
 
 /// Year, month, day, hour, minute and second of a time in microseconds since the Unix epoch.
 pub fn calendar(at: u64) -> [u64; 6] {
     let seconds = at / 1_000_000;
     let (days, rest) = (seconds / 86_400, seconds % 86_400);
-    // Days to a date in the Gregorian calendar, counted from a March (H. Hinnant, "chrono-compatible dates").
+    // Converts days to a date of the Gregorian calendar, with years starting in March (H. Hinnant,
+    // "chrono-compatible dates").
     let z = days + 719_468;
     let (era, doe) = (z / 146_097, z % 146_097);
     let yoe = (doe - doe / 1_460 + doe / 36_524 - doe / 146_096) / 365;
@@ -15,7 +16,7 @@
     [year, month, day, rest / 3600, rest / 60 % 60, rest % 60]
 }
 
-/// The time as people write it; parts of a second to the millisecond where there are any.
+/// Formats a time in microseconds since the Unix epoch; milliseconds are shown if they are not zero.
 pub fn format(at: u64) -> String {
     let [year, month, day, hour, minute, second] = calendar(at);
     let millis = match at / 1000 % 1000 {
@@ -25,7 +26,7 @@
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}{millis}Z")
 }
 
-/// Reads that form, in microseconds since the Unix epoch; `None` if it is another one, or no date.
+/// Parses this format to microseconds since the Unix epoch; `None` if it is malformed or no date.
 pub fn parse(text: &str) -> Option<u64> {
     let (date, time) = text.strip_suffix('Z')?.split_once('T')?;
     let (time, part) = time.split_once('.').unwrap_or((time, "0"));
@@ -51,7 +52,7 @@
     let doy = (153 * ((month + 9) % 12) + 2) / 5 + day.checked_sub(1)?;
     let days = era * 146_097 + yoe * 365 + yoe / 4 - yoe / 100 + doy - 719_468;
     let at = ((days * 24 + hour) * 60 + minute) * 60_000_000 + second * 1_000_000 + micros;
-    // A 31st of April is the 1st of May there.
+    // The calculation turns 31 April into 1 May, so the date is compared with the input.
     (calendar(at)[..3] == [year, month, day]).then_some(at)
 }
 
@@ -60,7 +61,7 @@
     use super::*;
 
     #[test]
-    fn what_is_shown_is_read_and_nothing_that_is_no_date() {
+    fn formatted_times_are_parsed_and_invalid_dates_are_rejected() {
         for (text, at) in [
             ("1970-01-01T00:00:00Z", 0),
             ("2024-02-29T23:59:59Z", 1_709_251_199_000_000),
