--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -162,6 +162,7 @@
     pub next_uri: Option<String>,
 }
 
+/// A running attempt.
 #[derive(Debug)]
 struct Attempt {
     engine: EngineId,
@@ -169,6 +170,7 @@
     deadline: Micros,
     /// The connection waits for permission to fetch the next page.
     paused: bool,
+    /// Time of the last answer from its engine, or of the last permission to fetch.
     last_answer: Micros,
     /// Last reported progress: whether it waited for memory, and the percentage done.
     last_progress: (bool, u64),
@@ -176,6 +178,7 @@
     next_uri: Option<String>,
 }
 
+/// A statement that is kept here, running or ended.
 struct Statement {
     public_id: String,
     text: Rc<str>,
@@ -214,8 +217,10 @@
 /// The rebuilding of a session before a statement can run in it.
 #[derive(Debug, Default)]
 struct Rebuild {
+    /// Statements that still have to run.
     remaining_statements: VecDeque<String>,
-    steps_done: u32,
+    /// Number of steps started.
+    steps_started: u32,
     /// Token of the new session, once a step has opened it.
     token: Option<String>,
 }
@@ -226,17 +231,26 @@
     client: StatementId,
     /// The statement that was the step.
     step: StatementId,
+    /// Error message of the step, if it failed.
     error: Option<String>,
+    /// Token of the new session, if the step opened it.
     token: Option<String>,
 }
 
+/// What is due at a time. Timers due at the same time are handled in the order of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
+    /// A timer of the decision module.
     Module(u64),
+    /// The deadline of an attempt.
     Attempt(AttemptId),
+    /// Checks whether a statement's client still polls.
     Client(StatementId),
+    /// The deadline of a statement.
     Deadline(StatementId),
+    /// Checks whether an engine still sends pages.
     Stream(AttemptId),
+    /// Releases the record of a protected statement.
     ReleaseRecord(StatementId),
 }
 
@@ -277,8 +291,9 @@
     classes: Vec<Class>,
     /// Estimated work requested since the start, by class, in core milliseconds.
     offered_work: Vec<f64>,
-    /// Whether memory grants and priorities are sent to engines.
+    /// Whether memory grants are sent to engines.
     grants: bool,
+    /// Whether priorities are sent to engines.
     priorities: bool,
     /// What is observed of engines and clients, if sites are monitored.
     observations: Option<Box<observations::Observations>>,
@@ -329,7 +344,8 @@
             // it.
             let mut secret = instance.as_bytes().to_vec();
             secret.resize(secret.len().max(16), b'.');
-            Keys::new(vec![Key { name: "process".into(), secret }]).expect("a word and sixteen bytes")
+            Keys::new(vec![Key { name: "process".into(), secret }])
+                .expect("the key has a name and at least sixteen bytes")
         });
         Core {
             sessions: Sessions::new(terms.limits.clone(), terms.reserve, keys, instance, 0),
--- a/crates/gateway/src/core/deciding.rs
+++ b/crates/gateway/src/core/deciding.rs
@@ -131,7 +131,7 @@
             let client_mark =
                 s.context.tagged(&self.selection.repeat_tag).map(|m| format!("{}.{m}", s.context.user));
             let generated = || match &s.protection {
-                Some(guard) => guard.mark.clone(),
+                Some(protection) => protection.mark.clone(),
                 None => format!("{}.{}", self.instance, id.0),
             };
             set(&self.limits.repeat_property, client_mark.unwrap_or_else(generated));
--- a/crates/gateway/src/core/fronts.rs
+++ b/crates/gateway/src/core/fronts.rs
@@ -96,7 +96,7 @@
         } else {
             self.set_timer(deadline, Timer::Deadline(id));
             if !pending {
-                self.begin(id);
+                self.submit_request(id);
             }
         }
         self.process_events();
@@ -114,8 +114,8 @@
         self.page_after(now, id, token, None, patient)
     }
 
-    /// Like [`Core::page`]. `after` is the number of the engine page that follows the rows which the client has
-    /// received, from whichever gateway; `None` if it has received none.
+    /// Like [`Core::page`]. `after` is the number of the engine page that follows the rows which the client
+    /// has received, from whichever gateway; `None` if it has received none.
     pub fn page_after(
         &mut self,
         now: Micros,
@@ -129,7 +129,7 @@
         let Some(statement) = self.statements.get_mut(&id) else { return Turn::Unknown };
         statement.last_poll = now;
         if std::mem::take(&mut statement.pending) {
-            self.begin(id);
+            self.submit_request(id);
             self.process_events();
         }
         let Some(statement) = self.statements.get_mut(&id) else { return Turn::Unknown };
@@ -210,7 +210,7 @@
     }
 
     /// Reports a statement to the decision module.
-    pub(super) fn begin(&mut self, id: StatementId) {
+    pub(super) fn submit_request(&mut self, id: StatementId) {
         let Some(s) = self.statements.get_mut(&id) else { return };
         s.pending = false;
         let class = &self.classes[s.class];
--- a/crates/gateway/src/core/protection.rs
+++ b/crates/gateway/src/core/protection.rs
@@ -398,7 +398,7 @@
             let why = "its gateway was lost, and its engine's answer with it";
             self.finish(id, Ending::Failed(QueryError::failed(FAILED, why)));
         } else if current_attempt.is_some() {
-            self.begin(id);
+            self.submit_request(id);
         }
         self.process_events();
         Ok(id)
--- a/crates/gateway/src/core/rebuilding.rs
+++ b/crates/gateway/src/core/rebuilding.rs
@@ -19,8 +19,8 @@
             s.context.session = context.session.clone();
             return self.finish_rebuild(client);
         };
-        rebuild.steps_done += 1;
-        let public_id = format!("{}_r{}", s.public_id, rebuild.steps_done);
+        rebuild.steps_started += 1;
+        let public_id = format!("{}_r{}", s.public_id, rebuild.steps_started);
         let (deadline, class) = (s.deadline, s.class);
         self.next_id += 1;
         let class = match self.selection.selectors.is_empty() {
@@ -63,7 +63,7 @@
         self.open += 1;
         self.statements.insert(id, statement);
         self.set_timer(deadline, Timer::Deadline(id));
-        self.begin(id);
+        self.submit_request(id);
     }
 
     /// Starts the client's statement in its rebuilt session.
@@ -75,7 +75,7 @@
                 if let Some(s) = self.statements.get_mut(&client) {
                     s.session_use = Some(session_use);
                 }
-                self.begin(client);
+                self.submit_request(client);
             }
             _ => self.fail_rebuild(client, "its session was lost again"),
         }
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -135,7 +135,7 @@
     next_uri: &Rc<std::cell::RefCell<Option<String>>>,
 ) {
     let pages = async {
-        let outcome = follow(host, id, pool, first_page, fetch_requests, next_uri).await;
+        let outcome = fetch_pages(host, id, pool, first_page, fetch_requests, next_uri).await;
         if let Err(AttemptError(outcome, why)) = outcome {
             host.with_core(|core, now| core.attempt_failed(now, id, outcome, &why));
         }
@@ -247,7 +247,7 @@
 }
 
 /// Fetches the pages up to the last one, each when the core permits it.
-async fn follow(
+async fn fetch_pages(
     host: &Rc<Host>,
     id: AttemptId,
     pool: &Pool,
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -606,8 +606,8 @@
         };
         let mut value = serde_json::to_value(&status).unwrap_or_default();
         value["gateway"] = serde_json::json!({
-            "held": held, "connections": self.connections.get(), "taken": counts.taken, "served": counts.served,
-            "declined": counts.declined, "refused": counts.refused, "failed": counts.failed,
+            "held": held, "connections": self.connections.get(), "taken": counts.taken,
+            "served": counts.served, "declined": counts.declined, "refused": counts.refused, "failed": counts.failed,
             "cancelled": counts.cancelled, "abandoned": counts.abandoned, "attempts": counts.attempts,
             "overdue": counts.overdue,
         });
@@ -619,8 +619,8 @@
             let count = |state: &str| view.members.iter().filter(|m| m.state == state).count();
             value["membership"] = serde_json::json!({
                 "name": view.name, "standing": view.standing, "share": view.share,
-                "alive": count("alive"), "suspect": count("suspect"), "dead": count("dead"), "left": count("left"),
-                "sent": view.sent, "taken": view.taken, "refused": view.refused, "paused": view.paused,
+                "alive": count("alive"), "suspect": count("suspect"), "dead": count("dead"),
+                "left": count("left"), "sent": view.sent, "taken": view.taken, "refused": view.refused, "paused": view.paused,
             });
         }
         if let Some(agreed) = &*self.host.agreed.borrow() {
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -346,7 +346,8 @@
                 });
             }
             Effect::ReleaseSession { address, inner, transaction } => {
-                // A burst is sent a few at a time; what does not fit into the queue expires by the engine's own limits.
+                // A burst is sent a few at a time; what does not fit into the queue expires by the engine's
+                // own limits.
                 if self.release_sender.try_send((address, inner, transaction)).is_err() {
                     tracing::warn!(
                         "queue of sessions to release is full; this one expires by its engine's limits"
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -28,54 +28,56 @@
 /// force.
 pub fn parse(text: &str, names: &Names) -> Result<ParsedList, Mistake> {
     let data = forms::read(text)?;
-    let mut c = Checker::default();
+    let mut checker = Checker::default();
     let mut parsed = ParsedList::default();
     for datum in &data {
-        let Some(form) = c.form(datum.as_ref()) else { continue };
+        let Some(form) = checker.form(datum.as_ref()) else { continue };
         if form.name != "engine" {
-            c.at(&form, format!("expected (engine NAME ...), found ({} ...)", form.name));
+            checker.at(&form, format!("expected (engine NAME ...), found ({} ...)", form.name));
             continue;
         }
-        let Some(name) = c.name(&form) else { continue };
-        let mistakes_before = c.mistakes.len();
-        let record = record(&mut c, &form, &name, names);
+        let Some(name) = checker.name(&form) else { continue };
+        let mistakes_before = checker.mistakes.len();
+        let record = parse_record(&mut checker, &form, &name, names);
         if parsed.records.contains_key(&name) || parsed.damaged.contains(&name) {
-            c.at(&form, format!("engine {name} stands twice; the first counts"));
+            checker.at(&form, format!("engine {name} is listed twice; the first record counts"));
             continue;
         }
         match record {
-            Some(record) if c.mistakes.len() == mistakes_before => {
+            Some(record) if checker.mistakes.len() == mistakes_before => {
                 parsed.records.insert(name, record);
             }
             _ => parsed.damaged.push(name),
         }
     }
-    parsed.mistakes = c.mistakes;
+    parsed.mistakes = checker.mistakes;
     Ok(parsed)
 }
 
-fn record(c: &mut Checker, form: &Form<'_>, name: &str, names: &Names) -> Option<EngineRecord> {
-    let f = c.fields(form, 1, &["address", "kind", "zone", "cell", "state", "came-up", "weight"]);
-    let field = f.need(c, "address").cloned()?;
-    let address = c.word(&field, "an address and port")?.parse().ok();
+/// Parses the fields of one engine. Mistakes are added to the checker.
+fn parse_record(checker: &mut Checker, form: &Form<'_>, name: &str, names: &Names) -> Option<EngineRecord> {
+    let fields = checker.fields(form, 1, &["address", "kind", "zone", "cell", "state", "came-up", "weight"]);
+    let field = fields.need(checker, "address").cloned()?;
+    let address = checker.word(&field, "an address and port")?.parse().ok();
     if address.is_none() {
-        c.at(&field, "address: expected an address and port such as \"127.0.0.1:9001\"");
+        checker.at(&field, "address: expected an address and port such as \"127.0.0.1:9001\"");
     }
-    let kind = f.word(c, "kind", names.kinds.first().map_or("", |k| k));
+    let kind = fields.word(checker, "kind", names.kinds.first().map_or("", |k| k));
     let kind = names.kinds.iter().position(|k| *k == kind);
     if kind.is_none() {
-        c.at(
+        checker.at(
             form,
             format!("engine {name}: its kind is not in the configuration: {}", names.kinds.join(", ")),
         );
     }
-    let zone = f.word(c, "zone", names.zones.first().map_or("", |z| z));
+    let zone = fields.word(checker, "zone", names.zones.first().map_or("", |z| z));
     let zone = zone_id(&zone, names);
-    let cell = f.whole(c, "cell", (0, u64::MAX), 0);
+    let cell = fields.whole(checker, "cell", (0, u64::MAX), 0);
     let states = [("up", Listed::Up), ("draining", Listed::Draining), ("removed", Listed::Removed)];
-    let listed = f.get("state").cloned().map_or(Some(Listed::Up), |f| c.choice(&f, &states))?;
-    let came_up = f.whole(c, "came-up", (0, 1 << 53), 0).saturating_mul(1000);
-    let weight = f.number(c, "weight", (0.0, 1e6), 1.0);
+    let listed =
+        fields.get("state").cloned().map_or(Some(Listed::Up), |state| checker.choice(&state, &states))?;
+    let came_up = fields.whole(checker, "came-up", (0, 1 << 53), 0).saturating_mul(1000);
+    let weight = fields.number(checker, "weight", (0.0, 1e6), 1.0);
     let entry = EngineEntry {
         engine: engine_id(name),
         came_up,
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -73,12 +73,12 @@
     /// Manage the settings on which the gateways agree.
     Settings {
         #[command(subcommand)]
-        what: SettingsCommand,
+        command: SettingsCommand,
     },
     /// Inspect zone files that list engines.
     Zone {
         #[command(subcommand)]
-        what: ZoneCommand,
+        command: ZoneCommand,
     },
 }
 
@@ -91,7 +91,7 @@
         file: PathBuf,
     },
     /// Re-create the lost vote file of the voting gateway with the configuration FILE, from the answers of a
-    /// majority of the voters without this one. The gateway must not be running.
+    /// majority of the voters, this one not among them. The gateway must not be running.
     Replace {
         /// Configuration file.
         file: PathBuf,
@@ -173,7 +173,8 @@
     keys.into_iter().next().ok_or_else(|| format!("{}: contains no key", file.display()))
 }
 
-/// Proposes rules as the version after `after` and prints the result. Returns whether they were accepted.
+/// Proposes rules as the version after `after` and prints the result. Returns whether they were committed
+/// or, in a dry run, would be.
 async fn propose(
     address: std::net::SocketAddr,
     rules: &str,
@@ -189,8 +190,8 @@
 }
 
 /// Runs a `settings` command. Returns whether it succeeded.
-async fn settings(what: SettingsCommand) -> Result<bool, String> {
-    match what {
+async fn settings(command: SettingsCommand) -> Result<bool, String> {
+    match command {
         SettingsCommand::Init { file } => {
             let config = config::load(&file).map_err(|mistakes| mistakes.join("\n"))?;
             let terms = config.agreement.ok_or("the configuration has no (agreement ...)")?;
@@ -286,43 +287,44 @@
         }
     };
     let text = std::fs::read_to_string(file).map_err(|e| report(format!(" {e}"))).ok()?;
-    let reading = master::read(&text, &origin, &mut |name| watch::include(file, name));
-    let (zone, inconsistencies) = master::zone(&origin, &reading);
-    let mut good = reading.mistakes.is_empty() && inconsistencies.is_empty();
-    reading.mistakes.iter().for_each(|m| report(m.to_string()));
+    let parsed = master::read(&text, &origin, &mut |name| watch::include(file, name));
+    let (zone, inconsistencies) = master::zone(&origin, &parsed);
+    let mut valid = parsed.mistakes.is_empty() && inconsistencies.is_empty();
+    parsed.mistakes.iter().for_each(|m| report(m.to_string()));
     inconsistencies.into_iter().for_each(|w| report(format!(" {w}")));
-    if reading.cut {
+    if parsed.cut {
         report(" the file is truncated".into());
-        good = false;
+        valid = false;
     }
     if zone.serial().is_none() {
         report(" there is no SOA record: gateways would reject the zone".into());
-        good = false;
+        valid = false;
     }
-    Some((zone, good))
+    Some((zone, valid))
 }
 
-fn zone(what: &ZoneCommand) -> ExitCode {
-    let result = match what {
-        ZoneCommand::Check { file, origin } => read_zone(file, origin).map(|(zone, good)| {
-            if good {
+/// Runs a `zone` command.
+fn zone(command: &ZoneCommand) -> ExitCode {
+    let result = match command {
+        ZoneCommand::Check { file, origin } => read_zone(file, origin).map(|(zone, valid)| {
+            if valid {
                 println!("{}: valid, {} record sets", file.display(), zone.len());
             }
-            good
+            valid
         }),
-        ZoneCommand::Show { file, origin } => read_zone(file, origin).map(|(zone, good)| {
+        ZoneCommand::Show { file, origin } => read_zone(file, origin).map(|(zone, valid)| {
             zone.records().for_each(|record| println!("{record}"));
-            good
+            valid
         }),
         ZoneCommand::Diff { old, new, origin } => {
-            read_zone(old, origin).zip(read_zone(new, origin)).map(|((old, _), (new, good))| {
+            read_zone(old, origin).zip(read_zone(new, origin)).map(|((old, _), (new, valid))| {
                 for change in new.diff(&old) {
                     match change {
                         Change::Added(record) => println!("+ {record}"),
                         Change::Removed(record) => println!("- {record}"),
                     }
                 }
-                good
+                valid
             })
         }
     };
@@ -333,6 +335,7 @@
     }
 }
 
+/// Runs the query gateway of a platform.
 fn platform(file: &std::path::Path, listen: Option<std::net::SocketAddr>) -> ExitCode {
     let mut config = match violetward_platform::config::load(file) {
         Ok(config) => config,
@@ -351,6 +354,7 @@
     }
 }
 
+/// Shows the members that a gateway knows and, if it has custody, the state of that.
 fn members(address: std::net::SocketAddr, json: bool) -> ExitCode {
     match futures_lite::future::block_on(peers::ask(address)) {
         Ok(view) if json => println!("{}", serde_json::to_string_pretty(&view).unwrap_or_default()),
@@ -368,8 +372,9 @@
     ExitCode::SUCCESS
 }
 
-fn run_settings(what: SettingsCommand) -> ExitCode {
-    match futures_lite::future::block_on(settings(what)) {
+/// Runs a `settings` command and reports its errors.
+fn run_settings(command: SettingsCommand) -> ExitCode {
+    match futures_lite::future::block_on(settings(command)) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(why) => {
@@ -394,9 +399,9 @@
     let file = match cli.command {
         Command::Serve { ref file, .. } | Command::Check { ref file } => file,
         Command::Platform { config, listen } => return platform(&config, listen),
-        Command::Zone { what } => return zone(&what),
+        Command::Zone { command } => return zone(&command),
         Command::Members { address, json } => return members(address, json),
-        Command::Settings { what } => return run_settings(what),
+        Command::Settings { command } => return run_settings(command),
     };
     let config = match config::load(file) {
         Ok(config) => config,
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -21,7 +21,9 @@
 struct Snapshot {
     /// Statements by ending.
     endings: [(&'static str, u64); 6],
+    /// Name, help text and value of each counter.
     counters: Vec<(&'static str, &'static str, u64)>,
+    /// Name, help text and value of each gauge.
     gauges: Vec<(&'static str, &'static str, f64)>,
     /// Members of the fleet by state.
     members: BTreeMap<&'static str, i64>,
@@ -117,18 +119,18 @@
             let metric = ConstGauge::new(value);
             metric.encode(encoder.encode_descriptor(name, help, None, metric.metric_type())?)?;
         }
-        let one = ConstCounter::new(0_u64);
+        let counter = ConstCounter::new(0_u64);
         let help = "Statements by how they ended";
-        let mut family = encoder.encode_descriptor("statements_ended", help, None, one.metric_type())?;
+        let mut family = encoder.encode_descriptor("statements_ended", help, None, counter.metric_type())?;
         for (ending, value) in self.endings {
             ConstCounter::new(value).encode(family.encode_family(&[("ending", ending)])?)?;
         }
         if self.members.is_empty() {
             return Ok(());
         }
-        let one = ConstGauge::new(0_i64);
+        let gauge = ConstGauge::new(0_i64);
         let help = "Other gateways by what is believed of them";
-        let mut family = encoder.encode_descriptor("members", help, None, one.metric_type())?;
+        let mut family = encoder.encode_descriptor("members", help, None, gauge.metric_type())?;
         for (&state, &count) in &self.members {
             ConstGauge::new(count).encode(family.encode_family(&[("state", state)])?)?;
         }
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -34,7 +34,7 @@
 /// Interval at which conditions are checked while the gateway starts or stops.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Time for sending the last answers before the process ends.
-const LAST_ANSWERS: Duration = Duration::from_millis(50);
+const FINAL_SEND_DELAY: Duration = Duration::from_millis(50);
 
 /// Runs a gateway until SIGTERM or SIGINT. It then refuses new statements and ends once all accepted ones
 /// have been answered. The address that it listens on is written to `address_file`.
@@ -189,5 +189,5 @@
     let agreed = host.agreed.borrow().clone();
     agreed.iter().for_each(|agreed| agreed.leave(host));
     // Gives the last answers time to be sent.
-    violetward_net::sleep(LAST_ANSWERS).await;
+    violetward_net::sleep(FINAL_SEND_DELAY).await;
 }
--- a/crates/gateway/src/sessions.rs
+++ b/crates/gateway/src/sessions.rs
@@ -292,7 +292,8 @@
                 )
             }
             Err(Denied::Aborted) => {
-                let why = "a statement of this transaction ended without its outcome being known; only ROLLBACK is heard";
+                let why = "a statement of this transaction ended without its outcome being known; \
+                     only ROLLBACK is heard";
                 return Admit::Ended(user_error(TRANSACTION_ABORTED, why.into()), Vec::new());
             }
             Err(Denied::Gone(Why::Ended, _)) => {
