--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -44,6 +44,9 @@
 
 pub use violetward::Decide;
 
+/// Error code of a statement that its client has cancelled.
+const CANCELED_CODE: u32 = 3;
+
 /// Number of a statement in this gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StatementId(pub u64);
--- a/crates/gateway/src/core/fronts.rs
+++ b/crates/gateway/src/core/fronts.rs
@@ -2,6 +2,9 @@
 
 use super::*;
 
+/// Suggested delay of a retry while too many statements are open, in milliseconds.
+const OVERLOAD_RETRY_MS: u64 = 1000;
+
 impl Core {
     /// Accepts a statement. A repeatable statement starts at once, any other when its first page is
     /// requested: until then the client knows no URI of the statement and might post it again if the answer
@@ -81,7 +84,10 @@
             self.effects.push_back(Effect::Protect(id));
         }
         if too_many {
-            self.finish(id, Ending::Refused(QueryError::refused("too many statements are open here", 1000)));
+            self.finish(
+                id,
+                Ending::Refused(QueryError::refused("too many statements are open here", OVERLOAD_RETRY_MS)),
+            );
         } else if let Some((ending, headers)) = ended {
             if let Some(s) = self.statements.get_mut(&id) {
                 s.pages.session = headers;
@@ -186,7 +192,8 @@
         self.advance_to(now);
         let known = self.statements.contains_key(&id);
         if self.statements.get(&id).is_some_and(|s| s.pages.end().is_none()) {
-            let error = QueryError::new(ErrorType::UserError, 3, CANCELED, "cancelled by its client");
+            let error =
+                QueryError::new(ErrorType::UserError, CANCELED_CODE, CANCELED, "cancelled by its client");
             self.finish(id, Ending::Cancelled(error));
             self.events.push_back(Event::Lapsed(RequestId(id.0)));
             self.process_events();
--- a/crates/gateway/src/core/protection.rs
+++ b/crates/gateway/src/core/protection.rs
@@ -13,12 +13,17 @@
 use violetward_statement::results::{QueryError, CANCELED, FAILED};
 use violetward_statement::session::Context;
 
-use super::{Attempt, AttemptId, Core, Effect, ErrorType, Statement, StatementId, Submission, Timer};
+use super::{
+    Attempt, AttemptId, Core, Effect, ErrorType, Statement, StatementId, Submission, Timer, CANCELED_CODE,
+};
 
 /// Time for which the record of a statement is kept after its last page was handed out: the page may not have
 /// reached the client.
 const RECORD_RETENTION_US: Micros = 1_000_000;
 
+/// Suggested delay of a retry if no other gateway could keep a record of a statement, in milliseconds.
+const UNPROTECTED_RETRY_MS: u64 = 1000;
+
 /// Least time that an adopted attempt gets.
 const MIN_ADOPTED_ATTEMPT_US: Micros = 1_000_000;
 
@@ -127,9 +132,12 @@
     match recorded {
         custody::Ending::Refused(why) => Ending::Refused(QueryError::refused(why, 0)),
         custody::Ending::Failed(why) => Ending::Failed(QueryError::failed(FAILED, why)),
-        custody::Ending::Cancelled => {
-            Ending::Cancelled(QueryError::new(ErrorType::UserError, 3, CANCELED, "cancelled by its client"))
-        }
+        custody::Ending::Cancelled => Ending::Cancelled(QueryError::new(
+            ErrorType::UserError,
+            CANCELED_CODE,
+            CANCELED,
+            "cancelled by its client",
+        )),
     }
 }
 
@@ -271,7 +279,7 @@
         if let Some(protection) = s.protection.as_mut() {
             protection.skip_recording();
         }
-        self.finish(id, Ending::Refused(QueryError::refused(why, 1000)));
+        self.finish(id, Ending::Refused(QueryError::refused(why, UNPROTECTED_RETRY_MS)));
         self.events.push_back(Event::Lapsed(RequestId(id.0)));
         self.process_events();
     }
--- a/crates/gateway/src/core/rebuilding.rs
+++ b/crates/gateway/src/core/rebuilding.rs
@@ -86,7 +86,12 @@
         let why = format!("its session could not be rebuilt: {why}");
         self.finish(
             client,
-            Ending::Failed(QueryError::new(ErrorType::External, 0x7611, sessions::SESSION_LOST, why)),
+            Ending::Failed(QueryError::new(
+                ErrorType::External,
+                sessions::SESSION_LOST_CODE,
+                sessions::SESSION_LOST,
+                why,
+            )),
         );
     }
 
--- a/crates/gateway/src/core/time.rs
+++ b/crates/gateway/src/core/time.rs
@@ -2,6 +2,9 @@
 
 use super::*;
 
+/// Error code of a statement whose client stopped polling.
+const ABANDONED_CODE: u32 = 7;
+
 /// Delay until the time-out of an adopted attempt is checked again while its client has not polled.
 const ADOPTED_RECHECK_US: Micros = 500_000;
 /// Least delay until the client of a statement is checked again.
@@ -90,8 +93,12 @@
             if let Some(protection) = self.statements.get_mut(&id).and_then(|s| s.protection.as_mut()) {
                 protection.skip_recording();
             }
-            let error =
-                QueryError::new(ErrorType::UserError, 7, "ABANDONED_QUERY", "its client stopped polling");
+            let error = QueryError::new(
+                ErrorType::UserError,
+                ABANDONED_CODE,
+                "ABANDONED_QUERY",
+                "its client stopped polling",
+            );
             self.finish(id, Ending::Cancelled(error));
             self.events.push_back(Event::Lapsed(RequestId(id.0)));
         }
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -26,10 +26,13 @@
 /// Maximum number of empty pages that another gateway may have fetched since it last recorded its progress.
 const MAX_SKIPPED_PAGES: usize = 64;
 
-/// Polls of one page while the engine answers 503.
+/// Maximum number of polls of one page if the engine answers 503.
 const MAX_BUSY_POLLS: u32 = 5;
 
-/// Polls of one page while its connections break.
+/// Base of the exponential delay between polls answered with 503, in milliseconds.
+const BUSY_POLL_BACKOFF_MS: u64 = 50;
+
+/// Maximum number of polls of one page if connections break.
 const MAX_BROKEN_POLLS: u32 = 2;
 
 /// Session headers of an engine's answer: changes of the client's session, and the epoch of the engine
@@ -120,6 +123,7 @@
     Err(unknown_statement())
 }
 
+/// The engine does not know the statement any more.
 fn unknown_statement() -> AttemptError {
     AttemptError(Outcome::Reset, "it no longer knows the statement".into())
 }
@@ -191,12 +195,14 @@
     }
 }
 
+/// The headers of every request to an engine.
 fn host_header(address: SocketAddr) -> Headers {
     let mut headers = Headers::default();
     headers.push("Host", address.to_string());
     headers
 }
 
+/// The failure of an attempt whose connection failed.
 fn net_error(error: &NetError) -> AttemptError {
     match error {
         NetError::Io(e) => AttemptError(Outcome::Reset, format!("the connection broke: {e}")),
@@ -273,6 +279,7 @@
     }
 }
 
+/// Requests the next page of an attempt.
 async fn poll(host: &Host, pool: &Pool, uri: &str) -> Result<(QueryResults, SessionHeaders), AttemptError> {
     poll_once(host, pool, uri).await.map_err(|error| match error {
         PollError::Gone => unknown_statement(),
@@ -284,6 +291,7 @@
 enum PollError {
     /// The engine has dropped the page, because a later one has been requested.
     Gone,
+    /// The attempt fails.
     Failed(AttemptError),
 }
 
@@ -297,9 +305,9 @@
 /// if the first one breaks.
 async fn poll_once(host: &Host, pool: &Pool, uri: &str) -> Result<(QueryResults, SessionHeaders), PollError> {
     let target = path(uri);
-    let mut attempts = 0;
+    let mut tries = 0;
     loop {
-        attempts += 1;
+        tries += 1;
         let within = host.config.host.connect_within;
         let connection = pool.get(within).await;
         let mut connection = connection
@@ -313,14 +321,14 @@
                 }
                 return Err(PollError::Gone);
             }
-            Ok(message) if message.status() == 503 && attempts < MAX_BUSY_POLLS => {
-                violetward_net::sleep(Duration::from_millis(50 << attempts)).await;
+            Ok(message) if message.status() == 503 && tries < MAX_BUSY_POLLS => {
+                violetward_net::sleep(Duration::from_millis(BUSY_POLL_BACKOFF_MS << tries)).await;
             }
             Ok(message) => {
                 let why = format!("answered {} to a poll", message.status());
                 return Err(AttemptError(Outcome::Error, why).into());
             }
-            Err(NetError::Io(_)) if attempts < MAX_BROKEN_POLLS => pool.clear(),
+            Err(NetError::Io(_)) if tries < MAX_BROKEN_POLLS => pool.clear(),
             Err(e) => return Err(net_error(&e).into()),
         }
     }
@@ -338,14 +346,14 @@
         return;
     }
     let Some(uri) = next_uri.borrow_mut().take() else { return };
-    let work = async {
+    let exchange = async {
         let Ok(mut connection) = pool.get(host.config.host.connect_within).await else { return };
         let answer = connection.call("DELETE", path(&uri), &host_header(pool.address()), b"").await;
         if answer.is_ok_and(|m| m.keep_alive) {
             pool.put(connection);
         }
     };
-    timeout(CLEANUP_TIMEOUT, work).await;
+    timeout(CLEANUP_TIMEOUT, exchange).await;
 }
 
 /// Releases a lost session on its engine. Best effort: what remains is dropped by the engine's own idle
@@ -366,21 +374,21 @@
     let mut headers = host_header(address);
     headers.push("Via", format!("1.1 violetward-{}", host.config.settings.me.0));
     context.write(&mut headers);
-    let work = async {
+    let exchange = async {
         let mut connection = pool.get(host.config.host.connect_within).await.ok()?;
         let message = connection.call("POST", STATEMENT, &headers, text.as_bytes()).await.ok()?;
         let (results, _) = read(&pool, connection, message).ok()?;
         let uri = results.next_uri?;
         poll(host, &pool, &uri).await.ok()
     };
-    timeout(CLEANUP_TIMEOUT, work).await;
+    timeout(CLEANUP_TIMEOUT, exchange).await;
 }
 
 /// Requests the status of an engine. Returns its load and the epoch of its process, or `None` without a valid
 /// answer in time.
 pub(crate) async fn status(host: &Host, address: SocketAddr) -> Option<(Load, Option<String>)> {
     let pool = host.pool(address);
-    let work = async {
+    let exchange = async {
         let mut connection = pool.get(host.config.host.connect_within).await.ok()?;
         let message = connection.call("GET", "/v1/status", &host_header(address), b"").await.ok()?;
         let epoch = message.headers.get(EPOCH).map(str::to_owned);
@@ -391,7 +399,7 @@
         }
         status.map(|status| (status, epoch))
     };
-    let (status, epoch) = timeout(host.config.host.probe_within, work).await??;
+    let (status, epoch) = timeout(host.config.host.probe_within, exchange).await??;
     let memory = (status.heap_available > 0).then(|| status.heap_used as f64 / status.heap_available as f64);
     let load = Load {
         in_flight: status.running_statements.map(f64::from),
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -327,10 +327,10 @@
 
     /// How long a poll may wait.
     fn poll_timeout(&self, query: &str) -> Duration {
-        let wanted = query.split('&').find_map(|p| p.strip_prefix("maxWait="));
-        let wanted = wanted.and_then(violetward_statement::session::duration);
+        let requested = query.split('&').find_map(|p| p.strip_prefix("maxWait="));
+        let requested = requested.and_then(violetward_statement::session::duration);
         let longest = self.host.config.host.long_poll;
-        wanted.map_or(longest, |wanted| longest.min(wanted))
+        requested.map_or(longest, |requested| longest.min(requested))
     }
 
     /// Answers a request; `None` if its client has disconnected meanwhile.
@@ -607,9 +607,9 @@
         let mut value = serde_json::to_value(&status).unwrap_or_default();
         value["gateway"] = serde_json::json!({
             "held": held, "connections": self.connections.get(), "taken": counts.taken,
-            "served": counts.served, "declined": counts.declined, "refused": counts.refused, "failed": counts.failed,
-            "cancelled": counts.cancelled, "abandoned": counts.abandoned, "attempts": counts.attempts,
-            "overdue": counts.overdue,
+            "served": counts.served, "declined": counts.declined, "refused": counts.refused,
+            "failed": counts.failed, "cancelled": counts.cancelled, "abandoned": counts.abandoned,
+            "attempts": counts.attempts, "overdue": counts.overdue,
         });
         if let Some(custody) = self.host.custody() {
             value["custody"] = serde_json::to_value(custody.standing(&self.host)).unwrap_or_default();
@@ -620,7 +620,8 @@
             value["membership"] = serde_json::json!({
                 "name": view.name, "standing": view.standing, "share": view.share,
                 "alive": count("alive"), "suspect": count("suspect"), "dead": count("dead"),
-                "left": count("left"), "sent": view.sent, "taken": view.taken, "refused": view.refused, "paused": view.paused,
+                "left": count("left"), "sent": view.sent, "taken": view.taken, "refused": view.refused,
+                "paused": view.paused,
             });
         }
         if let Some(agreed) = &*self.host.agreed.borrow() {
@@ -639,11 +640,13 @@
     method: &'a str,
     /// Base URI of this service as the client addresses it.
     base: &'a str,
+    /// Time until which the reply may wait for a page.
     until: Instant,
 }
 
 /// The result of looking for a statement in this gateway.
 enum HeldAnswer {
+    /// The statement is here, or its ending is known.
     Reply(Reply),
     /// The statement is not here. The name of the gateway that may hold it, if known.
     Elsewhere(Option<String>),
@@ -664,18 +667,22 @@
     Reply::text(410, "this statement was lost with the gateways that knew of it; it may have run")
 }
 
+/// The reply for a protected statement whose pages have been dropped.
 fn gone_reply() -> Reply {
     Reply::text(410, "this statement has ended, and its pages are gone")
 }
 
+/// The reply if this gateway has no agreement on settings.
 fn no_agreement_reply() -> Reply {
     Reply::text(404, "this gateway agrees on no settings: its configuration has no (agreement ...)")
 }
 
+/// The reply for a page that this gateway does not know.
 fn unknown_reply() -> Reply {
     Reply::text(404, "no such page here. If this gateway has been restarted, the statement may have run")
 }
 
+/// Base URI of this service as the client addresses it.
 fn base_uri(message: &Message) -> String {
     format!("http://{}", message.headers.get("host").unwrap_or("localhost"))
 }
--- a/crates/gateway/src/notebook.rs
+++ b/crates/gateway/src/notebook.rs
@@ -427,11 +427,13 @@
         table.hidden += rows.len().saturating_sub(room);
         table.rows.extend(rows.into_iter().take(room));
     }
-    if let Some((word, count)) = &page.update {
-        table.update = Some(count.map_or_else(|| word.clone(), |n| format!("{word}: {n} rows")));
+    if let Some((update_type, count)) = &page.update {
+        table.update =
+            Some(count.map_or_else(|| update_type.clone(), |n| format!("{update_type}: {n} rows")));
     }
 }
 
+/// The end of a cell whose statement failed.
 fn cell_error(error: &QueryError) -> CellEnd {
     let info = error.failure_info.as_deref();
     CellEnd::Error {
@@ -442,6 +444,7 @@
     }
 }
 
+/// The end of a cell whose statement is not known any more.
 fn unknown_ending() -> CellEnd {
     let error = QueryError::failed(violetward_statement::results::FAILED, "its end is no longer known");
     cell_error(&error)
--- a/crates/gateway/src/sessions.rs
+++ b/crates/gateway/src/sessions.rs
@@ -26,6 +26,15 @@
 /// Error name with which an engine answers if another statement of the session is running.
 pub const SESSION_BUSY: &str = "SESSION_BUSY";
 
+/// Error code of statements that use sessions wrongly.
+const USER_ERROR_CODE: u32 = 0x7610;
+/// Error code of a statement whose session is lost.
+pub const SESSION_LOST_CODE: u32 = 0x7611;
+/// Suggested delay of a retry while another statement of the session is running, in milliseconds.
+const BUSY_RETRY_MS: u64 = 200;
+/// Suggested delay of a retry while too many sessions are open, in milliseconds.
+const FULL_RETRY_MS: u64 = 1000;
+
 /// Header that reports a started transaction.
 pub const STARTED_TRANSACTION: &str = "X-Trino-Started-Transaction-Id";
 /// Header that reports the end of a transaction.
@@ -100,6 +109,9 @@
 /// Maximum number of epochs remembered for an engine.
 const MAX_EPOCHS_PER_ENGINE: usize = 16;
 
+/// Initial value of the hash of the gateway process's name (the offset basis of FNV-1a).
+const HASH_SEED: u64 = 0xcbf2_9ce4_8422_2325;
+
 /// Mixes the bits of a number (the finalizer of SplitMix64).
 fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -126,15 +138,18 @@
     (SET_SESSION.to_owned(), format!("{PROPERTY}={}", encode(token)))
 }
 
+/// The ending of a statement that uses a session wrongly.
 fn user_error(name: &str, why: String) -> Ending {
-    Ending::Declined(QueryError::new(ErrorType::UserError, 0x7610, name, why))
+    Ending::Declined(QueryError::new(ErrorType::UserError, USER_ERROR_CODE, name, why))
 }
 
+/// The ending of a statement whose session is lost.
 fn session_lost(why: Why, holds: Holds) -> Ending {
     let why = format!("the session is lost with {}: {}", holds.words(), why.words());
-    Ending::Failed(QueryError::new(ErrorType::External, 0x7611, SESSION_LOST, why))
+    Ending::Failed(QueryError::new(ErrorType::External, SESSION_LOST_CODE, SESSION_LOST, why))
 }
 
+/// The ending of a statement that may be sent again after some time.
 fn refused_ending(why: &str, after_ms: u64) -> Ending {
     Ending::Refused(QueryError::refused(why, after_ms))
 }
@@ -142,7 +157,7 @@
 impl Sessions {
     /// Creates an empty table. `instance` must differ at every start of every gateway.
     pub fn new(limits: Limits, reserve: u32, keys: Keys, instance: &str, now: Micros) -> Self {
-        let instance = instance.bytes().fold(0xcbf2_9ce4_8422_2325, |h: u64, b| mix(h ^ u64::from(b)));
+        let instance = instance.bytes().fold(HASH_SEED, |h: u64, b| mix(h ^ u64::from(b)));
         Sessions {
             table: Table::new(limits, now),
             keys,
@@ -216,7 +231,7 @@
                 ),
                 Kind::Start | Kind::Temporary => match self.table.may_open(&context.user) {
                     Ok(()) => Admit::InSession(Box::new(session_use)),
-                    Err(full) => Admit::Ended(refused_ending(full.words(), 1000), Vec::new()),
+                    Err(full) => Admit::Ended(refused_ending(full.words(), FULL_RETRY_MS), Vec::new()),
                 },
             };
         }
@@ -287,7 +302,7 @@
             Ok(binding) => binding,
             Err(Denied::Busy) => {
                 return Admit::Ended(
-                    refused_ending("another statement of this session runs", 200),
+                    refused_ending("another statement of this session runs", BUSY_RETRY_MS),
                     Vec::new(),
                 )
             }
@@ -354,7 +369,7 @@
         };
         self.table
             .open(now, token.session, &token.user, &binding, token.until, None)
-            .map_err(|full| refused_ending(full.words(), 1000))
+            .map_err(|full| refused_ending(full.words(), FULL_RETRY_MS))
     }
 
     /// Processes the session headers of an engine's answer and replaces the engine's ids by this gateway's
@@ -488,7 +503,7 @@
                 return (session_lost(Why::Forgotten, held), None);
             }
             Ending::Declined(e) if e.error_name == SESSION_BUSY => {
-                refused_ending("another statement of this session runs", 200)
+                refused_ending("another statement of this session runs", BUSY_RETRY_MS)
             }
             other => other,
         };
@@ -542,9 +557,9 @@
     }
 
     /// Handles the listing of an engine: whether it drains, or `None` if it was removed.
-    pub fn engine_listed(&mut self, now: Micros, engine: EngineId, drains: Option<bool>) -> Vec<Loss> {
-        match drains {
-            Some(drains) => self.count_lost(|table| table.drains(now, engine.0, drains)),
+    pub fn engine_listed(&mut self, now: Micros, engine: EngineId, draining: Option<bool>) -> Vec<Loss> {
+        match draining {
+            Some(draining) => self.count_lost(|table| table.drains(now, engine.0, draining)),
             None => self.count_lost(|table| table.lose(now, engine.0, None, Why::Removed)),
         }
     }
