--- a/crates/gateway/tests/platform.rs
+++ b/crates/gateway/tests/platform.rs
@@ -161,7 +161,7 @@
     let (mut child, _, log) = start_with_log(&path);
     std::fs::write(&path, "{\"name\":").unwrap();
     signal(&child, Signal::HUP);
-    logged(&log, "the old configuration stands; looking again");
+    logged(&log, "configuration is invalid; keeping the old one and retrying");
     signal(&child, Signal::TERM);
     // The reload would go on for ten seconds.
     let since = Instant::now();
--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -1,4 +1,4 @@
-//! What a client asks for: its fields, checked before anything is done for it.
+//! A request as a client sent it: its fields, validated before any work is done for it.
 
 use std::fmt;
 use std::rc::Rc;
@@ -6,109 +6,110 @@
 use violetward::{Class, Effect, GroupId, Micros, OrderKey, RequestId, TenantId};
 use violetward_settings::Names;
 
-use crate::group::group;
+use crate::group::table_group;
 
-/// Longest text of a key or of a client's mark for repeats.
-const MARK: usize = 128;
-/// Work beyond any estimate, in milliseconds on one core: about a day.
-const COST_MOST: f64 = 1e8;
-/// Memory beyond any machine, in megabytes: a hundred terabytes.
-const MEMORY_MOST: f64 = 1e8;
-/// Longest wait of a client where the settings name none for its class, in milliseconds: a day.
-const WAIT_MOST: f64 = 86_400_000.0;
-/// How far a client's wait may go beyond its class's, in milliseconds.
-const WAIT_OVER: f64 = 1_000.0;
+/// Highest length of an order key or an idempotency key.
+const KEY_MAX_BYTES: usize = 128;
+/// Highest cost estimate: about a day on one core.
+const COST_MAX_MS: f64 = 1e8;
+/// Highest memory estimate: a hundred terabytes, more than any machine has.
+const MEMORY_MAX_MB: f64 = 1e8;
+/// Longest wait where the settings give none for the class: a day.
+const WAIT_MAX_MS: f64 = 86_400_000.0;
+/// By how much a client's wait may exceed the longest wait of its class.
+const WAIT_TOLERANCE_MS: f64 = 1_000.0;
 
 /// A request as a client sent it, in the module's units.
 #[derive(Clone, PartialEq)]
 pub struct Call {
-    /// Its id.
+    /// The request's id.
     pub id: RequestId,
-    /// Place of its class.
+    /// Index of the class in the settings.
     pub class: usize,
-    /// Its tenant; the first where the settings define none.
+    /// The tenant; the first one if the settings define no tenants.
     pub tenant: TenantId,
-    /// How long its client waits.
+    /// How long the client waits for the answer.
     pub wait: Micros,
-    /// How long clients of its class wait at the most; as long as this one where the settings don't tell.
+    /// The longest wait of the class; equal to `wait` if the settings give none.
     pub longest_wait: Micros,
-    /// It is marked as another try.
+    /// The client marked the request as a retry.
     pub retry: bool,
-    /// The same for all tries of one request, where its class has that.
-    pub once: Option<String>,
-    /// For how long engines drop repeats of it, from the first attempt that may have run, where its class has that.
-    pub window: Option<Micros>,
-    /// Estimated work; 0 if not told.
+    /// Identical for all tries of one request. Only for classes whose repeats engines drop.
+    pub idempotency_key: Option<String>,
+    /// For how long after the first attempt that may have run engines drop repeats. Only for such classes.
+    pub dedup_window: Option<Micros>,
+    /// Estimated CPU time; 0 if not given.
     pub cost: Micros,
-    /// Estimated memory in megabytes; 0 if not told.
+    /// Estimated memory in megabytes; 0 if not given.
     pub memory_mb: f64,
-    /// Its key of order.
+    /// Requests with the same order key run in the order in which they were sent.
     pub key: Option<OrderKey>,
-    /// The group of its tables.
+    /// The group of the tables that the statement uses.
     pub group: GroupId,
     /// The statement.
     pub body: Rc<[u8]>,
 }
 
 impl fmt::Debug for Call {
-    /// Without the statement: it may hold what no log should.
+    /// Leaves out the statement, which may hold confidential data: this text goes to the log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut call = f.debug_struct("Call");
         call.field("id", &format_args!("{:016x}", self.id.0)).field("class", &self.class);
         call.field("tenant", &self.tenant.0);
-        call.field("wait", &self.wait).field("retry", &self.retry).field("once", &self.once);
+        call.field("wait", &self.wait).field("retry", &self.retry).field("once", &self.idempotency_key);
         call.field("cost", &self.cost).field("memory_mb", &self.memory_mb).field("key", &self.key);
         call.field("group", &self.group).field("body", &self.body.len()).finish()
     }
 }
 
-fn figure(name: &str, text: &str, most: f64) -> Result<f64, String> {
-    // The standard parser takes "inf" and "nan" too: the range leaves them out.
+fn parse_number(name: &str, text: &str, max: f64) -> Result<f64, String> {
+    // The standard parser also accepts "inf" and "nan"; the range check rejects them.
     let value: f64 = text.parse().map_err(|_| format!("{name}: not a number"))?;
-    if (0.0..=most).contains(&value) {
+    if (0.0..=max).contains(&value) {
         Ok(value)
     } else {
         Err(format!("{name}: out of range"))
     }
 }
 
-/// A mark travels on as a value in a list of fields, so that nothing may stand in it that ends one.
-fn mark(name: &str, text: &str) -> Result<String, String> {
-    let good = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b':' | b'/' | b'+');
-    if text.is_empty() || text.len() > MARK || !text.bytes().all(good) {
-        return Err(format!("{name}: not a word of 1 to {MARK} characters"));
+/// Checks an order key or an idempotency key. Keys are passed on to engines in a list of fields, so they may
+/// not contain the list's separators.
+fn parse_key(name: &str, text: &str) -> Result<String, String> {
+    let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.' | b':' | b'/' | b'+');
+    if text.is_empty() || text.len() > KEY_MAX_BYTES || !text.bytes().all(allowed) {
+        return Err(format!("{name}: not a word of 1 to {KEY_MAX_BYTES} characters"));
     }
     Ok(text.to_owned())
 }
 
-/// Longest wait of a client of a class, in milliseconds.
-fn wait_most(class: &Class) -> f64 {
+/// The longest wait that a client may give for a class, in milliseconds.
+fn wait_max_ms(class: &Class) -> f64 {
     match class.give_up {
-        0 => WAIT_MOST,
-        give_up => give_up as f64 / 1e3 + WAIT_OVER,
+        0 => WAIT_MAX_MS,
+        give_up => give_up as f64 / 1e3 + WAIT_TOLERANCE_MS,
     }
 }
 
-/// Whether a class's name can be passed on to engines, as a value in a list of fields.
-fn can_be_passed_on(name: &str) -> bool {
+/// Whether the name of a class can be passed on to engines as a value in a list of fields.
+fn is_field_value(name: &str) -> bool {
     !name.is_empty() && !name.chars().any(|c| matches!(c, '=' | ',') || c.is_control())
 }
 
-/// The tenant that a request names, or the only one there is where the settings define none.
-fn tenant(named: Option<&str>, tenants: &[String]) -> Result<TenantId, String> {
+/// The tenant that a request names; the only one if the settings define no tenants.
+fn find_tenant(named: Option<&str>, tenants: &[String]) -> Result<TenantId, String> {
     if tenants.is_empty() {
         return Ok(TenantId(0));
     }
     let named = named.ok_or("tenant: missing")?;
-    let place = tenants.iter().position(|tenant| tenant == named);
-    place.map(TenantId).ok_or_else(|| "tenant: not known".to_owned())
+    let index = tenants.iter().position(|tenant| tenant == named);
+    index.map(TenantId).ok_or_else(|| "tenant: not known".to_owned())
 }
 
-/// Reads a client's fields.
+/// Parses the fields and the statement of a client's request.
 ///
 /// # Errors
-/// Says which field is missing or can't be used.
-pub fn read(fields: &[(&str, &str)], body: &[u8], names: &Names, classes: &[Class]) -> Result<Call, String> {
+/// Says which field is missing or invalid. The text is sent to the client.
+pub fn parse(fields: &[(&str, &str)], body: &[u8], names: &Names, classes: &[Class]) -> Result<Call, String> {
     let find = |name: &str| {
         let mut found = fields.iter().filter(|(n, _)| *n == name).map(|(_, v)| *v);
         match (found.next(), found.next()) {
@@ -116,43 +117,43 @@
             _ => Err(format!("{name}: given twice")),
         }
     };
-    let need = |name: &str| find(name)?.ok_or_else(|| format!("{name}: missing"));
-    let id = need("id")?;
-    let lower = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
+    let require = |name: &str| find(name)?.ok_or_else(|| format!("{name}: missing"));
+    let id = require("id")?;
+    let is_hex = |b: u8| b.is_ascii_digit() || (b'a'..=b'f').contains(&b);
     let number =
-        (id.len() == 16 && id.bytes().all(lower)).then(|| u64::from_str_radix(id, 16).ok()).flatten();
+        (id.len() == 16 && id.bytes().all(is_hex)).then(|| u64::from_str_radix(id, 16).ok()).flatten();
     let id = number.ok_or("id: not 16 hex digits")?;
-    let named = need("class")?;
-    let place = names.classes.iter().position(|n| n == named);
-    let (place, class) = place.and_then(|p| Some((p, classes.get(p)?))).ok_or("class: not known")?;
-    if !can_be_passed_on(named) {
+    let class_name = require("class")?;
+    let index = names.classes.iter().position(|name| name == class_name);
+    let (class_index, class) = index.and_then(|i| Some((i, classes.get(i)?))).ok_or("class: not known")?;
+    if !is_field_value(class_name) {
         return Err("class: its name can't be passed on to an engine".into());
     }
-    let tenant = tenant(find("tenant")?, &names.tenants)?;
-    let wait = figure("wait", need("wait")?, wait_most(class))?;
-    if wait < 1.0 {
+    let tenant = find_tenant(find("tenant")?, &names.tenants)?;
+    let wait_ms = parse_number("wait", require("wait")?, wait_max_ms(class))?;
+    if wait_ms < 1.0 {
         return Err("wait: out of range".into());
     }
-    let wait = (wait * 1e3) as Micros;
+    let wait = (wait_ms * 1e3) as Micros;
     let retry = match find("retry")? {
         None => false,
         Some("1") => true,
         Some(_) => return Err("retry: neither absent nor 1".into()),
     };
-    let cost = find("cost")?.map_or(Ok(0.0), |text| figure("cost", text, COST_MOST))?;
-    let memory_mb = find("heap_mb")?.map_or(Ok(0.0), |text| figure("heap_mb", text, MEMORY_MOST))?;
-    let window = match class.effect {
+    let cost_ms = find("cost")?.map_or(Ok(0.0), |text| parse_number("cost", text, COST_MAX_MS))?;
+    let memory_mb = find("heap_mb")?.map_or(Ok(0.0), |text| parse_number("heap_mb", text, MEMORY_MAX_MB))?;
+    let dedup_window = match class.effect {
         Effect::Keyed { window, .. } => Some(window),
         Effect::Repeatable | Effect::Once => None,
     };
-    let keyed = window.is_some();
-    let once = match find("once")? {
-        Some(text) if keyed => Some(mark("once", text)?),
+    let keyed = dedup_window.is_some();
+    let idempotency_key = match find("once")? {
+        Some(text) if keyed => Some(parse_key("once", text)?),
         None if keyed => return Err("once: missing".into()),
         _ => None,
     };
     let key = match find("key")? {
-        Some(text) if class.in_order => Some(OrderKey(mark("key", text)?)),
+        Some(text) if class.in_order => Some(OrderKey(parse_key("key", text)?)),
         None if class.in_order => return Err("key: missing".into()),
         _ => None,
     };
@@ -162,17 +163,17 @@
     let statement = std::str::from_utf8(body).map_err(|_| "body: not UTF-8")?;
     Ok(Call {
         id: RequestId(id),
-        class: place,
+        class: class_index,
         tenant,
         wait,
         longest_wait: if class.give_up == 0 { wait } else { class.give_up },
         retry,
-        once,
-        window,
-        cost: (cost * 1e3) as Micros,
+        idempotency_key,
+        dedup_window,
+        cost: (cost_ms * 1e3) as Micros,
         memory_mb,
         key,
-        group: GroupId(group(statement).unwrap_or(0)),
+        group: GroupId(table_group(statement).unwrap_or(0)),
         body: body.into(),
     })
 }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! A connection of a client: its answers, and the times after which it is closed.
+//! A client connection: its answers, and the time-outs after which it is closed.
 
 use std::cell::{Cell, RefCell};
 use std::net::TcpStream;
@@ -8,194 +8,194 @@
 use violetward_net::Duplex;
 use violetward_thrift::{FrameDecoder, MessageHeader, MessageType, Writer};
 
-use crate::core::{ClientId, Verdict};
+use crate::core::{ClientId, Reply};
 use crate::host::Host;
 
-/// How long a connection may be silent before its first whole frame, and a frame may take to come in whole. Bad clients
-/// are owed an end within three seconds of connecting.
-const SILENT: Duration = Duration::from_millis(2_000);
-/// How long a connection may stay idle between requests; clients close theirs after four seconds.
-const IDLE: Duration = Duration::from_millis(6_000);
+/// Time-out for the first frame of a connection, and for receiving any frame completely. Misbehaving clients
+/// have to be disconnected within 3 s of connecting.
+const FRAME_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Time-out between requests. Clients close idle connections after 4 s.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(6_000);
 /// How long a client may leave an answer unread.
-const UNREAD: Duration = Duration::from_millis(2_500);
-/// Bytes kept for a client that does not read: some of the largest results.
-const UNREAD_BYTES: usize = 256 << 10;
+const UNREAD_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// How many bytes are buffered for a client that does not read: a few results of the largest size.
+const UNREAD_MAX_BYTES: usize = 256 << 10;
 
-/// Why a connection of a client ended.
+/// Why a client connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndReason {
-    /// The client ended it, or it broke.
+    /// The client closed it, or it broke.
     ByClient,
-    /// The client sent what can't be served.
+    /// The client violated the protocol.
     Violation,
-    /// No whole frame came in the time for a first one.
-    Silent,
-    /// A frame that had begun did not come in whole in its time.
-    StoppedWithinFrame,
-    /// Nothing was asked for longer than connections may be idle.
+    /// No complete frame came within the time-out.
+    NoFirstFrame,
+    /// The rest of a frame did not come within the time-out.
+    IncompleteFrame,
+    /// It was idle for too long.
     Idle,
-    /// Answers were not read in their time, or were more than may be kept.
+    /// Answers stayed unread for too long, or exceeded the buffer.
     Unread,
-    /// It gave way to a new connection.
-    MadeRoom,
-    /// The gateway ends, and nothing was open.
+    /// It was closed to make room for a new connection.
+    Evicted,
+    /// The gateway is draining, and the connection had no open requests.
     Drained,
 }
 
-/// A connection of a client.
+/// A client connection.
 pub struct Client {
-    /// Which one.
+    /// The connection's id.
     pub id: ClientId,
-    /// Its socket.
+    /// The socket.
     pub duplex: Duplex,
-    /// Frames that come in.
+    /// The decoder of incoming frames.
     pub frames: RefCell<FrameDecoder>,
     opened: Instant,
-    /// Since when a frame has been coming in.
+    /// Since when the last frame has been incomplete.
     frame_since: Cell<Option<Instant>>,
-    /// Its last frame or answer; `None` before the first frame.
+    /// When the last frame was received or the last answer sent; `None` before the first frame.
     last_used: Cell<Option<Instant>>,
-    /// Why it ended, once this side has ended it.
-    ended: Cell<Option<EndReason>>,
+    /// Why this side ended the connection, once it has.
+    end_reason: Cell<Option<EndReason>>,
 }
 
-/// Writes a result of the method `dispatch` or `alive`.
-fn write_result(writer: &mut Writer, body: &[u8], good: bool) {
+/// Writes the result of the method `dispatch` or `alive`.
+fn write_result(writer: &mut Writer, body: &[u8], ok: bool) {
     writer.begin_struct(0);
     writer.binary(1, body);
     writer.string_map(2, std::iter::empty());
-    writer.bool(3, good);
+    writer.bool(3, ok);
     writer.end_struct();
     writer.end_struct();
 }
 
-/// Writes a declared exception: the field of the result that holds it, and its fields.
-fn write_thrown(writer: &mut Writer, number: i16, fields: &[(&str, &str)]) {
-    writer.begin_struct(number);
+/// Writes a declared exception into the result's field with the given id.
+fn write_exception(writer: &mut Writer, field_id: i16, fields: &[(&str, &str)]) {
+    writer.begin_struct(field_id);
     writer.string_map(1, fields.iter().copied());
     writer.end_struct();
     writer.end_struct();
 }
 
 impl Client {
-    /// A connection that has just been accepted; frames hold up to `frame_bytes`.
-    pub fn new(id: ClientId, socket: Async<TcpStream>, frame_bytes: usize) -> Self {
+    /// Wraps the socket of a new connection; frames may have up to `frame_max_bytes`.
+    pub fn new(id: ClientId, socket: Async<TcpStream>, frame_max_bytes: usize) -> Self {
         Client {
             id,
-            duplex: Duplex::new(socket, UNREAD_BYTES),
-            frames: RefCell::new(FrameDecoder::new(frame_bytes)),
+            duplex: Duplex::new(socket, UNREAD_MAX_BYTES),
+            frames: RefCell::new(FrameDecoder::new(frame_max_bytes)),
             opened: Instant::now(),
             frame_since: Cell::new(None),
             last_used: Cell::new(None),
-            ended: Cell::new(None),
+            end_reason: Cell::new(None),
         }
     }
 
-    /// Begins an orderly end.
+    /// Starts an orderly close.
     pub fn close(&self, reason: EndReason) {
-        self.ended.set(self.ended.get().or(Some(reason)));
+        self.end_reason.set(self.end_reason.get().or(Some(reason)));
         self.duplex.close();
     }
 
-    /// Gives the connection up, since answers are not read.
-    pub fn cut_off(&self) {
-        self.ended.set(self.ended.get().or(Some(EndReason::Unread)));
+    /// Closes the connection at once because the client does not read its answers.
+    pub fn abort_unread(&self) {
+        self.end_reason.set(self.end_reason.get().or(Some(EndReason::Unread)));
         self.duplex.abort();
     }
 
-    /// Why it ended.
+    /// Why the connection ended.
     pub fn end_reason(&self) -> EndReason {
-        let unread = || if self.duplex.is_closed() { EndReason::Unread } else { EndReason::ByClient };
-        self.ended.get().unwrap_or_else(unread)
+        let default = || if self.duplex.is_closed() { EndReason::Unread } else { EndReason::ByClient };
+        self.end_reason.get().unwrap_or_else(default)
     }
 
-    /// Writes the final answer to a request.
-    pub fn answer(&self, seqid: i32, verdict: &Verdict) {
-        tracing::debug!(client = self.id.0, seqid, what = verdict.name(), "answer");
+    /// Sends the final answer to a request.
+    pub fn answer(&self, seqid: i32, reply: &Reply) {
+        tracing::debug!(client = self.id.0, seqid, what = reply.name(), "answer");
         let mut writer = Writer::message("dispatch", MessageType::Reply, seqid);
-        match verdict {
-            Verdict::Served(result) => write_result(&mut writer, result, true),
-            Verdict::Refused(0) => write_thrown(&mut writer, 1, &[]),
-            Verdict::Refused(after) => {
-                write_thrown(&mut writer, 1, &[("after", &after.div_ceil(1000).to_string())]);
+        match reply {
+            Reply::Served(result) => write_result(&mut writer, result, true),
+            Reply::Refused(0) => write_exception(&mut writer, 1, &[]),
+            Reply::Refused(after) => {
+                write_exception(&mut writer, 1, &[("after", &after.div_ceil(1000).to_string())]);
             }
-            Verdict::Failed => write_thrown(&mut writer, 2, &[]),
+            Reply::Failed => write_exception(&mut writer, 2, &[]),
         }
         self.last_used.set(Some(Instant::now()));
         self.duplex.send(&writer.into_frame());
     }
 
-    /// Writes the answer to `alive`.
-    pub fn answer_alive(&self, seqid: i32, good: bool) {
+    /// Sends the answer to `alive`.
+    pub fn answer_alive(&self, seqid: i32, ok: bool) {
         let mut writer = Writer::message("alive", MessageType::Reply, seqid);
-        write_result(&mut writer, b"", good);
+        write_result(&mut writer, b"", ok);
         self.duplex.send(&writer.into_frame());
     }
 
-    /// Answers a message with an application exception.
-    pub fn answer_exception(&self, head: &MessageHeader, code: i32, why: &str) {
-        // Nobody waits for an answer to what is no call.
+    /// Sends a Thrift application exception as the answer to a message.
+    pub fn answer_exception(&self, head: &MessageHeader, code: i32, message: &str) {
+        // One-way messages get no answer.
         if head.message_type == MessageType::Oneway {
             return;
         }
         let mut writer = Writer::message(&head.method, MessageType::Exception, head.seqid);
-        writer.binary(1, why.as_bytes());
+        writer.binary(1, message.as_bytes());
         writer.i32(2, code);
         writer.end_struct();
         self.duplex.send(&writer.into_frame());
     }
 
-    /// A frame has come in whole.
+    /// Notes that a complete frame was received.
     pub fn note_frame(&self) {
         self.last_used.set(Some(Instant::now()));
-        // The next one's time begins anew.
+        // The time-out of the next frame starts anew.
         self.frame_since.set(None);
     }
 
-    /// All that came with a read has been looked at: a frame may still be coming in.
+    /// Notes that all complete frames of a read have been handled; an incomplete one may be left.
     pub fn note_read(&self) {
         let incomplete = self.frames.borrow().has_partial_frame();
         self.frame_since.set(incomplete.then(|| self.frame_since.get().unwrap_or_else(Instant::now)));
     }
 
-    /// Closes it if it has been silent, idle or unread for too long.
-    pub fn close_if_overdue(&self, host: &Host, now: Instant) {
-        let over = |since: Instant, span: Duration| now.saturating_duration_since(since) > span;
-        let (kept, moved) = self.duplex.unsent();
-        if kept > 0 && over(moved, UNREAD) {
-            return self.cut_off();
+    /// Closes the connection if one of its time-outs has expired.
+    pub fn close_if_timed_out(&self, host: &Host, now: Instant) {
+        let expired = |since: Instant, timeout: Duration| now.saturating_duration_since(since) > timeout;
+        let (unread, last_progress) = self.duplex.unsent();
+        if unread > 0 && expired(last_progress, UNREAD_TIMEOUT) {
+            return self.abort_unread();
         }
-        let stalled = self.frame_since.get().is_some_and(|since| over(since, SILENT));
+        let stalled = self.frame_since.get().is_some_and(|since| expired(since, FRAME_TIMEOUT));
         let (idle, idle_reason) = match self.last_used.get() {
-            None => (over(self.opened, SILENT), EndReason::Silent),
-            Some(last) => (over(last, IDLE), EndReason::Idle),
+            None => (expired(self.opened, FRAME_TIMEOUT), EndReason::NoFirstFrame),
+            Some(last) => (expired(last, IDLE_TIMEOUT), EndReason::Idle),
         };
-        // What is open is still answered, by its deadline at the latest. What has arrived and was not read yet ends the
-        // idleness: it is for the reader, not for the close.
-        if host.look(|core| core.open_of(self.id)) > 0 {
+        // Open requests are still answered, by their deadlines at the latest. A connection on which unread
+        // bytes have arrived is not idle either: the reader will handle them.
+        if host.read_core(|core| core.open_requests_of(self.id)) > 0 {
             return;
         }
         if stalled {
-            self.close(EndReason::StoppedWithinFrame);
+            self.close(EndReason::IncompleteFrame);
         } else if idle && self.duplex.is_idle() {
             self.close(idle_reason);
         }
     }
 
-    /// No request is open, none is coming in and no answer is unread; nothing has arrived that was not read yet.
+    /// Whether no request is open or incomplete, no answer is unread, and no bytes wait in the socket.
     pub fn is_idle(&self, host: &Host) -> bool {
         self.seems_idle(host) && self.duplex.is_idle()
     }
 
-    /// It is idle as far as can be told without asking the system what has arrived on its socket.
+    /// Like [`Client::is_idle`], but without the system call that checks the socket for unread bytes.
     pub fn seems_idle(&self, host: &Host) -> bool {
         !self.duplex.is_closed()
             && self.frame_since.get().is_none()
             && self.duplex.unsent().0 == 0
-            && host.look(|core| core.open_of(self.id)) == 0
+            && host.read_core(|core| core.open_requests_of(self.id)) == 0
     }
 
-    /// The order in which idle connections are closed where there is no room: those that never asked first, then those
+    /// The sort key in which idle connections are evicted: first those that never sent a request, then those
     /// that have been idle for longest.
     pub fn eviction_order(&self) -> (bool, Instant) {
         (self.last_used.get().is_some(), self.last_used.get().unwrap_or(self.opened))
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: what the platform tells a gateway at its start.
+//! The configuration file that the platform gives a gateway.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -9,7 +9,7 @@
 
 use crate::list::Known;
 
-/// What the file holds.
+/// The contents of the file.
 #[derive(Debug, Deserialize)]
 struct File {
     name: String,
@@ -22,71 +22,71 @@
     settings: BootInfo,
 }
 
-/// Limits of the machine that a gateway has to itself.
+/// Resource limits of the gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 pub struct Limits {
-    /// Part of a core.
+    /// CPU cores; may be a fraction of one.
     pub cores: f64,
-    /// Memory in megabytes, files included.
+    /// Memory in megabytes, cached files included.
     pub memory_mb: u64,
-    /// File descriptors.
+    /// Number of file descriptors.
     pub sockets: usize,
 }
 
-/// The configuration, checked.
+/// The validated configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// This gateway's name, the same after a restart.
+    /// The gateway's name; it survives restarts.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// For random numbers; new with each start.
+    /// The seed for random numbers; new at each start.
     pub seed: u64,
-    /// The machine's limits.
+    /// Resource limits.
     pub limits: Limits,
-    /// The resolver.
+    /// The address of the DNS resolver.
     pub resolver: SocketAddr,
-    /// The list of engines at the start.
+    /// The events for the initial list of engines.
     pub known: Known,
-    /// The module's settings.
+    /// The settings of the decision module.
     pub settings: Settings,
-    /// The names behind the settings' numbers.
+    /// The names for the indices in the settings.
     pub names: Names,
-    /// What the settings say of connections.
+    /// The settings for connections.
     pub connections: Connections,
 }
 
 impl Config {
-    /// The parts in which a configuration that was read later differs, beside the resolver's address: they are not taken
-    /// over while this process runs, and hold from its next start on.
-    pub fn not_taken_over(&self, read: &Config) -> Vec<&'static str> {
-        let settings = self.settings != read.settings || self.names != read.names;
+    /// The parts, other than the resolver's address, in which a reloaded configuration differs. They take
+    /// effect only when the process restarts.
+    pub fn changes_pending_restart(&self, reloaded: &Config) -> Vec<&'static str> {
+        let settings = self.settings != reloaded.settings || self.names != reloaded.names;
         let differs = [
-            ("name", self.name != read.name),
-            ("limits", self.limits != read.limits),
-            ("settings", settings || self.connections != read.connections),
+            ("name", self.name != reloaded.name),
+            ("limits", self.limits != reloaded.limits),
+            ("settings", settings || self.connections != reloaded.connections),
         ];
         differs.into_iter().filter(|(_, differs)| *differs).map(|(part, _)| part).collect()
     }
 }
 
-fn address(what: &str, text: &str) -> Result<SocketAddr, String> {
-    text.parse().map_err(|_| format!("{what}: {text:?} is not address:port"))
+fn parse_address(field: &str, text: &str) -> Result<SocketAddr, String> {
+    text.parse().map_err(|_| format!("{field}: {text:?} is not address:port"))
 }
 
-/// Reads a configuration from its text.
+/// Parses and validates a configuration.
 ///
 /// # Errors
-/// Says where it is wrong, in one line.
+/// Says in one line what is wrong.
 pub fn parse(text: &str) -> Result<Config, String> {
     let file: File = serde_json::from_str(text).map_err(|e| e.to_string())?;
-    let listen = address("listen", &file.listen)?;
-    let resolver = address("dns", &file.dns)?;
-    // A seed is random digits; whatever its form, it feeds the generator.
+    let listen = parse_address("listen", &file.listen)?;
+    let resolver = parse_address("dns", &file.dns)?;
+    // A seed that is not hexadecimal is hashed, so that any text serves as one.
     let seed =
         u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| violetward_settings::engine_id(&file.seed).0);
-    if file.limits.sockets < LEAST_SOCKETS {
-        return Err(format!("limits.sockets: {} are fewer than {LEAST_SOCKETS}", file.limits.sockets));
+    if file.limits.sockets < SOCKETS_MIN {
+        return Err(format!("limits.sockets: {} is less than {SOCKETS_MIN}", file.limits.sockets));
     }
     Ok(Config {
         name: file.name,
@@ -101,33 +101,34 @@
     })
 }
 
-/// Descriptors without which there is no service.
-const LEAST_SOCKETS: usize = 48;
+/// The lowest number of file descriptors that the gateway can work with.
+const SOCKETS_MIN: usize = 48;
 
-/// Reads the configuration from its file.
+/// Loads the configuration from its file.
 ///
 /// # Errors
-/// One line that names the file and what is wrong.
+/// Says in one line which file it is and what is wrong.
 pub fn load(path: &Path) -> Result<Config, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     parse(&text).map_err(|e| format!("{}: {e}", path.display()))
 }
 
-/// How the descriptors are shared out.
+/// How file descriptors are divided among connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Descriptors {
-    /// Connections of clients.
+    /// Client connections in use.
     pub clients: usize,
-    /// Connections of clients that are being closed.
+    /// Client connections that are being closed.
     pub closing: usize,
     /// Connections to engines.
     pub engines: usize,
 }
 
 impl Limits {
-    /// The budget: a reserve for the listener, the resolver's sockets, the runtime, the log and files read; of the rest
-    /// a third goes to engines, since clients of the platform hold a third of all and those of bad will come on top. A
-    /// twelfth is for client connections that are being closed.
+    /// Divides the file descriptors. A reserve is kept for the listener, the resolver's sockets, the runtime,
+    /// the log and files that are read. Of the rest, a third is for engines and a twelfth for client
+    /// connections that are being closed. Clients get what is left: regular clients use a third of all
+    /// descriptors, and malicious ones add to that.
     pub fn descriptors(&self) -> Descriptors {
         const RESERVE: usize = 24;
         let rest = self.sockets.saturating_sub(RESERVE);
@@ -135,15 +136,15 @@
         Descriptors { clients: rest - engines - closing, closing, engines }
     }
 
-    /// Bytes of a client's frame: as much as lets all clients hold half a frame in an eighth of the memory, but enough for
-    /// any statement. Guards the memory against half requests by the hundred.
-    pub fn frame_bytes(&self) -> usize {
-        (self.held_bytes() / self.descriptors().clients.max(1)).clamp(64 << 10, 256 << 10)
+    /// Highest size of a client's frame. It bounds the memory for incomplete frames on many connections: an
+    /// eighth of the memory, divided by the number of client connections, but enough for any statement.
+    pub fn frame_max_bytes(&self) -> usize {
+        (self.buffer_max_bytes() / self.descriptors().clients.max(1)).clamp(64 << 10, 256 << 10)
     }
 
-    /// Bytes that statements of open requests may hold in all, and answers that clients have not taken yet: an eighth of
-    /// the memory each.
-    pub fn held_bytes(&self) -> usize {
+    /// Highest total size of the statements of open requests, and of the answers that clients have not read
+    /// yet: an eighth of the memory each.
+    pub fn buffer_max_bytes(&self) -> usize {
         usize::try_from(self.memory_mb).unwrap_or(usize::MAX).saturating_mul(1 << 20) / 8
     }
 }
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -1,7 +1,9 @@
-//! The core: the state machine between clients, the decision module and engines. Free of I/O and clock.
+//! The state machine between clients, the decision module ([`violetward::Decide`]) and engines. It does no
+//! I/O and reads no clock.
 //!
-//! It turns what has happened on the sockets into the module's events and its actions into [`Effect`]s, and decides
-//! nothing. Times are microseconds of the Unix clock, passed in with each call.
+//! It turns what happened on the sockets into events of the decision module, and the module's actions into
+//! [`Effect`]s. It makes no decisions of its own. Times are microseconds since the Unix epoch, passed in with
+//! each call.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::ops::RangeInclusive;
@@ -15,230 +17,244 @@
 use crate::call::Call;
 use crate::list::List;
 
-/// A connection of a client; never used twice.
+/// A client connection. Ids are never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(pub u64);
 
-/// An attempt: its request and its number, from 0.
+/// One attempt at a request: the request's id and the attempt's number, counted from 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub RequestId, pub u32);
 
-/// An attempt to be made.
+/// An attempt to be sent to an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Launch {
-    /// Which one.
+    /// The attempt's id.
     pub attempt: AttemptId,
-    /// Where.
+    /// The engine that it is sent to.
     pub engine: EngineId,
-    /// Place of the request's class.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// The client's mark, by which engines drop repeats.
-    pub once: Option<String>,
-    /// Memory granted in megabytes; 0 leaves it to the engine.
+    /// Engines drop repeated requests with the same key.
+    pub idempotency_key: Option<String>,
+    /// Memory granted in megabytes; 0 leaves the amount to the engine.
     pub memory_mb: f64,
     /// Priority, 0 to 3.
-    pub rank: u8,
-    /// When it times out.
-    pub until: Micros,
+    pub priority: u8,
+    /// When the attempt times out.
+    pub deadline: Micros,
     /// The statement.
     pub body: Rc<[u8]>,
 }
 
-/// A client's final answer.
+/// The final answer to a client's request.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Verdict {
+pub enum Reply {
     /// Served, with the result.
     Served(Vec<u8>),
-    /// Refused: a further try is harmless. With the span to stay away, 0 for no advice.
+    /// Refused: the request did not run and may safely be retried, after the given time (0: no advice).
     Refused(Micros),
-    /// Failed: it is not said whether it ran.
+    /// Failed: the request may or may not have run.
     Failed,
 }
 
-impl Verdict {
-    /// A word for the log.
+impl Reply {
+    /// The name of the variant for the log.
     pub fn name(&self) -> &'static str {
         match self {
-            Verdict::Served(_) => "served",
-            Verdict::Refused(_) => "refused",
-            Verdict::Failed => "failed",
+            Reply::Served(_) => "served",
+            Reply::Refused(_) => "refused",
+            Reply::Failed => "failed",
         }
     }
 }
 
-/// Something for the host to carry out, in order.
+/// An operation that the host carries out. Effects are carried out in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Begin an attempt.
+    /// Send an attempt to its engine.
     Launch(Launch),
-    /// Give an attempt up. Nothing more is heard of it.
-    Withdraw(EngineId, AttemptId),
-    /// Give an attempt that is out another priority.
+    /// Cancel an attempt. Its completion is no longer reported.
+    CancelAttempt(EngineId, AttemptId),
+    /// Change the priority of an outstanding attempt.
     Renice(EngineId, AttemptId, u8),
-    /// Check an engine.
+    /// Send a health check to an engine.
     Probe(EngineId),
-    /// Answer a client's request, by its connection and its number there.
-    Answer(ClientId, i32, Verdict),
-    /// The module has something to say.
-    Say(String),
+    /// Answer a client's request, named by its connection and its sequence number there.
+    Answer(ClientId, i32, Reply),
+    /// Write a message of the decision module to the log.
+    Log(String),
 }
 
-/// Why a request is not taken.
+/// Whether a submitted request was accepted, and if not, why.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
-    /// It is the module's now.
-    Yes,
-    /// Its id is that of a request of this connection that is still open.
-    OwnId,
-    /// Its id is that of a request of another client, or of one whose attempts have not all ended.
-    OthersId,
-    /// There is no room for more; a further try is harmless.
+pub enum Admission {
+    /// The request was passed to the decision module.
+    Accepted,
+    /// The same connection has an open request with this id.
+    OwnIdReused,
+    /// Another client has an open request with this id, or attempts of an earlier request with it are
+    /// outstanding.
+    IdInUse,
+    /// The limit on open requests or on held statements is reached; the client may safely retry.
     Full,
 }
 
-/// How an attempt ended, as its connection tells it.
+/// How an attempt ended, as reported by its connection.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Ending {
-    /// How.
+pub struct Completion {
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// True work, where told.
+    /// CPU time used, if reported.
     pub work: Option<Micros>,
-    /// Memory needed in megabytes, where told.
+    /// Memory used in megabytes, if reported.
     pub memory_mb: Option<f64>,
-    /// The engine's load, where told.
+    /// The engine's load, as far as reported.
     pub load: Load,
-    /// The result, where served.
+    /// The result if the attempt was served, else empty.
     pub result: Vec<u8>,
 }
 
-impl Ending {
-    /// An end that tells nothing else.
-    pub fn of(outcome: Outcome) -> Self {
-        Ending { outcome, work: None, memory_mb: None, load: Load::default(), result: Vec::new() }
+impl Completion {
+    /// A completion that reports the outcome alone.
+    pub fn new(outcome: Outcome) -> Self {
+        Completion { outcome, work: None, memory_mb: None, load: Load::default(), result: Vec::new() }
     }
 }
 
-struct Open {
+/// A request that has no final answer yet.
+struct OpenRequest {
     client: ClientId,
     seqid: i32,
     class: usize,
-    once: Option<String>,
-    /// For how long engines drop repeats, and the first attempt that may have run: its number, and when it was written.
-    window: Option<Micros>,
+    idempotency_key: Option<String>,
+    /// For how long engines drop repeats of the request.
+    dedup_window: Option<Micros>,
+    /// The first attempt that may have run: its number, and when it was written.
     may_have_run: Option<(u32, Micros)>,
     body: Rc<[u8]>,
-    due: Micros,
-    overdue: TimerKey,
+    deadline: Micros,
+    overdue_timer: TimerKey,
     /// Memory in megabytes and priority of the next attempt.
-    terms: (f64, u8),
+    grant: (f64, u8),
+    /// Attempts launched so far.
     attempts: u32,
-    /// Its client takes it back; the module has not been told yet.
-    lapsing: bool,
+    /// The client has cancelled the request; the decision module has not been told yet.
+    cancelling: bool,
 }
 
+/// An outstanding attempt.
 struct Attempt {
     engine: EngineId,
-    /// When it was written; when it was launched, if it still waits for a connection.
+    /// When the attempt was written to a connection; until then, when it was launched.
     sent: Micros,
-    /// It has gone out on a connection, so that it may run. Until then it surely has not.
+    /// The attempt was written to a connection, and so may run. An unwritten attempt has certainly not run.
     written: bool,
-    /// When it times out.
-    until: Micros,
+    deadline: Micros,
     timer: TimerKey,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Timer {
+    /// A timer of the decision module.
     Module(u64),
+    /// The time-out of an attempt.
     Attempt(AttemptId),
+    /// The decision module has not ended a request in time.
     Overdue(RequestId),
 }
 
-/// Bounds of what the core holds, and what it needs of the settings.
+/// Limits and times that the core is configured with.
 #[derive(Debug, Clone)]
-pub struct Terms {
-    /// Attempts that a request may have.
+pub struct CoreConfig {
+    /// Highest number of attempts at one request.
     pub attempts_cap: u32,
-    /// Requests that may be open; more are refused before the module sees them.
+    /// Highest number of open requests; further ones are refused without consulting the decision module.
     pub open_cap: usize,
-    /// Bytes of statements that may be held; likewise.
-    pub body_bytes: usize,
-    /// Time that an answer needs to its client: the module is told that much less of the client's wait.
-    pub margin: Micros,
-    /// How long clients hold back a request with an order key before they write it, as far as that is allowed for.
-    pub held: Micros,
+    /// Highest number of bytes of held statements; requests beyond it are refused likewise.
+    pub body_bytes_cap: usize,
+    /// Time reserved for the answer to travel to the client. The decision module gets a deadline that is
+    /// earlier by this.
+    pub answer_margin: Micros,
+    /// The longest time that clients are assumed to delay a request with an order key before they send it.
+    pub client_delay: Micros,
 }
 
-/// Counts of what has happened, for the log.
+/// Counters for the log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests taken.
+    /// Requests accepted.
     pub taken: u64,
-    /// Served.
+    /// Requests served.
     pub served: u64,
-    /// Refused.
+    /// Requests refused.
     pub refused: u64,
-    /// Failed.
+    /// Requests failed.
     pub failed: u64,
-    /// Taken back by clients.
+    /// Requests cancelled by clients.
     pub lapsed: u64,
-    /// Attempts sent.
+    /// Attempts launched.
     pub attempts: u64,
-    /// Requests that the module had not ended in time: 0, or there is a fault.
+    /// Requests that the decision module did not end in time; any but 0 indicates a fault.
     pub overdue: u64,
-    /// Refused for want of room, before the module.
+    /// Requests refused because a limit was reached, without consulting the decision module.
     pub full: u64,
-    /// Taken back by clients, or their connections ended, when their time was all but over: they may have begun to count
-    /// earlier than this side did.
+    /// Requests cancelled, or ended with their connection, shortly before their deadline: the client may have
+    /// started its timer earlier than the gateway did.
     pub lapsed_late: u64,
 }
 
-/// The state machine. See the module's documentation.
+/// The state machine; see the [module documentation](self).
 pub struct Core {
-    gateway: Box<dyn Decide>,
-    terms: Terms,
-    open: HashMap<RequestId, Open>,
-    numbers: BTreeMap<(ClientId, i32), RequestId>,
+    module: Box<dyn Decide>,
+    config: CoreConfig,
+    open: HashMap<RequestId, OpenRequest>,
+    /// Open requests by connection and sequence number.
+    by_seqid: BTreeMap<(ClientId, i32), RequestId>,
     attempts: BTreeMap<AttemptId, Attempt>,
+    /// Engines in the current list.
     listed: HashSet<EngineId>,
     timers: TimerWheel<Timer>,
-    fired: Vec<Timer>,
+    /// Buffer for timers that have expired.
+    expired: Vec<Timer>,
+    /// Events that the decision module has not been told yet.
     inbox: VecDeque<Event>,
     effects: VecDeque<Effect>,
+    /// Bytes of all held statements.
     body_bytes: usize,
     now: Micros,
-    /// Counts since the start.
+    /// Counters since the start.
     pub counts: Counts,
 }
 
-/// How long before the end of a window of repeats the last one is written: a timer is late by a turn of the host.
-const WINDOW_MARGIN: Micros = 5_000;
+/// How long before the end of the dedup window the last repeat is written. Timers may fire late by one turn
+/// of the host's event loop.
+const DEDUP_WINDOW_MARGIN_US: Micros = 5_000;
 
-/// A request that is taken back with no more of its time left than this is counted apart.
-const LAPSED_LATE: Micros = 500_000;
+/// A request that is cancelled with less than this left of its time is counted in [`Counts::lapsed_late`].
+const LATE_CANCEL_US: Micros = 500_000;
 
-/// All attempts of a request.
+/// The range of all attempt ids of a request.
 fn attempts_of(id: RequestId) -> RangeInclusive<AttemptId> {
     AttemptId(id, 0)..=AttemptId(id, u32::MAX)
 }
 
-/// The wheel's ticks are milliseconds; a timer is never early.
+/// The tick of the timer wheel, in milliseconds, for a time. Rounds up so that no timer fires early.
 fn tick(at: Micros) -> u64 {
     at.div_ceil(1000)
 }
 
 impl Core {
-    /// A core without engines, at a time.
-    pub fn new(gateway: Box<dyn Decide>, terms: Terms, now: Micros) -> Self {
+    /// Creates a core that knows no engines yet.
+    pub fn new(module: Box<dyn Decide>, config: CoreConfig, now: Micros) -> Self {
         Core {
-            gateway,
-            terms,
+            module,
+            config,
             open: HashMap::new(),
-            numbers: BTreeMap::new(),
+            by_seqid: BTreeMap::new(),
             attempts: BTreeMap::new(),
             listed: HashSet::new(),
             timers: TimerWheel::new(now / 1000),
-            fired: Vec::new(),
+            expired: Vec::new(),
             inbox: VecDeque::new(),
             effects: VecDeque::new(),
             body_bytes: 0,
@@ -247,8 +263,8 @@
         }
     }
 
-    /// The next effect to be carried out.
-    pub fn effect(&mut self) -> Option<Effect> {
+    /// Removes and returns the next effect to be carried out.
+    pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
@@ -257,66 +273,69 @@
         self.timers.next_tick().map(|tick| tick * 1000)
     }
 
-    /// Requests that have no final answer yet.
-    pub fn open(&self) -> usize {
+    /// The number of requests without a final answer.
+    pub fn open_requests(&self) -> usize {
         self.open.len()
     }
 
-    /// Entries of every map and of the timers: open requests, their numbers, attempts that are out, engines, timers.
-    pub fn held(&self) -> [usize; 5] {
-        [self.open.len(), self.numbers.len(), self.attempts.len(), self.listed.len(), self.timers.len()]
+    /// The number of open requests, sequence numbers in use, outstanding attempts, listed engines and timers.
+    pub fn entry_counts(&self) -> [usize; 5] {
+        [self.open.len(), self.by_seqid.len(), self.attempts.len(), self.listed.len(), self.timers.len()]
     }
 
-    /// Whether an attempt has been launched, and has neither ended nor been given up.
-    pub fn is_out(&self, attempt: AttemptId) -> bool {
+    /// Whether an attempt was launched and has neither ended nor been cancelled.
+    pub fn is_outstanding(&self, attempt: AttemptId) -> bool {
         self.attempts.contains_key(&attempt)
     }
 
-    /// Whether the connection has an open request under that number.
-    pub fn has(&self, client: ClientId, seqid: i32) -> bool {
-        self.numbers.contains_key(&(client, seqid))
+    /// Whether a connection has an open request with the sequence number.
+    pub fn has_request(&self, client: ClientId, seqid: i32) -> bool {
+        self.by_seqid.contains_key(&(client, seqid))
     }
 
-    /// Open requests of a connection.
-    pub fn open_of(&self, client: ClientId) -> usize {
-        self.numbers.range((client, i32::MIN)..=(client, i32::MAX)).count()
+    /// The number of open requests of a connection.
+    pub fn open_requests_of(&self, client: ClientId) -> usize {
+        self.by_seqid.range((client, i32::MIN)..=(client, i32::MAX)).count()
     }
 
-    /// Takes a client's request.
-    pub fn request(&mut self, now: Micros, client: ClientId, seqid: i32, call: Call) -> Taken {
-        self.pass(now);
+    /// Submits a client's request.
+    pub fn submit(&mut self, now: Micros, client: ClientId, seqid: i32, call: Call) -> Admission {
+        self.advance_time(now);
         if let Some(open) = self.open.get(&call.id) {
-            return if open.client == client { Taken::OwnId } else { Taken::OthersId };
+            return if open.client == client { Admission::OwnIdReused } else { Admission::IdInUse };
         }
         if self.attempts.range(attempts_of(call.id)).next().is_some() {
-            return Taken::OthersId;
+            return Admission::IdInUse;
         }
-        if self.open.len() >= self.terms.open_cap || self.body_bytes + call.body.len() > self.terms.body_bytes
-        {
+        let has_room = self.open.len() < self.config.open_cap
+            && self.body_bytes + call.body.len() <= self.config.body_bytes_cap;
+        if !has_room {
             self.counts.full += 1;
-            return Taken::Full;
+            return Admission::Full;
         }
-        let due = self.now + call.wait.saturating_sub(self.kept_back(&call));
+        let deadline = self.now + call.wait.saturating_sub(self.reserved_wait(&call));
         self.counts.taken += 1;
         self.body_bytes += call.body.len();
-        let open = Open {
+        // Later than the attempts' time-outs and the decision module's own timer: a request that is still
+        // open then reveals a fault.
+        let overdue_at = tick(deadline + self.config.answer_margin / 2) + 1;
+        let open = OpenRequest {
             client,
             seqid,
             class: call.class,
-            once: call.once,
-            window: call.window,
+            idempotency_key: call.idempotency_key,
+            dedup_window: call.dedup_window,
             may_have_run: None,
             body: call.body,
-            due,
-            // Behind the attempt's own time-out and the module's tick: a request that this finds open is a fault.
-            overdue: self.timers.schedule(tick(due + self.terms.margin / 2) + 1, Timer::Overdue(call.id)),
-            terms: (0.0, 1),
+            deadline,
+            overdue_timer: self.timers.schedule(overdue_at, Timer::Overdue(call.id)),
+            grant: (0.0, 1),
             attempts: 0,
-            lapsing: false,
+            cancelling: false,
         };
         self.open.insert(call.id, open);
-        self.numbers.insert((client, seqid), call.id);
-        self.tell(Event::Request(Request {
+        self.by_seqid.insert((client, seqid), call.id);
+        self.notify_module(Event::Request(Request {
             id: call.id,
             class: violetward::ClassId(call.class),
             tenant: call.tenant,
@@ -327,264 +346,273 @@
             is_retry: call.retry,
             marked: true,
             pin: None,
-            due,
+            due: deadline,
         }));
-        Taken::Yes
+        Admission::Accepted
     }
 
-    /// What of a client's wait is not there to be used. A request with an order key, a first try too, may have been held
-    /// back by its client so that it is not too close behind the key's last ones: its wait has run since then, and nothing
-    /// tells for how long. Without this it gets its answer when its client is gone, and its engine too much patience. A
-    /// quarter of its class's longest wait goes to that at most; a further try with less than that left is refused at once.
-    fn kept_back(&self, call: &Call) -> Micros {
-        let held = if call.key.is_some() { self.terms.held.min(call.longest_wait / 4) } else { 0 };
-        self.terms.margin.min(call.wait / 4) + held
+    /// The part of a client's wait that can't be used for attempts: the time for the answer to travel, and
+    /// the time that the client may have delayed the request.
+    ///
+    /// Clients delay requests with an order key, first tries included, to keep a distance to earlier ones
+    /// with the same key. The wait runs from before that delay, and the request doesn't say how long the
+    /// delay was. Without this allowance the answer would come after the client has gone, and the engine
+    /// would be given too long a time-out. The allowance is at most a quarter of the longest wait of the
+    /// class; a retry with less than that left is refused at once.
+    fn reserved_wait(&self, call: &Call) -> Micros {
+        let delay = if call.key.is_some() { self.config.client_delay.min(call.longest_wait / 4) } else { 0 };
+        self.config.answer_margin.min(call.wait / 4) + delay
     }
 
-    /// A client takes a request back; nothing happens if that has ended.
-    pub fn lapse(&mut self, now: Micros, client: ClientId, seqid: i32) {
-        self.lapse_all(now, client, &[seqid]);
+    /// Cancels a client's request; does nothing if it has ended.
+    pub fn cancel_request(&mut self, now: Micros, client: ClientId, seqid: i32) {
+        self.cancel_requests(now, client, &[seqid]);
     }
 
-    /// A client takes requests back. None of them gets an attempt in place of another that goes with it.
-    pub fn lapse_all(&mut self, now: Micros, client: ClientId, seqids: &[i32]) {
-        self.pass(now);
-        let numbers = &self.numbers;
-        let lapsing: Vec<RequestId> =
-            seqids.iter().filter_map(|&seqid| numbers.get(&(client, seqid)).copied()).collect();
-        for id in &lapsing {
-            self.open.get_mut(id).into_iter().for_each(|open| open.lapsing = true);
+    /// Cancels requests of a client together: room that one of them frees is not used for an attempt at
+    /// another one.
+    pub fn cancel_requests(&mut self, now: Micros, client: ClientId, seqids: &[i32]) {
+        self.advance_time(now);
+        let by_seqid = &self.by_seqid;
+        let cancelled: Vec<RequestId> =
+            seqids.iter().filter_map(|&seqid| by_seqid.get(&(client, seqid)).copied()).collect();
+        for id in &cancelled {
+            self.open.get_mut(id).into_iter().for_each(|open| open.cancelling = true);
         }
-        for id in lapsing {
-            if let Some(open) = self.close(id) {
-                tracing::debug!(client = client.0, seqid = open.seqid, id = %format_args!("{:016x}", id.0), "taken back");
+        for id in cancelled {
+            if let Some(open) = self.remove_request(id) {
+                tracing::debug!(client = client.0, seqid = open.seqid, id = %format_args!("{:016x}", id.0),
+                    "taken back");
                 self.counts.lapsed += 1;
-                let left = open.due.saturating_sub(self.now);
-                self.counts.lapsed_late += u64::from(left < LAPSED_LATE);
-                self.tell(Event::Lapsed(id));
+                let left = open.deadline.saturating_sub(self.now);
+                self.counts.lapsed_late += u64::from(left < LATE_CANCEL_US);
+                self.notify_module(Event::Lapsed(id));
             }
         }
     }
 
-    /// A client's connection has ended, and its open requests with it.
-    pub fn client_gone(&mut self, now: Micros, client: ClientId) {
-        let numbers = self.numbers.range((client, i32::MIN)..=(client, i32::MAX)).map(|(&(_, n), _)| n);
-        let seqids: Vec<i32> = numbers.collect();
-        self.lapse_all(now, client, &seqids);
+    /// Cancels all open requests of a client whose connection has ended.
+    pub fn client_disconnected(&mut self, now: Micros, client: ClientId) {
+        let open = self.by_seqid.range((client, i32::MIN)..=(client, i32::MAX));
+        let seqids: Vec<i32> = open.map(|(&(_, seqid), _)| seqid).collect();
+        self.cancel_requests(now, client, &seqids);
     }
 
-    /// An attempt goes out on its connection only now: what it has waited for that is no time of its engine's. Counted as
-    /// such, a late connection would make a sound engine look slow.
-    pub fn written(&mut self, now: Micros, attempt: AttemptId) {
-        self.pass(now);
-        let Some(out) = self.attempts.get_mut(&attempt) else { return };
-        (out.sent, out.written) = (self.now, true);
-        self.timers.cancel(out.timer);
-        out.timer = self.timers.schedule(tick(out.until), Timer::Attempt(attempt));
-        if let Some(open) = self.open.get_mut(&attempt.0) {
-            open.may_have_run = open.may_have_run.or(Some((attempt.1, self.now)));
+    /// Notes that an attempt was written to a connection. The engine's response time counts from here: with
+    /// the wait for a connection included, a slow handshake would make a healthy engine look slow.
+    pub fn attempt_written(&mut self, now: Micros, id: AttemptId) {
+        self.advance_time(now);
+        let Some(attempt) = self.attempts.get_mut(&id) else { return };
+        (attempt.sent, attempt.written) = (self.now, true);
+        self.timers.cancel(attempt.timer);
+        attempt.timer = self.timers.schedule(tick(attempt.deadline), Timer::Attempt(id));
+        if let Some(open) = self.open.get_mut(&id.0) {
+            open.may_have_run = open.may_have_run.or(Some((id.1, self.now)));
         }
     }
 
-    /// An attempt has ended on its connection. One that had been given up is not known any more.
-    pub fn ended(&mut self, now: Micros, attempt: AttemptId, ending: Ending) {
-        self.pass(now);
-        self.finish(attempt, ending);
+    /// Notes that an attempt has ended on its connection. Cancelled attempts are ignored.
+    pub fn attempt_ended(&mut self, now: Micros, attempt: AttemptId, completion: Completion) {
+        self.advance_time(now);
+        self.finish_attempt(attempt, completion);
     }
 
-    /// A probe has come back.
-    pub fn probed(&mut self, now: Micros, engine: EngineId, ok: bool, load: Load) {
-        self.pass(now);
-        self.tell(Event::Probed { engine, ok, load });
+    /// Notes the result of a health check.
+    pub fn probe_ended(&mut self, now: Micros, engine: EngineId, ok: bool, load: Load) {
+        self.advance_time(now);
+        self.notify_module(Event::Probed { engine, ok, load });
     }
 
-    /// The list of engines, whole; `known` if it is that of the start.
-    pub fn engines(&mut self, now: Micros, list: &List, known: bool) {
-        self.pass(now);
+    /// Takes a complete list of engines; `initial` marks the list from the configuration.
+    pub fn update_engines(&mut self, now: Micros, list: &List, initial: bool) {
+        self.advance_time(now);
         self.listed = list.engines.values().map(|l| l.entry.engine).collect();
-        let kind = if known { ListKind::WarmCopy } else { ListKind::Whole };
+        let kind = if initial { ListKind::WarmCopy } else { ListKind::Whole };
         let entries = list.engines.values().map(|l| l.entry.clone()).collect();
-        self.tell(Event::Engines { kind, entries });
+        self.notify_module(Event::Engines { kind, entries });
     }
 
-    /// Lets time pass: timers that are due act.
+    /// Runs the timers that have expired.
     pub fn wake(&mut self, now: Micros) {
-        self.pass(now);
-        let mut fired = std::mem::take(&mut self.fired);
-        self.timers.advance(self.now / 1000, &mut fired);
-        for timer in fired.drain(..) {
+        self.advance_time(now);
+        let mut expired = std::mem::take(&mut self.expired);
+        self.timers.advance(self.now / 1000, &mut expired);
+        for timer in expired.drain(..) {
             match timer {
-                Timer::Module(handle) => self.tell(Event::Elapsed(handle)),
+                Timer::Module(handle) => self.notify_module(Event::Elapsed(handle)),
                 Timer::Attempt(attempt) => {
-                    self.give_up(attempt, Outcome::Timeout);
-                    self.pass_on();
+                    self.cancel_attempt(attempt, Outcome::Timeout);
+                    self.process_inbox();
                 }
                 Timer::Overdue(id) => {
-                    if let Some(open) = self.close(id) {
+                    if let Some(open) = self.remove_request(id) {
                         self.counts.overdue += 1;
-                        self.effects.push_back(Effect::Answer(open.client, open.seqid, Verdict::Failed));
-                        self.tell(Event::Lapsed(id));
+                        self.effects.push_back(Effect::Answer(open.client, open.seqid, Reply::Failed));
+                        self.notify_module(Event::Lapsed(id));
                     }
                 }
             }
         }
-        self.fired = fired;
+        self.expired = expired;
     }
 
-    /// The module's time only goes forward.
-    fn pass(&mut self, now: Micros) {
+    /// Sets the time; it never goes back.
+    fn advance_time(&mut self, now: Micros) {
         self.now = self.now.max(now);
     }
 
-    /// Gives an open request its final answer; none if its client takes it back.
-    fn conclude(&mut self, id: RequestId, verdict: Verdict) {
-        let Some(open) = self.close(id) else { return };
-        let count = match verdict {
-            _ if open.lapsing => &mut self.counts.lapsed,
-            Verdict::Served(_) => &mut self.counts.served,
-            Verdict::Refused(_) => &mut self.counts.refused,
-            Verdict::Failed => &mut self.counts.failed,
+    /// Ends an open request with its final answer; a request that its client is cancelling gets none.
+    fn finish_request(&mut self, id: RequestId, reply: Reply) {
+        let Some(open) = self.remove_request(id) else { return };
+        let count = match reply {
+            _ if open.cancelling => &mut self.counts.lapsed,
+            Reply::Served(_) => &mut self.counts.served,
+            Reply::Refused(_) => &mut self.counts.refused,
+            Reply::Failed => &mut self.counts.failed,
         };
         *count += 1;
         tracing::debug!(id = %format_args!("{:016x}", id.0), client = open.client.0, seqid = open.seqid,
-            verdict = verdict.name(), attempts = open.attempts, may_have_run = open.may_have_run.is_some(),
-            left_ms = open.due.saturating_sub(self.now) / 1000, "concluded");
-        if !open.lapsing {
-            self.effects.push_back(Effect::Answer(open.client, open.seqid, verdict));
+            reply = reply.name(), attempts = open.attempts, may_have_run = open.may_have_run.is_some(),
+            left_ms = open.deadline.saturating_sub(self.now) / 1000, "concluded");
+        if !open.cancelling {
+            self.effects.push_back(Effect::Answer(open.client, open.seqid, reply));
         }
     }
 
-    /// Forgets an open request. What of it has not been written yet never will be: its client is answered or gone. What
-    /// has been written is the module's to withdraw.
-    fn close(&mut self, id: RequestId) -> Option<Open> {
+    /// Removes an open request. Its unwritten attempts are cancelled, since its client is answered or gone;
+    /// cancelling the written ones is up to the decision module.
+    fn remove_request(&mut self, id: RequestId) -> Option<OpenRequest> {
         let open = self.open.remove(&id)?;
-        self.numbers.remove(&(open.client, open.seqid));
-        self.timers.cancel(open.overdue);
+        self.by_seqid.remove(&(open.client, open.seqid));
+        self.timers.cancel(open.overdue_timer);
         self.body_bytes -= open.body.len();
-        let out = self.attempts.range(attempts_of(id));
-        let unwritten = out.filter(|(_, attempt)| !attempt.written).map(|(&attempt, _)| attempt);
+        let attempts = self.attempts.range(attempts_of(id));
+        let unwritten = attempts.filter(|(_, attempt)| !attempt.written).map(|(&attempt, _)| attempt);
         for attempt in unwritten.collect::<Vec<_>>() {
-            self.give_up(attempt, Outcome::Moot);
+            self.cancel_attempt(attempt, Outcome::Moot);
         }
         Some(open)
     }
 
-    /// Gives an attempt up and queues its end for the module: the outcome, or that it was never sent if it has not been
-    /// written. Nothing happens if it has ended.
-    fn give_up(&mut self, attempt: AttemptId, outcome: Outcome) {
-        let Some(out) = self.attempts.remove(&attempt) else { return };
-        let outcome = if out.written { outcome } else { Outcome::Moot };
-        tracing::debug!(engine = %format_args!("{:x}", out.engine.0), id = %format_args!("{:016x}", attempt.0 .0),
-            attempt = attempt.1, ?outcome, "given up");
-        self.timers.cancel(out.timer);
-        self.effects.push_back(Effect::Withdraw(out.engine, attempt));
-        self.answer(attempt, outcome, self.now.saturating_sub(out.sent));
+    /// Cancels an attempt and queues its end for the decision module: with the given outcome, or as never
+    /// sent if it was not written. Does nothing if the attempt has ended.
+    fn cancel_attempt(&mut self, id: AttemptId, outcome: Outcome) {
+        let Some(attempt) = self.attempts.remove(&id) else { return };
+        let outcome = if attempt.written { outcome } else { Outcome::Moot };
+        tracing::debug!(engine = %format_args!("{:x}", attempt.engine.0),
+            id = %format_args!("{:016x}", id.0 .0), attempt = id.1, ?outcome, "given up");
+        self.timers.cancel(attempt.timer);
+        self.effects.push_back(Effect::CancelAttempt(attempt.engine, id));
+        self.queue_attempt_end(id, outcome, self.now.saturating_sub(attempt.sent));
     }
 
-    fn finish(&mut self, id: AttemptId, ending: Ending) {
+    fn finish_attempt(&mut self, id: AttemptId, completion: Completion) {
         let Some(attempt) = self.attempts.remove(&id) else { return };
         self.timers.cancel(attempt.timer);
-        if matches!(ending.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot) {
-            // It surely has not run: the window begins with a later attempt.
+        if matches!(completion.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot) {
+            // This attempt has certainly not run, so the dedup window starts with a later one.
             if let Some(open) = self.open.get_mut(&id.0) {
                 open.may_have_run = open.may_have_run.filter(|&(number, _)| number != id.1);
             }
         }
-        let served = ending.outcome == Outcome::Ok;
+        let served = completion.outcome == Outcome::Ok;
         if served {
-            self.conclude(id.0, Verdict::Served(ending.result));
+            self.finish_request(id.0, Reply::Served(completion.result));
         }
-        self.tell(Event::Answer(Answer {
+        self.notify_module(Event::Answer(Answer {
             id: id.0,
             attempt: id.1,
-            outcome: ending.outcome,
+            outcome: completion.outcome,
             took: self.now.saturating_sub(attempt.sent),
             complete: !self.open.contains_key(&id.0),
-            work: ending.work,
-            memory_mb: ending.memory_mb,
-            load: ending.load,
+            work: completion.work,
+            memory_mb: completion.memory_mb,
+            load: completion.load,
         }));
     }
 
-    /// Passes an event to the module, before what is queued already.
-    fn tell(&mut self, event: Event) {
+    /// Passes an event to the decision module ahead of the queued ones.
+    fn notify_module(&mut self, event: Event) {
         self.inbox.push_front(event);
-        self.pass_on();
+        self.process_inbox();
     }
 
-    /// Passes what is queued to the module and carries out what it answers, and what follows from that.
-    fn pass_on(&mut self) {
+    /// Passes the queued events to the decision module, applies its actions, and repeats for the events that
+    /// follow.
+    fn process_inbox(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.inbox.pop_front() {
-            self.gateway.handle(self.now, event, &mut actions);
+            self.module.handle(self.now, event, &mut actions);
             for action in actions.drain(..) {
-                self.act(action);
+                self.apply(action);
             }
         }
     }
 
-    fn act(&mut self, action: Action) {
+    fn apply(&mut self, action: Action) {
         match action {
-            Action::Dispatch { id, engine, until } => self.dispatch(id, engine, until),
+            Action::Dispatch { id, engine, until } => self.launch(id, engine, until),
             Action::Terms { id, memory_mb, rank } => {
                 let Some(open) = self.open.get_mut(&id) else { return };
-                let before = std::mem::replace(&mut open.terms, (memory_mb, rank));
-                if before.1 != rank {
-                    let out = self.attempts.range(attempts_of(id));
-                    let renice = out.map(|(&attempt, a)| Effect::Renice(a.engine, attempt, rank));
+                let (_, old_priority) = std::mem::replace(&mut open.grant, (memory_mb, rank));
+                if old_priority != rank {
+                    let attempts = self.attempts.range(attempts_of(id));
+                    let renice = attempts.map(|(&attempt, a)| Effect::Renice(a.engine, attempt, rank));
                     self.effects.extend(renice);
                 }
             }
-            Action::Refuse { id, retry_after } => self.conclude(id, Verdict::Refused(retry_after)),
-            Action::Fail(id) => self.conclude(id, Verdict::Failed),
-            Action::Cancel { id, attempt } => self.give_up(AttemptId(id, attempt), Outcome::Cancelled),
+            Action::Refuse { id, retry_after } => self.finish_request(id, Reply::Refused(retry_after)),
+            Action::Fail(id) => self.finish_request(id, Reply::Failed),
+            Action::Cancel { id, attempt } => self.cancel_attempt(AttemptId(id, attempt), Outcome::Cancelled),
             Action::Probe(engine) => self.effects.push_back(Effect::Probe(engine)),
             Action::Arm { handle, span } => {
                 self.timers.schedule(tick(self.now + span), Timer::Module(handle));
             }
-            Action::Log(text) => self.effects.push_back(Effect::Say(text)),
-            // The list is followed by the host anyway, and gateways do not speak with each other here.
+            Action::Log(text) => self.effects.push_back(Effect::Log(text)),
+            // The host follows the list in any case, and these gateways exchange no messages.
             Action::Subscribe | Action::FetchList | Action::Tell(_) => {}
         }
     }
 
-    fn dispatch(&mut self, id: RequestId, engine: EngineId, until: Micros) {
+    fn launch(&mut self, id: RequestId, engine: EngineId, until: Micros) {
         let Some(open) = self.open.get_mut(&id) else { return };
         let attempt = AttemptId(id, open.attempts);
         open.attempts += 1;
-        let until = if until == 0 { open.due } else { until.min(open.due) };
-        let known = self.listed.contains(&engine);
-        if open.lapsing || !known || attempt.1 >= self.terms.attempts_cap || until <= self.now {
-            return self.answer(attempt, Outcome::Moot, 0);
+        let deadline = if until == 0 { open.deadline } else { until.min(open.deadline) };
+        let listed = self.listed.contains(&engine);
+        if open.cancelling || !listed || attempt.1 >= self.config.attempts_cap || deadline <= self.now {
+            return self.queue_attempt_end(attempt, Outcome::Moot, 0);
         }
         self.counts.attempts += 1;
         self.effects.push_back(Effect::Launch(Launch {
             attempt,
             engine,
             class: open.class,
-            once: open.once.clone(),
-            memory_mb: open.terms.0,
-            rank: open.terms.1,
-            until,
+            idempotency_key: open.idempotency_key.clone(),
+            memory_mb: open.grant.0,
+            priority: open.grant.1,
+            deadline,
             body: open.body.clone(),
         }));
-        // Engines drop a repeat only within the window: one that is not written by then must not be written any more.
-        let window_ends =
-            open.window.zip(open.may_have_run).map(|(window, (_, at))| at.saturating_add(window));
-        let write_by = window_ends.map_or(until, |ends| ends.saturating_sub(WINDOW_MARGIN).min(until));
+        // Engines drop a repeat only within the dedup window: an attempt that is unwritten by then must not
+        // be written.
+        let window_end =
+            open.dedup_window.zip(open.may_have_run).map(|(window, (_, at))| at.saturating_add(window));
+        let write_by =
+            window_end.map_or(deadline, |end| end.saturating_sub(DEDUP_WINDOW_MARGIN_US).min(deadline));
         let timer = self.timers.schedule(tick(write_by), Timer::Attempt(attempt));
-        self.attempts.insert(attempt, Attempt { engine, sent: self.now, written: false, until, timer });
+        self.attempts.insert(attempt, Attempt { engine, sent: self.now, written: false, deadline, timer });
     }
 
-    /// Queues the end of an attempt that no connection tells of.
-    fn answer(&mut self, attempt: AttemptId, outcome: Outcome, took: Micros) {
+    /// Queues the end of an attempt that no connection reports.
+    fn queue_attempt_end(&mut self, attempt: AttemptId, outcome: Outcome, took: Micros) {
         self.inbox.push_back(Event::Answer(Answer {
             id: attempt.0,
             attempt: attempt.1,
             outcome,
             took,
-            // Of a request that is being taken back nothing more is owed: no further attempt.
-            complete: self.open.get(&attempt.0).is_none_or(|open| open.lapsing),
+            // A request that is being cancelled needs no further attempt.
+            complete: self.open.get(&attempt.0).is_none_or(|open| open.cancelling),
             work: None,
             memory_mb: None,
             load: Load::default(),
--- a/crates/platform/src/engine.rs
+++ b/crates/platform/src/engine.rs
@@ -1,8 +1,10 @@
-//! Connections to engines, kept by engine and not by address: a new engine may have a gone one's.
+//! Connections to engines. They belong to an engine's id, not to its address: a new engine may have the
+//! address of one that has gone.
 //!
-//! A request has a connection to itself where descriptors allow it, since what is spoilt on one ends all that is open
-//! there; where they do not, up to the settings' streams share one. What finds none ready waits with its engine, not with
-//! the connection that is dialled for it: the first one that comes up or gets free carries it.
+//! A request has a connection to itself as long as file descriptors last, since a connection that breaks ends
+//! every request on it. Beyond that, requests share connections, up to a limit in the settings. A request
+//! that finds no connection waits in the queue of its engine, and takes the first connection that comes up or
+//! gets free, not necessarily the one that was dialled for it.
 
 mod dial;
 
@@ -18,123 +20,138 @@
 use violetward_net::Duplex;
 use violetward_settings::Connections;
 
-use dial::{dial, reach, within, Missed};
+use dial::{connect, connect_timeout, dial, DialError};
 
-use crate::core::{AttemptId, Ending, Launch};
+use crate::core::{AttemptId, Completion, Launch};
 use crate::host::Host;
-use crate::link::{Link, Told};
+use crate::link::{EngineEvent, Link};
 use crate::list::List;
 
-/// Bytes kept for an engine that does not read; statements are bounded far below.
-const KEPT: usize = 1 << 20;
-
-/// How often, and how many times, a witness is looked for after a connection broke.
-const WITNESS: (Duration, u32) = (Duration::from_millis(2), 8);
-
-/// How often a connection is dialled that is reset before anything could be asked on it.
-const DIALS: u32 = 4;
-
-/// Weight of one break of a connection under a request in the share of such breaks, how far the share of used ones has to
-/// lie over that of fresh ones for requests to get fresh ones, and how fast what was seen fades. One break alone is less.
-const WORN: (f64, f64, Duration) = (0.02, 0.03, Duration::from_secs(10));
-
-/// What waits for a connection.
-struct Waiting {
-    /// Tells it apart from all else that has waited for the same engine.
+/// How many bytes are buffered for an engine that does not read; far more than the limit for statements.
+const UNSENT_MAX_BYTES: usize = 1 << 20;
+
+/// How often it is checked whether an engine is alive after one of its connections broke.
+const LIVENESS_CHECK_INTERVAL: Duration = Duration::from_millis(2);
+/// How many times that is checked.
+const LIVENESS_CHECKS: u32 = 8;
+
+/// Highest number of connections that are dialled for a request while each is reset before anything was sent
+/// on it, and of consecutive health checks that are repeated because their connection broke.
+const DIALS_MAX: u32 = 4;
+
+/// The weight of one request in the moving average of broken connections.
+const BREAK_WEIGHT: f64 = 0.02;
+/// Used connections are no longer reused if their break rate exceeds that of fresh ones by more than this. It
+/// is above [`BREAK_WEIGHT`], so that a single break is not enough.
+const BREAK_EXCESS_MAX: f64 = 0.03;
+/// The time constant with which break rates decay.
+const BREAK_DECAY: Duration = Duration::from_secs(10);
+
+/// A request or health check that waits for a connection.
+struct Queued {
+    /// A number that is unique among everything queued for the same engine.
     number: u64,
-    what: What,
+    work: Work,
     since: Instant,
-    /// Connections that it has found reset before anything of it was written.
+    /// How many connections were found reset before anything of it was sent.
     resets: u32,
 }
 
-enum What {
+enum Work {
     Launch(Launch),
     Probe,
 }
 
-impl What {
+impl Work {
     fn attempt(&self) -> Option<AttemptId> {
         match self {
-            What::Launch(launch) => Some(launch.attempt),
-            What::Probe => None,
+            Work::Launch(launch) => Some(launch.attempt),
+            Work::Probe => None,
         }
     }
 }
 
-impl Waiting {
-    /// Its time is over; the core's timer ends it in a moment.
-    fn is_over(&self, now: Micros) -> bool {
-        matches!(&self.what, What::Launch(launch) if launch.until <= now)
+impl Queued {
+    /// Whether its deadline has passed. The core's timer is about to end it.
+    fn is_expired(&self, now: Micros) -> bool {
+        matches!(&self.work, Work::Launch(launch) if launch.deadline <= now)
     }
 
     fn attempt(&self) -> Option<AttemptId> {
-        self.what.attempt()
+        self.work.attempt()
     }
 }
 
-/// A connection, or one that is coming up.
-struct Line {
+/// A connection, or one that is being dialled.
+struct Connection {
+    /// `None` until the connection is up.
     duplex: RefCell<Option<Rc<Duplex>>>,
     link: RefCell<Link>,
-    /// Something was last read from it.
-    heard: Cell<Instant>,
-    /// Since when nothing is open on it.
-    idle: Cell<Instant>,
-    /// Nothing new goes on it: it was silent to a request given up, or its engine has another address now.
-    spent: Cell<bool>,
-    /// Another one was dialled because this one is late; told when nothing waits for it any more.
-    passed: Cell<bool>,
-    unneeded: Event,
-    /// When it came up, or was dialled, and how many requests it has carried.
-    up: Cell<Instant>,
-    carried: Cell<u32>,
+    /// When bytes were last received.
+    last_heard: Cell<Instant>,
+    /// Since when nothing is pending on it.
+    idle_since: Cell<Instant>,
+    /// Nothing new is sent on it: the engine did not react to a cancelled request, or it has moved, was
+    /// restarted, drains or has left.
+    retired: Cell<bool>,
+    /// Another connection was dialled because this one is late.
+    overtaken: Cell<bool>,
+    /// Notified when nothing waits for the dial any more.
+    dial_cancelled: Event,
+    /// When it came up; until then, when it was dialled.
+    up_since: Cell<Instant>,
+    /// How many requests were sent on it.
+    requests_sent: Cell<u32>,
 }
 
-impl Line {
-    fn load(&self) -> usize {
-        self.link.borrow().load()
+impl Connection {
+    /// The number of requests and health checks that are pending on it.
+    fn pending(&self) -> usize {
+        self.link.borrow().pending()
     }
 
+    /// Sends bytes; false if the connection is unusable.
     fn send(&self, bytes: &[u8]) -> bool {
         bytes.is_empty() || self.duplex.borrow().as_ref().is_some_and(|d| d.send(bytes))
     }
 
-    /// Gives it up at once. Bytes that its engine has not taken yet never reach it.
-    fn close(&self) {
-        self.spent.set(true);
+    /// Closes it at once. Bytes that the engine has not received yet are lost.
+    fn abort(&self) {
+        self.retired.set(true);
         if let Some(duplex) = &*self.duplex.borrow() {
             duplex.abort();
         }
     }
 
-    fn takes(&self, attempt: Option<AttemptId>) -> bool {
-        !self.spent.get() && attempt.is_none_or(|attempt| self.link.borrow().takes(attempt))
+    /// Whether an attempt, or a health check (`None`), may be sent on it.
+    fn accepts(&self, attempt: Option<AttemptId>) -> bool {
+        !self.retired.get() && attempt.is_none_or(|attempt| self.link.borrow().accepts(attempt))
     }
 
     fn is_up(&self) -> bool {
         self.duplex.borrow().is_some()
     }
 
-    /// It is up and was not ended from this side.
+    /// Whether it is up and was not closed by this side.
     fn is_open(&self) -> bool {
         self.duplex.borrow().as_ref().is_some_and(|d| !d.is_closed())
     }
 
-    /// Bytes wait here for its engine to take them.
-    fn keeps(&self) -> bool {
+    /// Whether bytes are buffered that the engine has not received.
+    fn has_unsent(&self) -> bool {
         self.duplex.borrow().as_ref().is_some_and(|d| d.unsent().0 > 0)
     }
 
-    /// Nothing is on its way on it in either direction, as far as can be seen, and no message has been cut off on it.
+    /// Whether, as far as can be seen, no bytes are in flight in either direction and no message is
+    /// incomplete.
     fn is_quiet(&self) -> bool {
         let quiet = self.duplex.borrow().as_ref().is_some_and(|d| d.is_idle());
-        quiet && !self.keeps() && !self.link.borrow().is_within()
+        quiet && !self.has_unsent() && !self.link.borrow().has_partial_message()
     }
 
-    /// It is being dialled, for whatever waits.
-    fn is_coming(&self) -> bool {
-        !self.is_up() && !self.spent.get()
+    /// Whether it is being dialled and will be used when it is up.
+    fn is_dialling(&self) -> bool {
+        !self.is_up() && !self.retired.get()
     }
 }
 
@@ -142,107 +159,111 @@
     id: EngineId,
     address: Cell<SocketAddr>,
     listed: Cell<Listed>,
-    /// When its process came up, as listed.
-    came_up: Cell<Micros>,
-    lines: RefCell<Vec<Rc<Line>>>,
-    /// Where each attempt was written, and when.
-    places: RefCell<HashMap<AttemptId, (Rc<Line>, Instant)>>,
-    /// What waits for a connection, in order. It leaves when it is written, given up, or its engine refuses.
-    waiting: RefCell<VecDeque<Waiting>>,
-    /// How long a dial usually takes; late ones count for twice that at most.
-    dial: Cell<Option<Duration>>,
-    /// When something last came from it, were it a connection that came up, and when it last refused one.
-    heard: Cell<Instant>,
-    refused: Cell<Option<Instant>>,
-    /// Probes in a row whose connection broke under them while the process went on.
+    /// When its process started, as listed.
+    started: Cell<Micros>,
+    connections: RefCell<Vec<Rc<Connection>>>,
+    /// For each attempt that was sent, the connection and the time.
+    sent: RefCell<HashMap<AttemptId, (Rc<Connection>, Instant)>>,
+    /// What waits for a connection, in order. An entry leaves when it is sent or cancelled, or the engine
+    /// refuses connections.
+    queue: RefCell<VecDeque<Queued>>,
+    /// The usual duration of a dial: a moving average in which a dial counts for twice the average at most.
+    usual_dial_time: Cell<Option<Duration>>,
+    /// When anything was last received from it; a connection that came up counts too.
+    last_heard: Cell<Instant>,
+    /// When it last refused a connection.
+    last_refused: Cell<Option<Instant>>,
+    /// The number of consecutive health checks whose connection broke while the process went on.
     broken_probes: Cell<u32>,
-    /// How much has waited for a connection so far.
-    waited: Cell<u64>,
+    /// The number of the next entry of the queue.
+    next_number: Cell<u64>,
 }
 
 impl Engine {
-    /// Nothing new goes on the connections there are. What waits for one has not been sent; probes wait on.
-    fn retire(&self, unsent: &mut Vec<(AttemptId, Ending)>) {
-        self.lines.borrow().iter().for_each(|line| line.spent.set(true));
-        self.waiting.borrow_mut().retain(|waiting| {
-            // Its engine drains, has left or is elsewhere: that does not say that its process is gone.
-            unsent.extend(waiting.attempt().map(|a| (a, Ending::of(Outcome::Moot))));
-            waiting.attempt().is_none()
+    /// Stops using the present connections. Queued attempts end as not sent; health checks stay queued.
+    fn retire_connections(&self, unsent: &mut Vec<(AttemptId, Completion)>) {
+        self.connections.borrow().iter().for_each(|connection| connection.retired.set(true));
+        self.queue.borrow_mut().retain(|queued| {
+            // That the engine drains, has left or has moved does not mean that its process is dead.
+            unsent.extend(queued.attempt().map(|a| (a, Completion::new(Outcome::Moot))));
+            queued.attempt().is_none()
         });
     }
 
-    fn is_coming(&self) -> bool {
-        self.lines.borrow().iter().any(|l| l.is_coming())
+    fn is_dialling(&self) -> bool {
+        self.connections.borrow().iter().any(|c| c.is_dialling())
     }
 
-    /// Probes whose connection broke wait for another one: they are asked again, but not for ever, since a connection that
-    /// breaks says nothing of an engine that stands.
-    fn ask_again(&self, told: &mut Vec<Told>) {
-        let broken = told.iter().filter(|told| matches!(told, Told::Probed(..))).count();
-        if broken == 0 || self.broken_probes.get() >= DIALS {
+    /// Queues health checks again whose connection broke, up to a limit: a broken connection alone says
+    /// nothing about an engine whose process goes on.
+    fn requeue_probes(&self, events: &mut Vec<EngineEvent>) {
+        let broken = events.iter().filter(|event| matches!(event, EngineEvent::ProbeEnded(..))).count();
+        if broken == 0 || self.broken_probes.get() >= DIALS_MAX {
             return;
         }
         self.broken_probes.set(self.broken_probes.get() + 1);
-        told.retain(|told| !matches!(told, Told::Probed(..)));
+        events.retain(|event| !matches!(event, EngineEvent::ProbeEnded(..)));
         for _ in 0..broken {
-            self.wait(What::Probe);
+            self.enqueue(Work::Probe);
         }
     }
 
-    /// Lets something wait for a connection, behind all that waits already; its number.
-    fn wait(&self, what: What) -> u64 {
-        let number = self.waited.replace(self.waited.get() + 1);
-        let waiting = Waiting { number, what, since: Instant::now(), resets: 0 };
-        self.waiting.borrow_mut().push_back(waiting);
+    /// Appends to the queue, and returns the entry's number.
+    fn enqueue(&self, work: Work) -> u64 {
+        let number = self.next_number.replace(self.next_number.get() + 1);
+        let queued = Queued { number, work, since: Instant::now(), resets: 0 };
+        self.queue.borrow_mut().push_back(queued);
         number
     }
 
-    /// What waits and is such, as never sent; `outcome` says why.
-    fn unserved(&self, outcome: Outcome, is_such: impl Fn(&Waiting) -> bool) -> Vec<Told> {
-        let never = |waiting: Waiting| match waiting.what {
-            What::Launch(launch) => Told::Ended(launch.attempt, Ending::of(outcome)),
-            What::Probe => Told::Probed(false, Load::default()),
+    /// Removes the matching entries from the queue and ends them with the outcome, as not sent.
+    fn fail_queued(&self, outcome: Outcome, matches: impl Fn(&Queued) -> bool) -> Vec<EngineEvent> {
+        let end = |queued: Queued| match queued.work {
+            Work::Launch(launch) => EngineEvent::AttemptEnded(launch.attempt, Completion::new(outcome)),
+            Work::Probe => EngineEvent::ProbeEnded(false, Load::default()),
         };
-        let (ended, kept): (VecDeque<_>, _) = self.waiting.take().into_iter().partition(is_such);
-        *self.waiting.borrow_mut() = kept;
-        ended.into_iter().map(never).collect()
+        let (failed, kept): (VecDeque<_>, _) = self.queue.take().into_iter().partition(matches);
+        *self.queue.borrow_mut() = kept;
+        failed.into_iter().map(end).collect()
     }
 }
 
-/// All engines that are listed or still owe an answer.
+/// The engines that are listed or still have connections.
 pub struct Engines {
-    most: usize,
-    /// How often fresh and used connections broke under a request of late, and when that was last seen.
-    breaks: [Cell<(f64, Instant)>; 2],
-    terms: Connections,
+    max_connections: usize,
+    /// The rates at which fresh and used connections recently broke under a request, and when each was last
+    /// updated.
+    break_rates: [Cell<(f64, Instant)>; 2],
+    settings: Connections,
     engines: RefCell<HashMap<EngineId, Rc<Engine>>>,
 }
 
 impl Engines {
-    /// None yet; up to `most` connections in all.
-    pub fn new(most: usize, terms: Connections) -> Self {
+    /// An empty set with a limit for the connections to all engines.
+    pub fn new(max_connections: usize, settings: Connections) -> Self {
         Engines {
-            most,
-            breaks: [0; 2].map(|_| Cell::new((0.0, Instant::now()))),
-            terms,
+            max_connections,
+            break_rates: [0; 2].map(|_| Cell::new((0.0, Instant::now()))),
+            settings,
             engines: RefCell::default(),
         }
     }
 
-    /// Connections there are, those that come up or are closing included.
-    pub fn connections(&self) -> usize {
-        self.engines.borrow().values().map(|e| e.lines.borrow().len()).sum()
+    /// The number of connections, including those that are being dialled or closed.
+    pub fn connection_count(&self) -> usize {
+        self.engines.borrow().values().map(|e| e.connections.borrow().len()).sum()
     }
 
-    /// Takes a new list. Attempts that wait for a connection to an engine that drains, has left, or is elsewhere or another
-    /// process now end here: what is sent once that comes up would come too late for the rule on drains, or to another engine.
-    pub fn listed(&self, list: &List) -> Vec<(AttemptId, Ending)> {
+    /// Takes a new list. Ends the queued attempts for engines that drain, have left, have moved or were
+    /// restarted: once a connection comes up, they would arrive too late at a draining engine, or at a wrong
+    /// one.
+    pub fn update_list(&self, list: &List) -> Vec<(AttemptId, Completion)> {
         let mut unsent = Vec::new();
         let mut engines = self.engines.borrow_mut();
-        let named: HashSet<EngineId> = list.engines.values().map(|l| l.entry.engine).collect();
-        for engine in engines.values().filter(|e| !named.contains(&e.id)) {
+        let listed: HashSet<EngineId> = list.engines.values().map(|l| l.entry.engine).collect();
+        for engine in engines.values().filter(|e| !listed.contains(&e.id)) {
             engine.listed.set(Listed::Removed);
-            engine.retire(&mut unsent);
+            engine.retire_connections(&mut unsent);
         }
         for listing in list.engines.values() {
             let engine = engines.entry(listing.entry.engine).or_insert_with(|| {
@@ -252,431 +273,465 @@
                     id: listing.entry.engine,
                     address: Cell::new(listing.address),
                     listed: Cell::new(Listed::Up),
-                    came_up: Cell::new(listing.entry.came_up),
-                    lines: RefCell::default(),
-                    places: RefCell::default(),
-                    waiting: RefCell::default(),
-                    dial: Cell::new(None),
-                    heard: Cell::new(Instant::now()),
-                    refused: Cell::new(None),
+                    started: Cell::new(listing.entry.came_up),
+                    connections: RefCell::default(),
+                    sent: RefCell::default(),
+                    queue: RefCell::default(),
+                    usual_dial_time: Cell::new(None),
+                    last_heard: Cell::new(Instant::now()),
+                    last_refused: Cell::new(None),
                     broken_probes: Cell::new(0),
-                    waited: Cell::new(0),
+                    next_number: Cell::new(0),
                 })
             });
             engine.listed.set(listing.entry.listed);
             let moved = engine.address.replace(listing.address) != listing.address;
-            let restarted = engine.came_up.replace(listing.entry.came_up) != listing.entry.came_up;
+            let restarted = engine.started.replace(listing.entry.came_up) != listing.entry.came_up;
             if moved || restarted || listing.entry.listed != Listed::Up {
-                engine.retire(&mut unsent);
+                engine.retire_connections(&mut unsent);
             }
         }
         drop(engines);
-        self.sweep(Instant::now());
+        self.close_unused(Instant::now());
         unsent
     }
 
-    /// Begins an attempt; its end, if it has ended already.
-    pub fn launch(&self, host: &Rc<Host>, launch: Launch) -> Option<Ending> {
-        tracing::debug!(engine = %format_args!("{:x}", launch.engine.0), id = %crate::link::id_text(launch.attempt),
-            attempt = launch.attempt.1, memory = launch.memory_mb, rank = launch.rank, "launch");
+    /// Sends an attempt, or queues it until there is a connection. Returns its end if neither is possible.
+    pub fn launch(&self, host: &Rc<Host>, launch: Launch) -> Option<Completion> {
+        tracing::debug!(engine = %format_args!("{:x}", launch.engine.0),
+            id = %crate::link::id_text(launch.attempt), attempt = launch.attempt.1, memory = launch.memory_mb, rank = launch.priority, "launch");
         let engine = self.engines.borrow().get(&launch.engine).cloned();
         let engine = engine.filter(|e| e.listed.get() == Listed::Up);
         let attempt = launch.attempt;
-        let taken = engine.is_some_and(|engine| self.ask(host, &engine, What::Launch(launch)));
-        (!taken).then(|| {
+        let accepted = engine.is_some_and(|engine| self.submit(host, &engine, Work::Launch(launch)));
+        (!accepted).then(|| {
             tracing::debug!(id = %crate::link::id_text(attempt), attempt = attempt.1, "no way to it");
-            // It has left, or there may be no more connections: neither says that its process is gone.
-            Ending::of(Outcome::Moot)
+            // The engine is not up by the list, or the limit of connections is reached. Neither means that
+            // its process is dead.
+            Completion::new(Outcome::Moot)
         })
     }
 
-    /// Has something written on a connection to an engine, now or as soon as there is one; false if there is no way.
-    fn ask(&self, host: &Rc<Host>, engine: &Rc<Engine>, what: What) -> bool {
-        let attempt = what.attempt();
-        let number = engine.wait(what);
-        self.serve(host, engine);
-        if engine.needs_dial(engine.late(within(host))) && self.may_dial(engine, attempt) {
+    /// Sends something to an engine, now or as soon as there is a connection; false if there can be none.
+    fn submit(&self, host: &Rc<Host>, engine: &Rc<Engine>, work: Work) -> bool {
+        let attempt = work.attempt();
+        let number = engine.enqueue(work);
+        self.send_queued(host, engine);
+        if engine.needs_dial(engine.late_after(connect_timeout(host))) && self.may_dial(engine, attempt) {
             dial(host, engine, true);
         }
-        let ready = |line: &Rc<Line>| line.is_coming() || line.is_up() && line.takes(attempt);
-        if engine.lines.borrow().iter().any(ready) {
+        let usable = |c: &Rc<Connection>| c.is_dialling() || c.is_up() && c.accepts(attempt);
+        if engine.connections.borrow().iter().any(usable) {
             return true;
         }
-        // What has been written waits no more, and others may: they must not be taken for it.
-        let mut waiting = engine.waiting.borrow_mut();
-        let place = waiting.iter().position(|w| w.number == number);
-        place.and_then(|place| waiting.remove(place)).is_none()
-    }
-
-    /// Writes what waits on the connections that are ready, and dials for the rest.
-    fn serve(&self, host: &Rc<Host>, engine: &Rc<Engine>) {
-        let mut at = 0;
-        while at < engine.waiting.borrow().len() {
-            let attempt = engine.waiting.borrow()[at].attempt();
-            let Some(line) = self.ready(engine, attempt) else {
-                at += 1;
+        // If it was sent, it has left the queue. The number tells it apart from other entries.
+        let mut queue = engine.queue.borrow_mut();
+        let index = queue.iter().position(|queued| queued.number == number);
+        index.and_then(|index| queue.remove(index)).is_none()
+    }
+
+    /// Sends what is queued on the connections that are free, and dials for the rest.
+    fn send_queued(&self, host: &Rc<Host>, engine: &Rc<Engine>) {
+        let mut index = 0;
+        while index < engine.queue.borrow().len() {
+            let attempt = engine.queue.borrow()[index].attempt();
+            let Some(connection) = self.pick_connection(engine, attempt) else {
+                index += 1;
                 continue;
             };
-            let Some(waiting) = engine.waiting.borrow_mut().remove(at) else { return };
-            // One that the core has given up may not be written any more, also if its withdrawal is still to be carried out.
-            let wanted = waiting.attempt().is_none_or(|attempt| host.look(|core| core.is_out(attempt)));
-            if !wanted || waiting.is_over(host.clock.now()) || write(host, engine, &line, &waiting) {
+            let Some(queued) = engine.queue.borrow_mut().remove(index) else { return };
+            // The core may have cancelled the attempt while the effect of that is still to be carried out.
+            let wanted =
+                queued.attempt().is_none_or(|attempt| host.read_core(|core| core.is_outstanding(attempt)));
+            if !wanted || queued.is_expired(host.clock.now()) || send(host, engine, &connection, &queued) {
                 continue;
             }
-            // It turns out to be dead before anything was written: that proves nothing of the engine.
-            line.close();
-            engine.waiting.borrow_mut().insert(at, Waiting { resets: waiting.resets + 1, ..waiting });
+            // The connection is dead and nothing was sent. That says nothing about the engine.
+            connection.abort();
+            engine.queue.borrow_mut().insert(index, Queued { resets: queued.resets + 1, ..queued });
         }
-        if engine.waiting.borrow().is_empty() {
-            // A late dial whose request went another way would only cost a handshake.
-            for line in engine.lines.borrow().iter().filter(|l| l.is_coming() && l.passed.get()) {
-                line.spent.set(true);
-                line.unneeded.notify(1);
+        if engine.queue.borrow().is_empty() {
+            // A late dial is of no use once its request was sent on another connection.
+            let late = |c: &&Rc<Connection>| c.is_dialling() && c.overtaken.get();
+            for connection in engine.connections.borrow().iter().filter(late) {
+                connection.retired.set(true);
+                connection.dial_cancelled.notify(1);
             }
         }
-        // Whatever took its dial away, what waits must not wait for nothing.
-        let waits: Vec<_> = engine.waiting.borrow().iter().map(Waiting::attempt).collect();
-        if !engine.is_coming() && waits.into_iter().any(|attempt| self.may_dial(engine, attempt)) {
+        // The dial for a queued entry may have been cancelled or have failed.
+        let waiting: Vec<_> = engine.queue.borrow().iter().map(Queued::attempt).collect();
+        if !engine.is_dialling() && waiting.into_iter().any(|attempt| self.may_dial(engine, attempt)) {
             dial(host, engine, true);
         }
     }
 
-    /// How much more often used connections break than fresh ones.
-    fn worn(&self) -> f64 {
-        let [fresh, used] = [0, 1].map(|kind| self.breaks(kind));
+    /// By how much the break rate of used connections exceeds that of fresh ones.
+    fn excess_break_rate(&self) -> f64 {
+        let [fresh, used] = [0, 1].map(|kind| self.break_rate(kind));
         used - fresh
     }
 
-    fn breaks(&self, kind: usize) -> f64 {
-        let (share, at) = self.breaks[kind].get();
-        share * (-at.elapsed().as_secs_f64() / WORN.2.as_secs_f64()).exp()
+    /// The present break rate of fresh (0) or used (1) connections.
+    fn break_rate(&self, kind: usize) -> f64 {
+        let (rate, updated) = self.break_rates[kind].get();
+        rate * (-updated.elapsed().as_secs_f64() / BREAK_DECAY.as_secs_f64()).exp()
     }
 
-    /// A request on a connection has ended, or its connection has broken under it.
-    fn note_break(&self, line: &Line, broke: bool) {
-        let kind = usize::from(line.carried.get() > 1);
-        let share = self.breaks(kind);
-        self.breaks[kind].set((share + WORN.0 * (f64::from(u8::from(broke)) - share), Instant::now()));
+    /// Updates the break rate after a request has ended on a connection, or the connection has broken under
+    /// it.
+    fn update_break_rate(&self, connection: &Connection, broke: bool) {
+        let kind = usize::from(connection.requests_sent.get() > 1);
+        let rate = self.break_rate(kind);
+        let new_rate = rate + BREAK_WEIGHT * (f64::from(u8::from(broke)) - rate);
+        self.break_rates[kind].set((new_rate, Instant::now()));
     }
 
-    /// The best connection that is up and free for an attempt or a probe; where there may be no more, one that others use.
-    fn ready(&self, engine: &Rc<Engine>, attempt: Option<AttemptId>) -> Option<Rc<Line>> {
-        let lines = engine.lines.borrow();
-        let idle = |l: &&Rc<Line>| l.is_up() && l.load() == 0;
-        if self.worn() > WORN.1 {
-            // Where used connections break as soon as something is asked on them, a fresh one costs a handshake, and a
-            // used one an attempt that may have run.
-            lines.iter().filter(idle).filter(|l| l.carried.get() > 0).for_each(|l| l.close());
+    /// Picks an idle connection for an attempt or a health check, or a shared one if the limit on connections
+    /// is reached.
+    fn pick_connection(&self, engine: &Rc<Engine>, attempt: Option<AttemptId>) -> Option<Rc<Connection>> {
+        let connections = engine.connections.borrow();
+        let idle = |c: &&Rc<Connection>| c.is_up() && c.pending() == 0;
+        if self.excess_break_rate() > BREAK_EXCESS_MAX {
+            // Used connections break when something is sent on them. A fresh one costs a handshake; a broken
+            // one costs an attempt that may have run.
+            connections.iter().filter(idle).filter(|c| c.requests_sent.get() > 0).for_each(|c| c.abort());
         }
-        lines.iter().filter(idle).filter(|l| !l.is_quiet()).for_each(|l| l.close());
-        let fits = |l: &&Rc<Line>| l.is_up() && l.takes(attempt) && l.load() < self.terms.streams;
-        // The one used last is the least likely to have been closed by its engine.
-        let best = lines.iter().filter(fits).filter(idle).max_by_key(|l| l.idle.get());
-        let shared = || lines.iter().filter(fits).min_by_key(|l| l.load());
-        let has_room = || self.connections() < self.most || self.idle_longest().is_some();
-        best.or_else(|| if lines.len() < self.each() && has_room() { None } else { shared() }).cloned()
+        connections.iter().filter(idle).filter(|c| !c.is_quiet()).for_each(|c| c.abort());
+        let fits =
+            |c: &&Rc<Connection>| c.is_up() && c.accepts(attempt) && c.pending() < self.settings.streams;
+        // The engine is least likely to have closed the connection that was used last.
+        let best = connections.iter().filter(fits).filter(idle).max_by_key(|c| c.idle_since.get());
+        let shared = || connections.iter().filter(fits).min_by_key(|c| c.pending());
+        let has_room = || self.connection_count() < self.max_connections || self.longest_idle().is_some();
+        let may_grow = || connections.len() < self.max_per_engine() && has_room();
+        best.or_else(|| if may_grow() { None } else { shared() }).cloned()
     }
 
-    /// Connections that an engine may have.
-    fn each(&self) -> usize {
-        (self.most / self.engines.borrow().len().max(1)).max(1)
+    /// Highest number of connections of one engine.
+    fn max_per_engine(&self) -> usize {
+        (self.max_connections / self.engines.borrow().len().max(1)).max(1)
     }
 
-    /// Whether there is room for one more connection to an engine, for an attempt or a probe. Those there are may be of no
-    /// use to it any more.
+    /// Whether one more connection to an engine may be dialled for an attempt or a health check. An engine
+    /// may exceed its limit if none of its connections can be used for it.
     fn may_dial(&self, engine: &Rc<Engine>, attempt: Option<AttemptId>) -> bool {
         let (count, useless) = {
-            let lines = engine.lines.borrow();
-            (lines.len(), !lines.iter().any(|l| l.takes(attempt)))
+            let connections = engine.connections.borrow();
+            (connections.len(), !connections.iter().any(|c| c.accepts(attempt)))
         };
-        (count < self.each() || useless) && (self.connections() < self.most || self.make_room())
+        let below_limit = |engines: &Self| engines.connection_count() < engines.max_connections;
+        (count < self.max_per_engine() || useless) && (below_limit(self) || self.close_longest_idle())
     }
 
-    /// Closes the connection that has been idle for longest; false if there is none. It counts until its descriptor is
-    /// free, and makes room once.
-    fn make_room(&self) -> bool {
-        let idle = self.idle_longest();
-        idle.iter().for_each(|line| line.close());
+    /// Closes the connection that has been idle for longest; false if there is none. It is counted until its
+    /// file descriptor is free.
+    fn close_longest_idle(&self) -> bool {
+        let idle = self.longest_idle();
+        idle.iter().for_each(|connection| connection.abort());
         idle.is_some()
     }
 
-    fn idle_longest(&self) -> Option<Rc<Line>> {
+    fn longest_idle(&self) -> Option<Rc<Connection>> {
         let engines = self.engines.borrow();
-        let idle = |line: &Rc<Line>| line.is_open() && line.load() == 0;
-        let all = engines.values().flat_map(|e| e.lines.borrow().iter().cloned().collect::<Vec<_>>());
-        all.filter(idle).min_by_key(|l| l.idle.get())
+        let idle = |c: &Rc<Connection>| c.is_open() && c.pending() == 0;
+        let all = engines.values().flat_map(|e| e.connections.borrow().iter().cloned().collect::<Vec<_>>());
+        all.filter(idle).min_by_key(|c| c.idle_since.get())
     }
 
-    /// Gives an attempt up.
-    pub fn withdraw(&self, host: &Rc<Host>, engine: EngineId, attempt: AttemptId) {
+    /// Cancels an attempt, which may be queued or sent.
+    pub fn cancel(&self, host: &Rc<Host>, engine: EngineId, attempt: AttemptId) {
         let Some(engine) = self.engines.borrow().get(&engine).cloned() else { return };
-        engine.waiting.borrow_mut().retain(|w| w.attempt() != Some(attempt));
-        let Some((line, since)) = engine.places.borrow_mut().remove(&attempt) else { return };
+        engine.queue.borrow_mut().retain(|queued| queued.attempt() != Some(attempt));
+        let Some((connection, sent)) = engine.sent.borrow_mut().remove(&attempt) else { return };
         let mut out = Vec::new();
-        line.link.borrow_mut().withdraw(attempt, &mut out);
-        line.send(&out);
-        if line.is_up() && (line.heard.get() < since || line.link.borrow().is_within()) {
-            // Not a word since it was asked: the peer may be gone without a trace, and this connection with it. Or half a
-            // message, whose rest may come after the next answer's time, or never.
-            line.spent.set(true);
+        connection.link.borrow_mut().cancel(attempt, &mut out);
+        connection.send(&out);
+        let silent = connection.last_heard.get() < sent;
+        if connection.is_up() && (silent || connection.link.borrow().has_partial_message()) {
+            // If nothing was received since the request was sent, the connection may be dead without a reset.
+            // If a message is incomplete, its rest may come too late for the next answer, or never.
+            connection.retired.set(true);
         }
-        if line.load() == 0 && line.keeps() {
-            // What the peer has not taken of the request must not reach it later: its client may be gone.
-            line.close();
+        if connection.pending() == 0 && connection.has_unsent() {
+            // The unsent rest of the request must not reach the engine later: the client may be gone by then.
+            connection.abort();
         }
-        line.idle.set(Instant::now());
-        self.serve(host, &engine);
+        connection.idle_since.set(Instant::now());
+        self.send_queued(host, &engine);
     }
 
-    /// Gives an attempt another priority.
-    pub fn renice(&self, engine: EngineId, attempt: AttemptId, rank: u8) {
+    /// Changes the priority of an attempt, which may be queued or sent.
+    pub fn renice(&self, engine: EngineId, attempt: AttemptId, priority: u8) {
         let Some(engine) = self.engines.borrow().get(&engine).cloned() else { return };
-        for waiting in engine.waiting.borrow_mut().iter_mut() {
-            if let What::Launch(launch) = &mut waiting.what {
-                launch.rank = if launch.attempt == attempt { rank } else { launch.rank };
+        for queued in engine.queue.borrow_mut().iter_mut() {
+            if let Work::Launch(launch) = &mut queued.work {
+                launch.priority = if launch.attempt == attempt { priority } else { launch.priority };
             }
         }
-        let Some((line, _)) = engine.places.borrow().get(&attempt).cloned() else { return };
+        let Some((connection, _)) = engine.sent.borrow().get(&attempt).cloned() else { return };
         let mut out = Vec::new();
-        line.link.borrow_mut().renice(attempt, rank, &mut out);
-        line.send(&out);
+        connection.link.borrow_mut().renice(attempt, priority, &mut out);
+        connection.send(&out);
     }
 
-    /// Checks an engine.
+    /// Sends a health check to an engine; the core gets the result.
     pub fn probe(&self, host: &Rc<Host>, id: EngineId) {
         let engine = self.engines.borrow().get(&id).cloned();
-        if !engine.is_some_and(|engine| self.ask(host, &engine, What::Probe)) {
+        if !engine.is_some_and(|engine| self.submit(host, &engine, Work::Probe)) {
             let host = host.clone();
             host.clone().spawn(async move {
-                host.core(|core, now| core.probed(now, id, false, Load::default()));
+                host.with_core(|core, now| core.probe_ended(now, id, false, Load::default()));
             });
         }
     }
 
-    /// Closes what is not needed: connections idle for so long that their engine would close them soon, spent ones
-    /// without requests, and all of engines that have left.
-    pub fn sweep(&self, now: Instant) {
-        // Ours close first: a request that crosses the engine's close may or may not have run.
-        let idle = Duration::from_micros(self.terms.idle_timeout) * 2 / 3;
+    /// Closes retired connections without pending requests, and connections that have been idle for so long
+    /// that the engine would close them soon. Forgets engines that have left and have no connections.
+    pub fn close_unused(&self, now: Instant) {
+        // The gateway closes first: a request that crosses a close by the engine may or may not have run.
+        let idle_max = Duration::from_micros(self.settings.idle_timeout) * 2 / 3;
         let mut engines = self.engines.borrow_mut();
         for engine in engines.values() {
-            for line in engine.lines.borrow().iter().filter(|l| l.is_up() && l.load() == 0) {
-                let old = !idle.is_zero() && now.saturating_duration_since(line.idle.get()) > idle;
-                if line.spent.get() || old {
-                    line.close();
+            for connection in engine.connections.borrow().iter().filter(|c| c.is_up() && c.pending() == 0) {
+                let idle = now.saturating_duration_since(connection.idle_since.get());
+                if connection.retired.get() || (!idle_max.is_zero() && idle > idle_max) {
+                    connection.abort();
                 }
             }
         }
-        engines.retain(|_, e| e.listed.get() != Listed::Removed || !e.lines.borrow().is_empty());
+        engines.retain(|_, e| e.listed.get() != Listed::Removed || !e.connections.borrow().is_empty());
     }
 }
 
-/// Writes what has waited on a connection that is up; false if nothing of it can have reached its engine whole.
-fn write(host: &Rc<Host>, engine: &Rc<Engine>, line: &Rc<Line>, waiting: &Waiting) -> bool {
-    match &waiting.what {
-        What::Probe => write_probe(host, engine, line),
-        What::Launch(launch) => {
+/// Sends a queued entry on a connection that is up; false if the engine certainly did not get it completely.
+fn send(host: &Rc<Host>, engine: &Rc<Engine>, connection: &Rc<Connection>, queued: &Queued) -> bool {
+    match &queued.work {
+        Work::Probe => send_probe(host, engine, connection),
+        Work::Launch(launch) => {
             tracing::debug!(id = %crate::link::id_text(launch.attempt), attempt = launch.attempt.1,
-                waited = ?waiting.since.elapsed(), carried = line.carried.get(), age = ?line.up.get().elapsed(), "write");
-            write_launch(host, engine, line, launch)
+                waited = ?queued.since.elapsed(), requests_sent = connection.requests_sent.get(),
+                age = ?connection.up_since.get().elapsed(), "write");
+            send_launch(host, engine, connection, launch)
         }
     }
 }
 
-fn write_launch(host: &Host, engine: &Engine, line: &Rc<Line>, launch: &Launch) -> bool {
-    let left = launch.until.saturating_sub(host.clock.now()) / 1000;
+fn send_launch(host: &Host, engine: &Engine, connection: &Rc<Connection>, launch: &Launch) -> bool {
+    let timeout_ms = launch.deadline.saturating_sub(host.clock.now()) / 1000;
     let mut out = Vec::with_capacity(launch.body.len() + 192);
     let class = &host.config.names.classes[launch.class];
-    line.link.borrow_mut().fetch(launch, class, left, &mut out);
-    line.carried.set(line.carried.get() + 1);
-    let written = line.send(&out);
-    if written {
-        host.written(launch.attempt);
-        engine.places.borrow_mut().insert(launch.attempt, (line.clone(), Instant::now()));
+    connection.link.borrow_mut().fetch(launch, class, timeout_ms, &mut out);
+    connection.requests_sent.set(connection.requests_sent.get() + 1);
+    let sent = connection.send(&out);
+    if sent {
+        host.attempt_written(launch.attempt);
+        engine.sent.borrow_mut().insert(launch.attempt, (connection.clone(), Instant::now()));
     } else {
-        // It waits for another connection, and has surely not run.
-        line.link.borrow_mut().withdraw(launch.attempt, &mut Vec::new());
+        // The attempt has certainly not run, and waits for another connection.
+        connection.link.borrow_mut().cancel(launch.attempt, &mut Vec::new());
     }
-    written
+    sent
 }
 
-/// Sends a probe and sees to its time-out.
-fn write_probe(host: &Rc<Host>, engine: &Engine, line: &Rc<Line>) -> bool {
+/// Sends a health check and starts its time-out.
+fn send_probe(host: &Rc<Host>, engine: &Engine, connection: &Rc<Connection>) -> bool {
     let mut out = Vec::new();
-    let tag = line.link.borrow_mut().probe(&mut out);
-    if !line.send(&out) {
-        line.link.borrow_mut().forget_probe(&tag);
+    let tag = connection.link.borrow_mut().probe(&mut out);
+    if !connection.send(&out) {
+        connection.link.borrow_mut().cancel_probe(&tag);
         return false;
     }
-    let (host, id, line) = (host.clone(), engine.id, line.clone());
-    let within = Duration::from_micros(host.config.connections.probe_timeout);
+    let (host, id, connection) = (host.clone(), engine.id, connection.clone());
+    let timeout = Duration::from_micros(host.config.connections.probe_timeout);
     host.clone().spawn(async move {
-        violetward_net::sleep(within).await;
-        if line.link.borrow_mut().forget_probe(&tag) {
-            line.spent.set(true);
-            host.core(|core, now| core.probed(now, id, false, Load::default()));
+        violetward_net::sleep(timeout).await;
+        if connection.link.borrow_mut().cancel_probe(&tag) {
+            connection.retired.set(true);
+            host.with_core(|core, now| core.probe_ended(now, id, false, Load::default()));
         }
     });
     true
 }
 
-async fn run(host: Rc<Host>, engine: Rc<Engine>, line: Rc<Line>, first: bool) {
-    let reached = reach(&host, &engine, &line, first).await;
-    let (began, took) = (line.up.get(), line.up.get().elapsed());
-    let socket = match reached {
+/// Dials a connection, serves it until it ends, and handles its end.
+async fn run(host: Rc<Host>, engine: Rc<Engine>, connection: Rc<Connection>, first: bool) {
+    let connected = connect(&host, &engine, &connection, first).await;
+    let (dialled, took) = (connection.up_since.get(), connection.up_since.get().elapsed());
+    let socket = match connected {
         Ok(socket) => socket,
         Err(why) => {
-            engine.lines.borrow_mut().retain(|l| !Rc::ptr_eq(l, &line));
-            tracing::debug!(engine = %format_args!("{:x}", engine.id.0), ?why, ?took, heard = ?engine.heard.get().elapsed(),
-                spent = line.spent.get(), "not up");
-            if why == Missed::NoDescriptor && !line.spent.get() {
-                return without_descriptor(&host, &engine, &line).await;
+            engine.connections.borrow_mut().retain(|c| !Rc::ptr_eq(c, &connection));
+            tracing::debug!(engine = %format_args!("{:x}", engine.id.0), ?why, ?took,
+                last_heard = ?engine.last_heard.get().elapsed(), retired = connection.retired.get(),
+                "not up");
+            if why == DialError::NoDescriptor && !connection.retired.get() {
+                return wait_for_descriptor(&host, &engine, &connection).await;
             }
-            // What was dialled for an address that is not its engine's any more says nothing of it. Neither does a dial
-            // that is not up in time, if the engine was heard meanwhile: the way there is bad. What waits is better
-            // served by the next dial than told that its engine is gone: the module takes that for a restart.
-            if !line.spent.get() && (why == Missed::Failed || engine.heard.get() < began) {
-                tell(&host, &engine, &line, engine.unserved(Outcome::ConnectFailed, |_| true));
+            // A retired dial, say to the engine's old address, says nothing about the engine. Neither does a
+            // time-out if something was received from the engine meanwhile: then only the network is bad. It
+            // is better to dial again for what is queued than to report a failure, which the decision module
+            // takes for a restart of the engine.
+            if !connection.retired.get() && (why == DialError::Failed || engine.last_heard.get() < dialled) {
+                let failed = engine.fail_queued(Outcome::ConnectFailed, |_| true);
+                process_events(&host, &engine, &connection, failed);
             }
-            return host.engines.serve(&host, &engine);
+            return host.engines.send_queued(&host, &engine);
         }
     };
     tracing::debug!(engine = %format_args!("{:x}", engine.id.0), ?took, first, "up");
-    engine.note_dial(took);
-    let duplex = Rc::new(Duplex::new(socket, KEPT));
-    *line.duplex.borrow_mut() = Some(duplex.clone());
-    for at in [&line.heard, &line.up, &line.idle, &engine.heard] {
-        at.set(Instant::now());
-    }
-    host.engines.serve(&host, &engine);
-    future::or(read(&host, &engine, &line, &duplex), async {
+    engine.update_usual_dial_time(took);
+    let duplex = Rc::new(Duplex::new(socket, UNSENT_MAX_BYTES));
+    *connection.duplex.borrow_mut() = Some(duplex.clone());
+    for time in [&connection.last_heard, &connection.up_since, &connection.idle_since, &engine.last_heard] {
+        time.set(Instant::now());
+    }
+    host.engines.send_queued(&host, &engine);
+    future::or(read(&host, &engine, &connection, &duplex), async {
         duplex.run_writer().await;
-        // What came in before the connection broke is still to be read; the reader finds the end behind it.
+        // Bytes that came before the connection broke are still to be read; the reader then finds the end.
         future::pending().await
     })
     .await;
     let by_peer = !duplex.is_closed();
-    line.duplex.borrow_mut().take();
-    // The descriptor is free before the connection counts no more.
+    connection.duplex.borrow_mut().take();
+    // Frees the file descriptor before the connection is no longer counted.
     drop(duplex);
-    end(&host, &engine, &line, by_peer).await;
+    finish(&host, &engine, &connection, by_peer).await;
 }
 
-/// Ends what waits for a connection that this machine has no descriptor for. That says nothing of the engine: requests may
-/// find a connection elsewhere, and a probe is asked as soon as there is one here.
-async fn without_descriptor(host: &Rc<Host>, engine: &Rc<Engine>, line: &Rc<Line>) {
-    let gone = engine.listed.get() == Listed::Removed;
-    tell(host, engine, line, engine.unserved(Outcome::Moot, |w| gone || w.attempt().is_some()));
-    host.engines.serve(host, engine);
-    while !engine.waiting.borrow().is_empty() && !engine.is_coming() {
-        violetward_net::sleep(within(host)).await;
-        host.engines.serve(host, engine);
+/// Handles the queue if no file descriptor is free for a connection. Attempts end as not sent, since other
+/// engines may have free connections; health checks wait. The lack of descriptors says nothing about the
+/// engine.
+async fn wait_for_descriptor(host: &Rc<Host>, engine: &Rc<Engine>, connection: &Rc<Connection>) {
+    let removed = engine.listed.get() == Listed::Removed;
+    let unsent = engine.fail_queued(Outcome::Moot, |queued| removed || queued.attempt().is_some());
+    process_events(host, engine, connection, unsent);
+    host.engines.send_queued(host, engine);
+    while !engine.queue.borrow().is_empty() && !engine.is_dialling() {
+        violetward_net::sleep(connect_timeout(host)).await;
+        host.engines.send_queued(host, engine);
     }
 }
 
-async fn read(host: &Rc<Host>, engine: &Rc<Engine>, line: &Rc<Line>, duplex: &Duplex) {
+/// Reads from a connection until it ends or an answer is invalid.
+async fn read(host: &Rc<Host>, engine: &Rc<Engine>, connection: &Rc<Connection>, duplex: &Duplex) {
     loop {
-        let (mut out, mut told, mut fault) = (Vec::new(), Vec::new(), None);
+        let (mut out, mut events, mut error) = (Vec::new(), Vec::new(), None);
         let read = duplex.read(|bytes| {
             if !bytes.is_empty() {
-                fault = line.link.borrow_mut().feed(bytes, &mut out, &mut told).err();
+                error = connection.link.borrow_mut().feed(bytes, &mut out, &mut events).err();
             }
         });
         let read = read.await.unwrap_or(0);
         if read == 0 {
             return;
         }
-        line.heard.set(Instant::now());
-        engine.heard.set(Instant::now());
-        line.send(&out);
-        if let Some(why) = fault {
-            if host.quotas[1].allows(host.clock.now()) {
-                tracing::warn!(engine = %format_args!("{:x}", engine.id.0), why, "an answer that can't be read: connection closed");
+        connection.last_heard.set(Instant::now());
+        engine.last_heard.set(Instant::now());
+        connection.send(&out);
+        if let Some(why) = error {
+            if host.log_quotas.engines.allows(host.clock.now()) {
+                tracing::warn!(engine = %format_args!("{:x}", engine.id.0), why,
+                    "an answer that can't be read: connection closed");
             }
-            // Everything on it was sent and may have run; its engine stands, but nothing more is heard of it here.
-            line.link.borrow_mut().broken(Outcome::Broken, &mut told);
-            line.spent.set(true);
-            tell(host, engine, line, told);
+            // The pending attempts were sent and may have run. The engine's process goes on.
+            connection.link.borrow_mut().fail_all(Outcome::Broken, &mut events);
+            connection.retired.set(true);
+            process_events(host, engine, connection, events);
             return;
         }
-        tell(host, engine, line, told);
+        process_events(host, engine, connection, events);
     }
 }
 
-/// Passes on what an engine has told.
-fn tell(host: &Rc<Host>, engine: &Rc<Engine>, line: &Rc<Line>, told: Vec<Told>) {
-    if told.is_empty() {
+/// Passes events of an engine to the core.
+fn process_events(
+    host: &Rc<Host>,
+    engine: &Rc<Engine>,
+    connection: &Rc<Connection>,
+    events: Vec<EngineEvent>,
+) {
+    if events.is_empty() {
         return;
     }
-    line.idle.set(Instant::now());
-    if told.iter().any(|told| matches!(told, Told::Probed(..))) {
+    connection.idle_since.set(Instant::now());
+    if events.iter().any(|event| matches!(event, EngineEvent::ProbeEnded(..))) {
         engine.broken_probes.set(0);
     }
-    for told in &told {
-        if let Told::Ended(attempt, ending) = told {
-            if ending.outcome == Outcome::Ok {
-                host.engines.note_break(line, false);
+    for event in &events {
+        if let EngineEvent::AttemptEnded(attempt, completion) = event {
+            if completion.outcome == Outcome::Ok {
+                host.engines.update_break_rate(connection, false);
             }
-            tracing::debug!(engine = %format_args!("{:x}", engine.id.0), id = %crate::link::id_text(*attempt), attempt = attempt.1,
-                outcome = ?ending.outcome, work = ?ending.work, load = ?ending.load, "ended");
-            engine.places.borrow_mut().remove(attempt);
+            tracing::debug!(engine = %format_args!("{:x}", engine.id.0), id = %crate::link::id_text(*attempt),
+                attempt = attempt.1, outcome = ?completion.outcome, work = ?completion.work,
+                load = ?completion.load, "ended");
+            engine.sent.borrow_mut().remove(attempt);
         }
     }
-    // What waits is older than what the module sends next.
-    host.engines.serve(host, engine);
-    host.core(|core, now| {
-        for told in told {
-            match told {
-                Told::Ended(attempt, ending) => core.ended(now, attempt, ending),
-                Told::Probed(ok, load) => core.probed(now, engine.id, ok, load),
+    // Queued entries go before what the decision module sends in reaction to the events.
+    host.engines.send_queued(host, engine);
+    host.with_core(|core, now| {
+        for event in events {
+            match event {
+                EngineEvent::AttemptEnded(attempt, completion) => {
+                    core.attempt_ended(now, attempt, completion)
+                }
+                EngineEvent::ProbeEnded(ok, load) => core.probe_ended(now, engine.id, ok, load),
             }
         }
     });
 }
 
-/// Ends what is left on a connection that is gone, and forgets it. `by_peer` if it was not ended from this side.
-async fn end(host: &Rc<Host>, engine: &Rc<Engine>, line: &Rc<Line>, by_peer: bool) {
-    line.spent.set(true);
-    engine.lines.borrow_mut().retain(|l| !Rc::ptr_eq(l, line));
-    let (load, mut told) = (line.link.borrow().load(), Vec::new());
-    tracing::debug!(engine = %format_args!("{:x}", engine.id.0), load, carried = line.carried.get(), age = ?line.up.get().elapsed(),
-        idle = ?line.idle.get().elapsed(), lines = engine.lines.borrow().len(), "connection over");
-    if load > 0 {
-        let outcome = if stands(host, engine).await { Outcome::Broken } else { Outcome::Reset };
+/// Removes a connection that has ended, and ends what is pending on it. `by_peer`: this side did not close
+/// it.
+async fn finish(host: &Rc<Host>, engine: &Rc<Engine>, connection: &Rc<Connection>, by_peer: bool) {
+    connection.retired.set(true);
+    engine.connections.borrow_mut().retain(|c| !Rc::ptr_eq(c, connection));
+    let (pending, mut events) = (connection.pending(), Vec::new());
+    tracing::debug!(engine = %format_args!("{:x}", engine.id.0), pending,
+        requests_sent = connection.requests_sent.get(), age = ?connection.up_since.get().elapsed(),
+        idle = ?connection.idle_since.get().elapsed(), connections = engine.connections.borrow().len(),
+        "connection over");
+    if pending > 0 {
+        let outcome = if is_alive(host, engine).await { Outcome::Broken } else { Outcome::Reset };
         if outcome == Outcome::Broken {
-            host.engines.note_break(line, true);
+            host.engines.update_break_rate(connection, true);
         }
-        line.link.borrow_mut().broken(outcome, &mut told);
+        connection.link.borrow_mut().fail_all(outcome, &mut events);
         if outcome == Outcome::Broken {
-            engine.ask_again(&mut told);
+            engine.requeue_probes(&mut events);
         }
     }
-    if line.carried.get() == 0 && by_peer {
-        // Somebody was there and closed before anything was asked: what waits is dialled for again, but not for ever.
-        engine.waiting.borrow_mut().iter_mut().for_each(|w| w.resets += 1);
-        told.extend(engine.unserved(Outcome::ConnectFailed, |w| w.resets >= DIALS));
+    if connection.requests_sent.get() == 0 && by_peer {
+        // The engine closed the connection before anything was sent. What is queued is dialled for again, up
+        // to a limit.
+        engine.queue.borrow_mut().iter_mut().for_each(|queued| queued.resets += 1);
+        events.extend(engine.fail_queued(Outcome::ConnectFailed, |queued| queued.resets >= DIALS_MAX));
     }
-    tell(host, engine, line, told);
-    host.engines.serve(host, engine);
+    process_events(host, engine, connection, events);
+    host.engines.send_queued(host, engine);
 }
 
-/// Whether an engine's process goes on after one of its connections broke. All connections of a process that dies are
-/// reset with it, and new ones are refused: another one that is still quiet a moment later, or a new one that comes up,
-/// proves that it stands. So does a new one that is late: a refusal would have come by then.
-async fn stands(host: &Rc<Host>, engine: &Rc<Engine>) -> bool {
+/// Whether an engine's process is alive after one of its connections broke.
+///
+/// When a process dies, all its connections are reset and new ones are refused. So the process is alive if
+/// another connection is still open a moment later, or a new one comes up. It also is if a new one is late,
+/// since a refusal would have come by then.
+async fn is_alive(host: &Rc<Host>, engine: &Rc<Engine>) -> bool {
     let broke = Instant::now();
-    let witness = |line: &Rc<Line>| line.duplex.borrow().as_ref().is_some_and(|d| d.is_alive());
-    for turn in 0..WITNESS.1 {
-        violetward_net::sleep(WITNESS.0).await;
-        if engine.lines.borrow().iter().any(witness) {
+    let is_open = |c: &Rc<Connection>| c.duplex.borrow().as_ref().is_some_and(|d| d.is_alive());
+    for check in 0..LIVENESS_CHECKS {
+        violetward_net::sleep(LIVENESS_CHECK_INTERVAL).await;
+        if engine.connections.borrow().iter().any(is_open) {
             return true;
         }
-        if engine.refused.get().is_some_and(|at| at >= broke) {
+        if engine.last_refused.get().is_some_and(|refused| refused >= broke) {
             return false;
         }
-        if turn == 0 && !engine.is_coming() && engine.listed.get() == Listed::Up {
+        if check == 0 && !engine.is_dialling() && engine.listed.get() == Listed::Up {
             dial(host, engine, true);
         }
     }
-    engine.is_coming()
+    engine.is_dialling()
 }
--- a/crates/platform/src/engine/dial.rs
+++ b/crates/platform/src/engine/dial.rs
@@ -1,4 +1,4 @@
-//! Dials: when one is late, when another goes beside it, and what one that fails says of its engine.
+//! Dials connections to engines. When a dial is late, others are started in parallel.
 
 use std::cell::{Cell, RefCell};
 use std::net::TcpStream;
@@ -10,141 +10,147 @@
 use futures_lite::future;
 use violetward_net::SocketErrorKind;
 
-use super::{run, Engine, Line, DIALS};
+use super::{run, Connection, Engine, DIALS_MAX};
 use crate::host::Host;
 use crate::link::Link;
 
-/// How long a dial waits that failed by something that says nothing of its engine.
-const DIAL_PAUSE: Duration = Duration::from_millis(5);
+/// The pause before a retry if a dial failed for a reason that says nothing about the engine.
+const RETRY_PAUSE: Duration = Duration::from_millis(5);
 
-/// A dial is late after this many times what dials to its engine usually take; then one more goes beside it, and after each
-/// further such multiple.
-const LATE_TIMES: u32 = 4;
-/// Dials that go beside a late one at most.
-const BESIDE_MOST: u32 = 2;
-/// No dial is late before this part of the time-out: what is lost until then is not worth a handshake.
-const LATE_LEAST_PART: u32 = 100;
-/// One dial's part in what is usual is one in so many.
-const DIAL_SAMPLE: u32 = 8;
+/// A dial is late after this multiple of the usual time. Then a parallel dial is started, and each further
+/// one after this multiple of the previous wait.
+const LATE_FACTOR: u32 = 4;
+/// Highest number of dials in parallel to a late one.
+const PARALLEL_DIALS_MAX: u32 = 2;
+/// No dial is late before this fraction of the time-out has passed: the time lost until then is not worth a
+/// handshake.
+const LATE_MIN_FRACTION: u32 = 100;
+/// The weight of the last dial in the usual time is one divided by this.
+const DIAL_TIME_SAMPLES: u32 = 8;
 
 impl Engine {
-    /// Fewer dials are out that are not late yet than there is waiting.
-    pub(super) fn needs_dial(&self, late: Duration) -> bool {
-        let punctual = |l: &&Rc<Line>| l.is_coming() && l.up.get().elapsed() < late;
-        self.lines.borrow().iter().filter(punctual).count() < self.waiting.borrow().len()
+    /// Whether more entries are queued than dials are in progress that are not late.
+    pub(super) fn needs_dial(&self, late_after: Duration) -> bool {
+        let in_time = |c: &&Rc<Connection>| c.is_dialling() && c.up_since.get().elapsed() < late_after;
+        self.connections.borrow().iter().filter(in_time).count() < self.queue.borrow().len()
     }
 
-    /// After how long a dial is late.
-    pub(super) fn late(&self, within: Duration) -> Duration {
-        (self.dial.get().unwrap_or_default() * LATE_TIMES).max(within / LATE_LEAST_PART)
+    /// The time after which a dial is late.
+    pub(super) fn late_after(&self, timeout: Duration) -> Duration {
+        (self.usual_dial_time.get().unwrap_or_default() * LATE_FACTOR).max(timeout / LATE_MIN_FRACTION)
     }
 
-    pub(super) fn note_dial(&self, took: Duration) {
-        let usual = self.dial.get().unwrap_or(took);
-        self.dial.set(Some((usual * (DIAL_SAMPLE - 1) + took.min(usual * 2)) / DIAL_SAMPLE));
+    pub(super) fn update_usual_dial_time(&self, took: Duration) {
+        let usual = self.usual_dial_time.get().unwrap_or(took);
+        let sum = usual * (DIAL_TIME_SAMPLES - 1) + took.min(usual * 2);
+        self.usual_dial_time.set(Some(sum / DIAL_TIME_SAMPLES));
     }
 }
 
-/// How long a connection to an engine may take to come up.
-pub(super) fn within(host: &Host) -> Duration {
+/// The time-out of a dial.
+pub(super) fn connect_timeout(host: &Host) -> Duration {
     Duration::from_micros(host.config.connections.connect_timeout)
 }
 
-/// Begins a connection and the task that reads from it. Others may go beside it when it is late.
+/// Starts the task of a new connection. If the dial is late and this is the first one, parallel ones are
+/// started.
 pub(super) fn dial(host: &Rc<Host>, engine: &Rc<Engine>, first: bool) {
     let now = Instant::now();
-    let line = Rc::new(Line {
+    let connection = Rc::new(Connection {
         duplex: RefCell::new(None),
         link: RefCell::new(Link::new()),
-        heard: Cell::new(now),
-        idle: Cell::new(now),
-        spent: Cell::new(false),
-        passed: Cell::new(false),
-        unneeded: Event::new(),
-        up: Cell::new(now),
-        carried: Cell::new(0),
+        last_heard: Cell::new(now),
+        idle_since: Cell::new(now),
+        retired: Cell::new(false),
+        overtaken: Cell::new(false),
+        dial_cancelled: Event::new(),
+        up_since: Cell::new(now),
+        requests_sent: Cell::new(0),
     });
-    engine.lines.borrow_mut().push(line.clone());
-    host.spawn(run(host.clone(), engine.clone(), line, first));
+    engine.connections.borrow_mut().push(connection.clone());
+    host.spawn(run(host.clone(), engine.clone(), connection, first));
 }
 
-/// Dials beside one that is late as long as something waits for it. Never ends.
-async fn dial_beside(host: &Rc<Host>, engine: &Rc<Engine>, line: &Rc<Line>) {
-    let late = engine.late(within(host));
-    for turn in 0..BESIDE_MOST {
-        violetward_net::sleep(late * LATE_TIMES.pow(turn)).await;
-        if engine.needs_dial(late) && host.engines.may_dial(engine, None) {
-            line.passed.set(true);
+/// Starts parallel dials while one is late and entries are queued. Never returns.
+async fn dial_in_parallel(host: &Rc<Host>, engine: &Rc<Engine>, connection: &Rc<Connection>) {
+    let late_after = engine.late_after(connect_timeout(host));
+    for turn in 0..PARALLEL_DIALS_MAX {
+        violetward_net::sleep(late_after * LATE_FACTOR.pow(turn)).await;
+        if engine.needs_dial(late_after) && host.engines.may_dial(engine, None) {
+            connection.overtaken.set(true);
             dial(host, engine, false);
         }
     }
     future::pending().await
 }
 
-/// A socket to an engine, if it is up in time and before it is not needed any more.
-pub(super) async fn reach(
+/// Connects to an engine. Ends early if the dial is no longer needed.
+pub(super) async fn connect(
     host: &Rc<Host>,
     engine: &Rc<Engine>,
-    line: &Rc<Line>,
+    connection: &Rc<Connection>,
     first: bool,
-) -> Result<Async<TcpStream>, Missed> {
-    let short = Cell::new(false);
+) -> Result<Async<TcpStream>, DialError> {
+    let no_descriptor = Cell::new(false);
     let connecting = async {
-        let (mut dials, mut made_room) = (1, false);
+        let (mut dials, mut closed_idle) = (1, false);
         loop {
-            // What was closed to make room for this one holds its descriptor for a moment yet.
-            while host.engines.connections() > host.engines.most {
-                short.set(true);
-                violetward_net::sleep(DIAL_PAUSE).await;
+            // A connection that was closed to make room still holds its file descriptor for a moment.
+            while host.engines.connection_count() > host.engines.max_connections {
+                no_descriptor.set(true);
+                violetward_net::sleep(RETRY_PAUSE).await;
             }
             let error = match Async::<TcpStream>::connect(engine.address.get()).await {
                 Ok(socket) => return Ok(socket),
                 Err(error) => error,
             };
             let fault = SocketErrorKind::of(&error);
-            short.set(fault == SocketErrorKind::ResourceShortage);
+            no_descriptor.set(fault == SocketErrorKind::ResourceShortage);
             match fault {
-                // Once for each dial: what gets free may be taken by somebody else every time.
-                SocketErrorKind::ResourceShortage => made_room = made_room || host.engines.make_room(),
-                // It says nothing of the engine's process: there may be a way in a moment.
+                // Only once for each dial: others may take the descriptors that are freed.
+                SocketErrorKind::ResourceShortage => {
+                    closed_idle = closed_idle || host.engines.close_longest_idle()
+                }
+                // Says nothing about the engine's process, and may pass in a moment.
                 SocketErrorKind::Retry | SocketErrorKind::Unreachable => {}
-                // Broken while it came up: somebody is there, and nothing has been asked yet.
-                SocketErrorKind::Broken if dials < DIALS => dials += 1,
+                // Reset while connecting: the peer is there, and nothing has been sent.
+                SocketErrorKind::Broken if dials < DIALS_MAX => dials += 1,
                 SocketErrorKind::Broken | SocketErrorKind::Refused => {
-                    tracing::debug!(engine = %format_args!("{:x}", engine.id.0), %error, dials, "no connection");
+                    tracing::debug!(engine = %format_args!("{:x}", engine.id.0), %error, dials,
+                        "no connection");
                     if fault == SocketErrorKind::Refused {
-                        engine.refused.set(Some(Instant::now()));
+                        engine.last_refused.set(Some(Instant::now()));
                     }
-                    return Err(Missed::Failed);
+                    return Err(DialError::Failed);
                 }
             }
             if fault != SocketErrorKind::Broken {
-                violetward_net::sleep(DIAL_PAUSE).await;
+                violetward_net::sleep(RETRY_PAUSE).await;
             }
         }
     };
-    let beside = async {
+    let parallel = async {
         if first {
-            dial_beside(host, engine, line).await;
+            dial_in_parallel(host, engine, connection).await;
         }
         future::pending().await
     };
-    let unneeded = async {
-        line.unneeded.listen().await;
-        Err(Missed::Late)
+    let cancelled = async {
+        connection.dial_cancelled.listen().await;
+        Err(DialError::TimedOut)
     };
-    let reached = future::or(connecting, future::or(beside, unneeded));
-    let missed = || if short.get() { Missed::NoDescriptor } else { Missed::Late };
-    violetward_net::timeout(within(host), reached).await.unwrap_or_else(|| Err(missed()))
+    let connected = future::or(connecting, future::or(parallel, cancelled));
+    let error = || if no_descriptor.get() { DialError::NoDescriptor } else { DialError::TimedOut };
+    violetward_net::timeout(connect_timeout(host), connected).await.unwrap_or_else(|| Err(error()))
 }
 
-/// Why a dial gave no connection.
+/// Why a dial failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Missed {
-    /// It failed at once.
+pub(super) enum DialError {
+    /// The connection was refused, or reset too often.
     Failed,
-    /// It was not up in time.
-    Late,
-    /// This machine had no descriptor for it, all the time.
+    /// The connection was not up in time, or is no longer needed.
+    TimedOut,
+    /// No file descriptor was free for it.
     NoDescriptor,
 }
--- a/crates/platform/src/front.rs
+++ b/crates/platform/src/front.rs
@@ -1,4 +1,4 @@
-//! Takes connections of clients and serves them: requests in, answers out.
+//! Accepts client connections and serves them.
 
 use std::io;
 use std::net::{TcpListener, TcpStream};
@@ -10,44 +10,44 @@
 use violetward_net::SocketErrorKind;
 
 use crate::client::{Client, EndReason};
-use crate::core::{ClientId, Verdict};
+use crate::core::{ClientId, Reply};
 use crate::host::Host;
 use crate::requests;
 
-/// Connections that are taken in a row before those that are there are read again.
-const ACCEPTED_IN_A_ROW: u64 = 16;
-/// The pause after a connection could not be taken.
+/// How many connections are accepted before other tasks get a turn.
+const ACCEPT_BATCH: u64 = 16;
+/// The pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Connections that could not be taken, after which the rest of the queue is given up when the gateway drains.
-const QUEUE_FAILURES: u32 = 50;
-/// How often connections are looked at for their end while the gateway drains.
-const CLOSE_DRAINED_EVERY: Duration = Duration::from_millis(5);
+/// After this many failed accepts at the start of the drain, the rest of the accept queue is abandoned.
+const QUEUE_FAILURES_MAX: u32 = 50;
+/// How often idle connections are closed while the gateway drains.
+const CLOSE_DRAINED_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Listens on the address of the configuration alone.
+/// Listens on the configured address.
 ///
 /// # Errors
-/// The socket's.
+/// Those of binding the socket.
 pub fn listen(host: &Host) -> io::Result<Async<TcpListener>> {
     Async::<TcpListener>::bind(host.config.listen)
 }
 
-/// Takes connections until the gateway drains. Those that wait then are still taken: closing the listener over them
-/// would reset them.
+/// Accepts connections until the gateway drains. Connections in the accept queue at that time are still
+/// accepted: closing the listener would reset them.
 pub async fn accept(host: Rc<Host>, listener: Async<TcpListener>) {
     let mut number = 0;
     loop {
         let accepted = async { Some(listener.accept().await.map(|(socket, _)| socket)) };
-        let drains = async {
-            host.drain_begins().await;
+        let drain = async {
+            host.drain_started().await;
             None
         };
-        match future::or(drains, accepted).await {
+        match future::or(drain, accepted).await {
             None => break,
             Some(Ok(socket)) => {
                 number += 1;
                 admit(&host, ClientId(number), socket);
-                if number % ACCEPTED_IN_A_ROW == 0 {
-                    // A wave of connections must not keep those from being read that are there.
+                if number % ACCEPT_BATCH == 0 {
+                    // A burst of new connections must not delay the existing ones.
                     future::yield_now().await;
                 }
             }
@@ -61,11 +61,11 @@
     host.listening.set(false);
 }
 
-/// Takes the connections that wait when the gateway drains. One that can't be taken does not end it: those behind it would
-/// be reset with the listener.
+/// Accepts the connections that are in the queue when the gateway starts to drain. It goes on after a failed
+/// accept: closing the listener would reset the connections that are left.
 async fn take_queue(host: &Rc<Host>, listener: &Async<TcpListener>, mut number: u64) {
     let mut failures = 0;
-    while failures < QUEUE_FAILURES {
+    while failures < QUEUE_FAILURES_MAX {
         match listener.get_ref().accept() {
             Ok((socket, _)) => {
                 number += 1;
@@ -83,43 +83,46 @@
     }
 }
 
-/// Out of descriptors in spite of the budget, or a connection that broke in the queue: neither spins.
+/// Logs a failed accept. If the process or the machine is out of descriptors in spite of the budget, closes
+/// an idle connection.
 fn note_accept_error(host: &Host, error: &io::Error) {
-    if host.quotas[0].allows(host.clock.now()) {
-        tracing::warn!(%error, "a connection could not be taken");
+    if host.log_quotas.clients.allows(host.clock.now()) {
+        tracing::warn!(%error, "accepting a connection failed");
     }
     if SocketErrorKind::of(error) == SocketErrorKind::ResourceShortage {
         evict_idle_client(host);
     }
 }
 
-/// Serves a new connection if there is room for it, else closes it unread.
+/// Serves a new connection if there is room for it, else drops it without reading.
 fn admit(host: &Rc<Host>, id: ClientId, socket: Async<TcpStream>) {
-    let most = host.config.limits.descriptors().clients;
-    let full = host.clients.borrow().len() >= most;
+    let max = host.config.limits.descriptors().clients;
+    let full = host.clients.borrow().len() >= max;
     if full && !evict_idle_client(host) {
-        if host.quotas[0].allows(host.clock.now()) {
-            tracing::warn!(most, "no room for one more connection");
+        if host.log_quotas.clients.allows(host.clock.now()) {
+            tracing::warn!(max, "client connection rejected: the limit is reached and none is idle");
         }
         return;
     }
-    let client = Rc::new(Client::new(id, socket, host.config.limits.frame_bytes()));
+    let client = Rc::new(Client::new(id, socket, host.config.limits.frame_max_bytes()));
     host.clients.borrow_mut().insert(id, client.clone());
     host.spawn(serve(host.clone(), client));
 }
 
-/// Closes the idle connection that is missed least; false if all are in use. This happens for every new connection while
-/// idle ones fill the descriptors, so that the system is asked about the chosen one alone and not about all of them.
+/// Closes the idle connection that comes first in the eviction order; false if all are in use.
+///
+/// This runs for every new connection while idle ones use up the descriptors. To keep it cheap, only the
+/// chosen connection is checked with a system call, not all of them.
 fn evict_idle_client(host: &Host) -> bool {
     let mut candidates: Vec<Rc<Client>> = {
         let clients = host.clients.borrow();
         clients.values().filter(|client| client.seems_idle(host)).cloned().collect()
     };
-    while let Some(place) = least_missed(&candidates) {
-        let client = candidates.swap_remove(place);
+    while let Some(index) = first_to_evict(&candidates) {
+        let client = candidates.swap_remove(index);
         if client.duplex.is_idle() {
-            client.close(EndReason::MadeRoom);
-            // Its task ends with the next turn; it is not counted any more.
+            client.close(EndReason::Evicted);
+            // Its task ends in the next turn of the event loop; it must not be counted until then.
             host.clients.borrow_mut().remove(&client.id);
             return true;
         }
@@ -127,10 +130,10 @@
     false
 }
 
-/// The place of the connection that is the first to be closed.
-fn least_missed(clients: &[Rc<Client>]) -> Option<usize> {
-    let ranked = clients.iter().enumerate();
-    ranked.min_by_key(|(_, client)| client.eviction_order()).map(|(place, _)| place)
+/// The index of the connection that is evicted first.
+fn first_to_evict(clients: &[Rc<Client>]) -> Option<usize> {
+    let indexed = clients.iter().enumerate();
+    indexed.min_by_key(|(_, client)| client.eviction_order()).map(|(index, _)| index)
 }
 
 /// Serves a connection until either side ends it, then closes it.
@@ -141,22 +144,22 @@
     future::or(read_requests(&host, &client), writing).await;
     host.clients.borrow_mut().remove(&client.id);
     note_end(&host, &client);
-    host.core(|core, now| core.client_gone(now, client.id));
+    host.with_core(|core, now| core.client_disconnected(now, client.id));
     host.closing.finish(&client.duplex).await;
 }
 
-/// Tells why a connection ended. One that this side ended with requests open owes answers: that is a fault, unless its
-/// client broke the protocol or does not read.
+/// Logs why a connection ended. A connection that this side closed with open requests leaves answers unsent.
+/// That is a fault, unless the client violated the protocol or does not read.
 fn note_end(host: &Host, client: &Client) {
-    let (reason, open) = (client.end_reason(), host.look(|core| core.open_of(client.id)));
-    let allowed = matches!(reason, EndReason::ByClient | EndReason::Violation | EndReason::Unread);
-    if open > 0 && !allowed && host.quotas[0].allows(host.clock.now()) {
-        tracing::error!(client = client.id.0, ?reason, open, "ended with requests open");
+    let (reason, open) = (client.end_reason(), host.read_core(|core| core.open_requests_of(client.id)));
+    let expected = matches!(reason, EndReason::ByClient | EndReason::Violation | EndReason::Unread);
+    if open > 0 && !expected && host.log_quotas.clients.allows(host.clock.now()) {
+        tracing::error!(client = client.id.0, ?reason, open, "connection closed with open requests");
     }
     tracing::debug!(client = client.id.0, ?reason, open, "gone");
 }
 
-/// Reads requests until the client or this side ends the connection.
+/// Reads requests until either side ends the connection.
 async fn read_requests(host: &Rc<Host>, client: &Rc<Client>) {
     loop {
         let read = client.duplex.read(|bytes| client.frames.borrow_mut().feed(bytes)).await;
@@ -166,47 +169,48 @@
         if !requests::handle_frames(host, client) {
             return client.close(EndReason::Violation);
         }
-        // One that sends without pause must not keep others waiting.
+        // A client that sends without pause must not delay others.
         future::yield_now().await;
     }
 }
 
-/// Closes the connections that have been silent, idle or unread for too long at a time.
-pub fn close_overdue(host: &Host, now: Instant) {
+/// Closes the connections of which a time-out has expired.
+pub fn close_timed_out(host: &Host, now: Instant) {
     let clients: Vec<_> = host.clients.borrow().values().cloned().collect();
-    clients.iter().for_each(|client| client.close_if_overdue(host, now));
+    clients.iter().for_each(|client| client.close_if_timed_out(host, now));
 }
 
-/// Bytes of answers that clients have not taken yet.
+/// Bytes of answers that clients have not read yet.
 pub fn unread_bytes(host: &Host) -> usize {
     host.clients.borrow().values().map(|client| client.duplex.unsent().0).sum()
 }
 
-/// Writes the final answer to a client's request. Clients that do not read share one bound: past it the one that has
-/// left most unread is cut off.
-pub(crate) fn answer_request(host: &Host, id: ClientId, seqid: i32, verdict: &Verdict) {
+/// Sends the final answer to a client's request. All unread answers together are bounded: if they exceed the
+/// bound, the connection with the most unread bytes is closed.
+pub(crate) fn answer_request(host: &Host, id: ClientId, seqid: i32, reply: &Reply) {
     let client = host.clients.borrow().get(&id).cloned();
     let Some(client) = client else { return };
-    client.answer(seqid, verdict);
-    if client.duplex.unsent().0 > 0 && unread_bytes(host) > host.config.limits.held_bytes() {
+    client.answer(seqid, reply);
+    if client.duplex.unsent().0 > 0 && unread_bytes(host) > host.config.limits.buffer_max_bytes() {
         let clients = host.clients.borrow();
         let fullest = clients.values().max_by_key(|client| client.duplex.unsent().0);
-        fullest.into_iter().for_each(|client| client.cut_off());
+        fullest.into_iter().for_each(|client| client.abort_unread());
     }
 }
 
-/// While the gateway drains, ends each connection behind its last answer. Never ends.
+/// Closes each connection after its last answer while the gateway drains. Never returns.
 ///
-/// This is a task of its own, and nothing else closes connections for the drain: within a turn the core can have ended
-/// requests whose answers are still to be written, and a read can hold requests that the core has not seen yet.
+/// Only this task closes connections for the drain, since it runs between the turns of others: within a turn,
+/// the core may have ended requests whose answers are still to be sent, and a read may hold requests that the
+/// core has not got.
 pub async fn run_drain(host: Rc<Host>) {
     loop {
         close_drained(&host);
-        violetward_net::sleep(CLOSE_DRAINED_EVERY).await;
+        violetward_net::sleep(CLOSE_DRAINED_INTERVAL).await;
     }
 }
 
-/// Closes the connections that have nothing open. To be called between turns.
+/// Closes all idle connections. To be called between turns; see [`run_drain`].
 pub fn close_drained(host: &Host) {
     let clients: Vec<_> = host.clients.borrow().values().cloned().collect();
     for client in clients {
--- a/crates/platform/src/group.rs
+++ b/crates/platform/src/group.rs
@@ -1,7 +1,7 @@
-//! The group of tables that a statement reads or writes, from its text.
+//! Finds the group of tables that a statement reads or writes, from the statement's text.
 //!
-//! It is the number behind the last underscore in the name of the schema. Strings and comments do not count, and
-//! neither does the schema of staging tables.
+//! The group is the number after the last underscore in the schema's name. Strings, comments and the schema
+//! of staging tables are ignored.
 
 /// The schema whose tables belong to no group.
 const STAGING: &str = "staging";
@@ -12,21 +12,23 @@
     Other,
 }
 
-/// Tokens of a statement: strings and comments are passed over, names lose their quotes.
+/// The tokens of a statement. Comments are skipped, strings yield [`Token::Other`], and quoted names lose
+/// their quotes.
 struct Tokens<'a> {
     rest: &'a str,
 }
 
 impl<'a> Tokens<'a> {
-    /// Cuts at a byte position that is known to lie between two characters.
-    fn cut(&mut self, at: usize) -> &'a str {
+    /// Removes the text up to a byte position, which must be a character boundary, and returns it.
+    fn split_off(&mut self, at: usize) -> &'a str {
         let (head, rest) = self.rest.split_at(at.min(self.rest.len()));
         self.rest = rest;
         head
     }
 
-    /// Passes over a comment that may hold others; one without an end takes all that is left.
-    fn comment(&mut self) {
+    /// Skips a comment, which may contain nested ones. An unterminated comment extends to the end of the
+    /// statement.
+    fn skip_comment(&mut self) {
         let bytes = self.rest.as_bytes();
         let (mut at, mut depth) = (2, 1);
         while depth > 0 && at < bytes.len() {
@@ -36,11 +38,11 @@
                 _ => at += 1,
             }
         }
-        self.cut(at);
+        self.split_off(at);
     }
 
-    /// Passes over what stands in quotes, which are doubled inside; gives it without the outer ones.
-    fn quoted(&mut self, quote: u8) -> &'a str {
+    /// Removes quoted text, in which the quote is doubled, and returns it without the outer quotes.
+    fn take_quoted(&mut self, quote: u8) -> &'a str {
         let bytes = self.rest.as_bytes();
         let mut at = 1;
         while at < bytes.len() {
@@ -53,7 +55,7 @@
             at += 1;
         }
         let inner = &self.rest[1..at.min(bytes.len())];
-        self.cut(at + 1);
+        self.split_off(at + 1);
         inner
     }
 }
@@ -67,29 +69,29 @@
             match (*bytes.first()?, bytes.get(1)) {
                 (b'-', Some(b'-')) => {
                     let end = self.rest.find('\n').unwrap_or(self.rest.len());
-                    self.cut(end);
+                    self.split_off(end);
                 }
-                (b'/', Some(b'*')) => self.comment(),
+                (b'/', Some(b'*')) => self.skip_comment(),
                 (b'\'', _) => {
-                    self.quoted(b'\'');
+                    self.take_quoted(b'\'');
                     return Some(Token::Other);
                 }
-                (quote @ (b'"' | b'`'), _) => return Some(Token::Word(self.quoted(quote))),
+                (quote @ (b'"' | b'`'), _) => return Some(Token::Word(self.take_quoted(quote))),
                 (b'.', _) => {
-                    self.cut(1);
+                    self.split_off(1);
                     return Some(Token::Dot);
                 }
                 (b, _) if b.is_ascii_whitespace() => {
-                    self.cut(1);
+                    self.split_off(1);
                 }
                 _ => {
-                    let named = |c: char| c.is_alphanumeric() || c == '_' || c == '$';
-                    let end = self.rest.find(|c| !named(c)).unwrap_or(self.rest.len());
+                    let is_name = |c: char| c.is_alphanumeric() || c == '_' || c == '$';
+                    let end = self.rest.find(|c| !is_name(c)).unwrap_or(self.rest.len());
                     if end > 0 {
-                        return Some(Token::Word(self.cut(end)));
+                        return Some(Token::Word(self.split_off(end)));
                     }
                     let size = self.rest.chars().next().map_or(1, char::len_utf8);
-                    self.cut(size);
+                    self.split_off(size);
                     return Some(Token::Other);
                 }
             }
@@ -97,8 +99,8 @@
     }
 }
 
-/// The number behind the last underscore of a schema's name.
-fn number(schema: &str) -> Option<u64> {
+/// The number after the last underscore of a schema's name.
+fn schema_group(schema: &str) -> Option<u64> {
     if schema.eq_ignore_ascii_case(STAGING) {
         return None;
     }
@@ -106,48 +108,48 @@
     digits.bytes().all(|b| b.is_ascii_digit()).then(|| digits.parse().ok()).flatten()
 }
 
-/// The group of a statement's tables; `None` if it names none. What stands where tables stand goes before what may be
-/// a column of a table that is named like a schema.
-pub fn group(statement: &str) -> Option<u64> {
+/// The group of a statement's tables; `None` if it names none. A name in the position of a table takes
+/// precedence over other qualified names, which may be columns of a table that is named like a schema.
+pub fn table_group(statement: &str) -> Option<u64> {
     let mut tokens = Tokens { rest: statement }.peekable();
-    let mut elsewhere = None;
+    let mut other_position = None;
     let mut at_table = false;
     while let Some(token) = tokens.next() {
         let Token::Word(first) = token else {
-            // A comma goes on with the list of tables, a bracket may begin one; neither is worth telling apart.
+            // These leave `at_table` as it is: a comma continues the list of tables, a bracket may begin one.
             continue;
         };
-        let mut parts = (first, None);
+        // The last two parts of a qualified name are the schema and the table; a catalog may precede them.
+        let (mut schema, mut table) = (first, None);
         while matches!(tokens.peek(), Some(Token::Dot)) {
             tokens.next();
             if let Some(Token::Word(_)) = tokens.peek() {
                 if let Some(Token::Word(next)) = tokens.next() {
-                    // The schema is the last name but one: a catalog may stand before it.
-                    parts = (parts.1.unwrap_or(parts.0), Some(next));
+                    (schema, table) = (table.unwrap_or(schema), Some(next));
                 }
             }
         }
-        if parts.1.is_none() {
+        if table.is_none() {
             let keywords = ["from", "join", "into", "update", "table"];
             at_table = keywords.iter().any(|word| first.eq_ignore_ascii_case(word));
             continue;
         }
-        match number(parts.0) {
+        match schema_group(schema) {
             Some(group) if at_table => return Some(group),
-            Some(group) => elsewhere = elsewhere.or(Some(group)),
+            Some(group) => other_position = other_position.or(Some(group)),
             None => {}
         }
         at_table = false;
     }
-    elsewhere
+    other_position
 }
 
 #[cfg(test)]
 mod tests {
-    use super::group;
+    use super::table_group;
 
     #[test]
-    fn the_group_is_the_number_of_the_schema() {
+    fn group_is_the_number_in_the_schema_name() {
         let cases = [
             ("select * from sales_17.orders", Some(17)),
             ("SELECT a FROM \"sales_17\".\"orders\" o WHERE o.x = 'eu_3.t'", Some(17)),
@@ -166,8 +168,8 @@
             ("\"", None),
             ("a_1..b_2.", Some(1)),
         ];
-        for (statement, wanted) in cases {
-            assert_eq!(group(statement), wanted, "{statement}");
+        for (statement, expected) in cases {
+            assert_eq!(table_group(statement), expected, "{statement}");
         }
     }
 }
--- a/crates/platform/src/host.rs
+++ b/crates/platform/src/host.rs
@@ -1,4 +1,4 @@
-//! Carries out the core's effects. Everything runs on one thread.
+//! The shared state of the gateway's tasks; carries out the core's effects. Everything runs on one thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -18,20 +18,22 @@
 use crate::engine::Engines;
 use crate::front;
 use crate::list::List;
-use crate::standstill::{self, Standstill};
-use crate::starts::Starts;
+use crate::standstill::{PauseDetector, HEARTBEAT_INTERVAL};
+use crate::starts::StartTimes;
 
-/// Lines of one kind that the log takes in a minute; the rest is counted.
-const LINES: u32 = 30;
+/// Highest number of log lines of one kind per minute; further ones are dropped.
+const LOG_LINES_PER_MINUTE: u32 = 30;
+/// How often the counters are logged.
+const STATUS_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Bounds the log: what happens with every request of a bad day must not fill it.
+/// Limits the log lines of one kind: a failure of every request must not fill the log.
 #[derive(Debug, Default)]
-pub struct Quota {
+pub struct LogQuota {
     minute: Cell<u64>,
     lines: Cell<u32>,
 }
 
-impl Quota {
+impl LogQuota {
     /// Whether one more line may be written now.
     pub fn allows(&self, now: Micros) -> bool {
         let minute = now / 60_000_000;
@@ -39,51 +41,61 @@
             self.lines.set(0);
         }
         self.lines.set(self.lines.get().saturating_add(1));
-        self.lines.get() <= LINES
+        self.lines.get() <= LOG_LINES_PER_MINUTE
     }
 }
 
-/// The host. The front, the engines and the resolver share it.
+/// The log quotas by subject.
+#[derive(Debug, Default)]
+pub struct LogQuotas {
+    /// Lines about clients.
+    pub clients: LogQuota,
+    /// Lines about engines.
+    pub engines: LogQuota,
+    /// Messages of the decision module.
+    pub module: LogQuota,
+}
+
+/// The state that the tasks for clients, engines and the resolver share.
 pub struct Host {
-    /// The configuration of the start.
+    /// The configuration that the gateway was started with.
     pub config: Rc<Config>,
-    /// The time of the core.
+    /// The clock for the core's times.
     pub clock: Clock,
     core: RefCell<Core>,
     executor: Rc<LocalExecutor<'static>>,
-    /// Connections of clients.
+    /// Client connections.
     pub(crate) clients: RefCell<HashMap<ClientId, Rc<Client>>>,
     /// Connections to engines.
     pub engines: Engines,
-    /// Bounds the log's lines on clients, on engines and of the module.
-    pub quotas: [Quota; 3],
+    /// Limits on log lines.
+    pub log_quotas: LogQuotas,
     alarm: Alarm,
     /// Client connections that are being closed.
     pub(crate) closing: ClosingConnections,
-    /// New connections are still taken.
+    /// The listener is open.
     pub(crate) listening: Cell<bool>,
-    /// When engines started.
-    starts: RefCell<Starts>,
-    /// Whether this process stood still.
-    pub(crate) standstill: Standstill,
+    start_times: RefCell<StartTimes>,
+    /// Detects pauses of this process.
+    pub(crate) pauses: PauseDetector,
     phase: Cell<Phase>,
-    /// Told when the phase becomes [`Phase::Draining`].
-    drains: Event,
+    /// Notified when the phase becomes [`Phase::Draining`].
+    drain_started: Event,
 }
 
 /// What the gateway does with new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
-    /// It takes them.
+    /// They are accepted.
     Serving,
-    /// It is to end, and still takes them, since its front may not have heard of it yet.
+    /// The gateway is to stop, but still accepts requests: the platform's front end may not know of it yet.
     Stopping,
-    /// It takes no more connections and refuses requests at once.
+    /// The gateway accepts no connections and refuses requests at once.
     Draining,
 }
 
 impl Host {
-    /// A host for a core made from the same configuration.
+    /// Creates the host for a core with the same configuration.
     pub fn new(config: Config, clock: Clock, core: Core, executor: Rc<LocalExecutor<'static>>) -> Rc<Self> {
         Rc::new(Host {
             engines: Engines::new(config.limits.descriptors().engines, config.connections.clone()),
@@ -93,43 +105,43 @@
             core: RefCell::new(core),
             executor,
             clients: RefCell::default(),
-            quotas: Default::default(),
+            log_quotas: LogQuotas::default(),
             alarm: Alarm::default(),
             listening: Cell::new(true),
-            starts: RefCell::default(),
-            standstill: Standstill::new(Instant::now()),
+            start_times: RefCell::default(),
+            pauses: PauseDetector::new(Instant::now()),
             phase: Cell::new(Phase::Serving),
-            drains: Event::new(),
+            drain_started: Event::new(),
         })
     }
 
-    /// The gateway is to end; requests are still taken.
+    /// Enters the phase in which the gateway is to stop but still accepts requests.
     pub fn begin_stop(&self) {
         self.phase.set(self.phase.get().max(Phase::Stopping));
     }
 
-    /// Requests are taken no more, and connections end behind their last answers.
+    /// Starts to drain: requests are refused, and connections are closed after their last answers.
     pub fn begin_drain(self: &Rc<Self>) {
         self.phase.set(Phase::Draining);
-        self.drains.notify(usize::MAX);
+        self.drain_started.notify(usize::MAX);
         self.spawn(front::run_drain(self.clone()));
     }
 
-    /// The gateway is to end.
+    /// Whether the gateway is to stop.
     pub fn is_stopping(&self) -> bool {
         self.phase.get() >= Phase::Stopping
     }
 
-    /// The gateway takes no more requests.
+    /// Whether the gateway accepts no more requests.
     pub fn is_draining(&self) -> bool {
         self.phase.get() >= Phase::Draining
     }
 
-    /// Waits until the gateway takes no more requests.
-    pub(crate) async fn drain_begins(&self) {
-        let drains = self.drains.listen();
+    /// Waits until the gateway starts to drain.
+    pub(crate) async fn drain_started(&self) {
+        let drain_started = self.drain_started.listen();
         if !self.is_draining() {
-            drains.await;
+            drain_started.await;
         }
     }
 
@@ -138,44 +150,45 @@
         self.executor.spawn(task).detach();
     }
 
-    /// Passes something to the core and carries out what follows.
-    pub fn core<T>(self: &Rc<Self>, act: impl FnOnce(&mut Core, Micros) -> T) -> T {
+    /// Calls the core and carries out the effects.
+    pub fn with_core<T>(self: &Rc<Self>, call: impl FnOnce(&mut Core, Micros) -> T) -> T {
         let now = self.clock.now();
-        let result = act(&mut self.core.borrow_mut(), now);
+        let result = call(&mut self.core.borrow_mut(), now);
         loop {
-            let effect = self.core.borrow_mut().effect();
+            let effect = self.core.borrow_mut().next_effect();
             match effect {
                 Some(effect) => self.carry_out(effect),
                 None => break,
             }
         }
-        self.alarm.set(self.look(Core::next_wake));
+        self.alarm.set(self.read_core(Core::next_wake));
         result
     }
 
-    /// Looks at the core.
-    pub fn look<T>(&self, look: impl FnOnce(&Core) -> T) -> T {
-        look(&self.core.borrow())
+    /// Reads from the core.
+    pub fn read_core<T>(&self, read: impl FnOnce(&Core) -> T) -> T {
+        read(&self.core.borrow())
     }
 
-    /// The list was heard, and is as it was.
-    pub fn list_stands(&self) {
-        self.starts.borrow_mut().confirm(self.clock.now());
+    /// Notes that a list of engines was received that is the same as the last one.
+    pub fn note_unchanged_list(&self) {
+        self.start_times.borrow_mut().note_unchanged(self.clock.now());
     }
 
-    /// An attempt goes out on its connection now.
-    pub(crate) fn written(&self, attempt: AttemptId) {
-        self.core.borrow_mut().written(self.clock.now(), attempt);
+    /// Notes that an attempt is written to its connection now.
+    pub(crate) fn attempt_written(&self, attempt: AttemptId) {
+        self.core.borrow_mut().attempt_written(self.clock.now(), attempt);
     }
 
-    /// A new list: connections first, so that nothing goes to an engine that has left.
-    pub fn listed(self: &Rc<Self>, mut list: List, known: bool) {
-        self.starts.borrow_mut().believe(&mut list, self.clock.now());
-        let unsent = self.engines.listed(&list);
-        self.core(|core, now| {
-            core.engines(now, &list, known);
-            for (attempt, ending) in unsent {
-                core.ended(now, attempt, ending);
+    /// Takes a new list of engines; `initial` marks the one from the configuration. The connections are
+    /// updated before the core, so that nothing is sent to an engine that has left.
+    pub fn update_list(self: &Rc<Self>, mut list: List, initial: bool) {
+        self.start_times.borrow_mut().correct(&mut list, self.clock.now());
+        let unsent = self.engines.update_list(&list);
+        self.with_core(|core, now| {
+            core.update_engines(now, &list, initial);
+            for (attempt, completion) in unsent {
+                core.attempt_ended(now, attempt, completion);
             }
         });
     }
@@ -184,49 +197,50 @@
         match effect {
             Effect::Launch(launch) => {
                 let attempt = launch.attempt;
-                if let Some(ending) = self.engines.launch(self, launch) {
+                if let Some(completion) = self.engines.launch(self, launch) {
                     let now = self.clock.now();
-                    // Its effects come behind those that are queued: the caller's loop carries them out.
-                    self.core.borrow_mut().ended(now, attempt, ending);
+                    // The loop of the caller carries out the effects of this, after those that are queued.
+                    self.core.borrow_mut().attempt_ended(now, attempt, completion);
                 }
             }
-            Effect::Withdraw(engine, attempt) => self.engines.withdraw(self, engine, attempt),
-            Effect::Renice(engine, attempt, rank) => self.engines.renice(engine, attempt, rank),
+            Effect::CancelAttempt(engine, attempt) => self.engines.cancel(self, engine, attempt),
+            Effect::Renice(engine, attempt, priority) => self.engines.renice(engine, attempt, priority),
             Effect::Probe(engine) => self.engines.probe(self, engine),
-            Effect::Answer(client, seqid, verdict) => front::answer_request(self, client, seqid, &verdict),
-            Effect::Say(text) => {
-                if self.quotas[2].allows(self.clock.now()) {
+            Effect::Answer(client, seqid, reply) => front::answer_request(self, client, seqid, &reply),
+            Effect::Log(text) => {
+                if self.log_quotas.module.allows(self.clock.now()) {
                     tracing::info!(target: "violetward::module", "{text}");
                 }
             }
         }
     }
 
-    /// Wakes the core when it asks for it. Never ends.
+    /// Wakes the core at the times that it asks for. Never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
-            self.alarm.wait(&self.clock, || self.look(Core::next_wake)).await;
-            self.core(|core, now| core.wake(now));
-            // Gives the tasks that this has woken their turn.
+            self.alarm.wait(&self.clock, || self.read_core(Core::next_wake)).await;
+            self.with_core(|core, now| core.wake(now));
+            // Lets the tasks run that this has woken.
             future::yield_now().await;
         }
     }
 
-    /// Looks after what ends by itself: idle and silent connections. Never ends.
-    pub async fn run_sweeps(self: Rc<Self>) {
-        let mut told = Instant::now();
+    /// Does the periodic work: the heartbeat, time-outs of connections, and the status line in the log. Never
+    /// returns.
+    pub async fn run_periodic_work(self: Rc<Self>) {
+        let mut last_status = Instant::now();
         loop {
-            violetward_net::sleep(standstill::BEAT).await;
+            violetward_net::sleep(HEARTBEAT_INTERVAL).await;
             let now = Instant::now();
-            if let Some(stood) = self.standstill.beat(now) {
-                tracing::debug!(?stood, "this process stood still");
+            if let Some(pause) = self.pauses.heartbeat(now) {
+                tracing::debug!(?pause, "this process stood still");
             }
-            front::close_overdue(&self, now);
-            self.engines.sweep(now);
-            if now.duration_since(told) >= Duration::from_secs(10) {
-                told = now;
-                let (counts, held) = self.look(|core| (core.counts, core.held()));
-                let (clients, engines) = (self.clients.borrow().len(), self.engines.connections());
+            front::close_timed_out(&self, now);
+            self.engines.close_unused(now);
+            if now.duration_since(last_status) >= STATUS_INTERVAL {
+                last_status = now;
+                let (counts, held) = self.read_core(|core| (core.counts, core.entry_counts()));
+                let (clients, engines) = (self.clients.borrow().len(), self.engines.connection_count());
                 tracing::info!(?counts, ?held, clients, engines, "so far");
             }
         }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,9 +1,13 @@
-//! The query gateway of a platform: clients come by framed Thrift, engines are spoken to by RESP, and the list of
-//! engines comes from DNS. Every decision is the module's.
+//! The query gateway of a platform on which clients speak framed Thrift, engines speak RESP, and the engines
+//! are listed in DNS. The gateway leaves every decision to the decision module, [`violetward::Gateway`].
 //!
-//! Free of I/O and clock: [`core`] (requests, attempts, timers), [`call`] and [`group`] (what a client sent), [`link`]
-//! (a connection to an engine), [`list`] (the list of engines), [`config`]. What moves bytes: [`front`] with [`client`],
-//! [`requests`] and [`closing`], [`engine`], [`resolver`]; [`service`] ties them together, [`shutdown`] ends them.
+//! Without I/O and clock: [`core`] (requests, attempts, timers), [`call`] and [`group`] (parsing of
+//! requests), [`link`] (the protocol on a connection to an engine), [`list`] (the list of engines),
+//! [`config`], [`standstill`] and [`starts`].
+//!
+//! With I/O: [`front`], [`client`], [`requests`] and [`closing`] (client connections), [`engine`]
+//! (connections to engines), [`resolver`] (polling of the list), [`host`] (shared state), [`service`] (start
+//! and reload) and [`shutdown`].
 
 pub mod call;
 pub mod client;
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -1,6 +1,6 @@
-//! The list of engines: the events of the start, and the answers of the resolver.
+//! The list of engines, read from the events in the configuration and from the resolver's answers.
 //!
-//! A bad answer never costs a good list anything: it is believed whole or not at all.
+//! An answer is used as a whole or not at all, so that an invalid one never damages a valid list.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::{IpAddr, SocketAddr};
@@ -12,46 +12,51 @@
 use violetward_dns::record::{Data, Type};
 use violetward_settings::Names;
 
-/// The name that lists the engines.
+/// The DNS name of the service whose SRV records list the engines.
 pub const SERVICE: &str = "_api._tcp.svc.local.";
-/// Engines beyond any fleet; guards the memory against a list that never ends.
-const ENGINES_MOST: usize = 1_000;
+/// More engines than any fleet has; bounds the memory that an answer can take.
+const ENGINES_MAX: usize = 1_000;
 
-/// An engine as the list has it.
+/// An engine in the list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Listing {
-    /// Its name.
+    /// The engine's name.
     pub name: String,
-    /// Where it listens.
+    /// Where the engine listens.
     pub address: SocketAddr,
-    /// What the module is told.
+    /// What the decision module gets.
     pub entry: EngineEntry,
 }
 
-/// A whole list.
+/// A complete list.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct List {
-    /// The number of the last event in it: the zone's serial.
+    /// The number of the last event that the list includes; in DNS, the zone's serial.
     pub number: u32,
-    /// Engines that are up or draining, by name.
+    /// The engines that are up or draining, by name.
     pub engines: BTreeMap<String, Listing>,
 }
 
-/// The events of the start.
+/// The events in the configuration, from which the initial list is built.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Known {
-    no: u32,
-    items: Vec<Item>,
+    /// The number of the last event.
+    #[serde(rename = "no")]
+    number: u32,
+    #[serde(rename = "items")]
+    events: Vec<ListEvent>,
 }
 
 #[derive(Debug, Clone, Deserialize)]
-struct Item {
-    no: u64,
+struct ListEvent {
+    #[serde(rename = "no")]
+    number: u64,
     roster: Roster,
 }
 
 #[derive(Debug, Clone, Deserialize)]
 struct Roster {
+    /// The event lists all engines, not only those that have changed.
     #[serde(default)]
     full: bool,
     #[serde(default)]
@@ -84,7 +89,8 @@
     Gone,
 }
 
-struct Told<'a> {
+/// What an event or the DNS records of an engine say about it.
+struct ServerInfo<'a> {
     name: &'a str,
     address: SocketAddr,
     zone: &'a str,
@@ -95,18 +101,18 @@
     started_ms: u64,
 }
 
-impl Told<'_> {
+impl ServerInfo<'_> {
     fn listing(&self, names: &Names) -> Result<Listing, String> {
-        let place = |of: &[String], what: &str, name: &str| {
-            let found = of.iter().position(|n| n.eq_ignore_ascii_case(name));
-            found.ok_or_else(|| format!("{}: the {what} {name:?} is not known", self.name))
+        let index = |known: &[String], what: &str, name: &str| {
+            let found = known.iter().position(|n| n.eq_ignore_ascii_case(name));
+            found.ok_or_else(|| format!("{}: unknown {what} {name:?}", self.name))
         };
         let entry = EngineEntry {
             engine: violetward_settings::engine_id(self.name),
             came_up: self.started_ms.saturating_mul(1000),
             weight: self.weight,
-            kind: KindId(place(&names.kinds, "kind", self.kind)?),
-            zone: ZoneId(place(&names.zones, "zone", self.zone)?),
+            kind: KindId(index(&names.kinds, "kind", self.kind)?),
+            zone: ZoneId(index(&names.zones, "zone", self.zone)?),
             cell: CellId(self.cell),
             listed: if self.draining { Listed::Draining } else { Listed::Up },
         };
@@ -115,25 +121,25 @@
 }
 
 impl Known {
-    /// The list that the events make.
+    /// Builds the list from the events.
     ///
     /// # Errors
-    /// Says which event can't be used.
+    /// Says which event is invalid.
     pub fn list(&self, names: &Names) -> Result<List, String> {
-        let mut list = List { number: self.no, engines: BTreeMap::new() };
-        for item in &self.items {
-            if item.roster.full {
+        let mut list = List { number: self.number, engines: BTreeMap::new() };
+        for event in &self.events {
+            if event.roster.full {
                 list.engines.clear();
             }
-            for server in &item.roster.servers {
+            for server in &event.roster.servers {
                 if server.state == State::Gone {
                     list.engines.remove(&server.id);
                     continue;
                 }
                 let address = server.addr.parse();
                 let address = address
-                    .map_err(|_| format!("event {}: {:?} is not address:port", item.no, server.addr))?;
-                let told = Told {
+                    .map_err(|_| format!("event {}: {:?} is not address:port", event.number, server.addr))?;
+                let info = ServerInfo {
                     name: &server.id,
                     address,
                     zone: &server.zone,
@@ -143,7 +149,7 @@
                     weight: server.weight,
                     started_ms: server.started_ms,
                 };
-                let listing = told.listing(names).map_err(|e| format!("event {}: {e}", item.no))?;
+                let listing = info.listing(names).map_err(|e| format!("event {}: {e}", event.number))?;
                 list.engines.insert(server.id.clone(), listing);
             }
         }
@@ -151,54 +157,55 @@
     }
 }
 
-/// The question for the list.
+/// Encodes a DNS query for the list.
 ///
 /// # Panics
 /// Never: the name is a constant.
-pub fn question(id: u16) -> Vec<u8> {
-    Message::query(id, service(), Type::SRV).write()
+pub fn query(id: u16) -> Vec<u8> {
+    Message::query(id, service_name(), Type::SRV).write()
 }
 
-fn service() -> Name {
-    Name::parse(SERVICE, &Name::root()).expect("a good name")
+fn service_name() -> Name {
+    Name::parse(SERVICE, &Name::root()).expect("the service name is valid")
 }
 
-fn text(label: &[u8]) -> Result<&str, String> {
-    std::str::from_utf8(label).map_err(|_| "a name that is not UTF-8".to_owned())
+fn label_text(label: &[u8]) -> Result<&str, String> {
+    std::str::from_utf8(label).map_err(|_| "name is not UTF-8".to_owned())
 }
 
-fn strings(entry: &Entry) -> impl Iterator<Item = (&str, &str)> {
+/// The `name=value` strings of a TXT record.
+fn attributes(entry: &Entry) -> impl Iterator<Item = (&str, &str)> {
     let strings = if let Some(Data::Txt(strings)) = &entry.data { &strings[..] } else { &[] };
     strings.iter().filter_map(|s| std::str::from_utf8(s).ok()?.split_once('='))
 }
 
-/// Reads the answer to the question with a number. It is used whole, or not at all.
+/// Decodes the answer to the query with the given id.
 ///
 /// # Errors
-/// Says why it can't be used.
-pub fn answer(bytes: &[u8], id: u16, names: &Names) -> Result<List, String> {
+/// Says why the answer is invalid.
+pub fn parse_answer(bytes: &[u8], id: u16, names: &Names) -> Result<List, String> {
     let message = Message::read(bytes).map_err(|e| e.to_string())?;
     if message.id != id {
-        return Err("an answer under another id".into());
+        return Err("answer has another id".into());
     }
     if !message.response || message.opcode != Opcode::QUERY {
-        return Err("no answer to a query".into());
+        return Err("message is not an answer to a query".into());
     }
     if message.rcode != Rcode::NOERROR {
-        return Err(format!("an answer with error code {}", message.rcode.0));
+        return Err(format!("answer has error code {}", message.rcode.0));
     }
     if message.truncated {
-        return Err("an answer that is cut short".into());
+        return Err("answer is truncated".into());
     }
-    let service = service();
-    if message.questions.iter().any(|q| q.name != service || q.kind != Type::SRV) {
-        return Err("an answer to another question".into());
+    let service_name = service_name();
+    if message.questions.iter().any(|q| q.name != service_name || q.kind != Type::SRV) {
+        return Err("answer is to another query".into());
     }
     let serial = message.authorities.iter().find_map(|e| match &e.data {
         Some(Data::Soa(soa)) => Some(soa.serial),
         _ => None,
     });
-    let number = serial.ok_or("an answer without a serial")?;
+    let number = serial.ok_or("answer has no serial")?;
     let mut hosts: HashMap<&Name, (Option<IpAddr>, Option<&Entry>)> = HashMap::new();
     for entry in message.additionals.iter().chain(&message.answers) {
         let host = hosts.entry(&entry.name).or_default();
@@ -211,42 +218,42 @@
     let mut list = List { number, engines: BTreeMap::new() };
     for entry in &message.answers {
         let Some(Data::Srv { priority, weight, port, target }) = &entry.data else { continue };
-        if entry.name != service {
-            return Err("a record of another service".into());
+        if entry.name != service_name {
+            return Err("SRV record of another service".into());
         }
         let mut labels = target.labels();
-        let (name, zone) = labels.next().zip(labels.next()).ok_or("a target without a zone")?;
-        let (name, zone) = (text(name)?, text(zone)?);
-        let (address, more) = hosts.get(target).copied().unwrap_or_default();
-        let address = address.ok_or_else(|| format!("{name}: no address"))?;
-        let more = more.ok_or_else(|| format!("{name}: no text"))?;
-        let value = |wanted: &str| strings(more).find(|(n, _)| *n == wanted).map(|(_, v)| v);
-        let number = |wanted: &str| {
-            let parsed = value(wanted).and_then(|v| v.parse().ok());
-            parsed.ok_or_else(|| format!("{name}: no {wanted}"))
+        let (name, zone) = labels.next().zip(labels.next()).ok_or("SRV target without a zone")?;
+        let (name, zone) = (label_text(name)?, label_text(zone)?);
+        let (address, txt) = hosts.get(target).copied().unwrap_or_default();
+        let address = address.ok_or_else(|| format!("{name}: no address record"))?;
+        let txt = txt.ok_or_else(|| format!("{name}: no TXT record"))?;
+        let value = |attribute: &str| attributes(txt).find(|(n, _)| *n == attribute).map(|(_, v)| v);
+        let number = |attribute: &str| {
+            let parsed = value(attribute).and_then(|v| v.parse().ok());
+            parsed.ok_or_else(|| format!("{name}: {attribute} missing or not a number"))
         };
-        let told = Told {
+        let info = ServerInfo {
             name,
             address: SocketAddr::new(address, *port),
             zone,
-            kind: value("kind").ok_or_else(|| format!("{name}: no kind"))?,
+            kind: value("kind").ok_or_else(|| format!("{name}: kind missing"))?,
             cell: number("cell")?,
             draining: match priority {
                 0 => false,
                 1 => true,
-                _ => return Err(format!("{name}: priority {priority}")),
+                _ => return Err(format!("{name}: unknown priority {priority}")),
             },
             weight: f64::from(*weight) / 10.0,
             started_ms: number("started")?,
         };
-        list.engines.insert(name.to_owned(), told.listing(names)?);
-        if list.engines.len() > ENGINES_MOST {
-            return Err(format!("over {ENGINES_MOST} engines"));
+        list.engines.insert(name.to_owned(), info.listing(names)?);
+        if list.engines.len() > ENGINES_MAX {
+            return Err(format!("answer lists more than {ENGINES_MAX} engines"));
         }
     }
-    // No fleet ends at once; an answer without engines is half of one.
+    // A fleet never disappears as a whole: an answer without engines is incomplete.
     if list.engines.is_empty() {
-        return Err("an answer without engines".into());
+        return Err("answer lists no engines".into());
     }
     Ok(list)
 }
