--- a/crates/platform/src/requests.rs
+++ b/crates/platform/src/requests.rs
@@ -1,4 +1,4 @@
-//! Messages of clients: what each frame asks for, and what a bad one gets.
+//! Handles the messages of clients, and answers or rejects invalid ones.
 
 use std::rc::Rc;
 use std::time::Instant;
@@ -8,43 +8,43 @@
 
 use crate::call::{self, Call};
 use crate::client::Client;
-use crate::core::{Taken, Verdict};
+use crate::core::{Admission, Reply};
 use crate::host::Host;
 
-/// Requests that may be open on one connection.
-const OPEN_REQUESTS: usize = 32;
+/// Highest number of open requests of one connection.
+const OPEN_REQUESTS_MAX: usize = 32;
 
-/// Codes of application exceptions.
+/// Codes of Thrift application exceptions.
 const UNKNOWN_METHOD: i32 = 1;
 const INVALID_MESSAGE_TYPE: i32 = 2;
 const PROTOCOL_ERROR: i32 = 7;
 
-/// Why a connection has to be closed.
+/// A violation of the protocol, after which the connection has to be closed.
 pub struct Violation(&'static str);
 
-/// A request that has been read and not yet been handed to the core, with its number on the connection.
+/// A parsed request that has not been submitted to the core yet.
 struct Unsubmitted {
     seqid: i32,
     call: Call,
 }
 
-/// What the frames of one read ask for.
+/// The requests and cancellations in the frames of one read.
 #[derive(Default)]
-struct Read {
-    /// Requests, less those that are taken back in the same read.
+struct Batch {
+    /// New requests, without those that a later frame of the same read cancels.
     requests: Vec<Unsubmitted>,
-    /// Numbers of open requests that are taken back.
+    /// Sequence numbers of open requests to be cancelled.
     cancelled: Vec<i32>,
 }
 
-/// Handles all whole frames that have come in on a connection; false if it is to be closed.
+/// Handles all complete frames that were received on a connection; false if the connection has to be closed.
 pub fn handle_frames(host: &Rc<Host>, client: &Rc<Client>) -> bool {
-    let handled = read_frames(host, client).and_then(|read| {
-        cancel(host, client, &read.cancelled);
-        submit(host, client, read.requests)
+    let handled = read_frames(host, client).and_then(|batch| {
+        cancel(host, client, &batch.cancelled);
+        submit(host, client, batch.requests)
     });
     if let Err(Violation(why)) = handled {
-        if host.quotas[0].allows(host.clock.now()) {
+        if host.log_quotas.clients.allows(host.clock.now()) {
             tracing::warn!(why, "connection closed");
         }
         return false;
@@ -53,39 +53,39 @@
     true
 }
 
-/// Reads the frames that are whole.
-fn read_frames(host: &Rc<Host>, client: &Rc<Client>) -> Result<Read, Violation> {
-    let mut read = Read::default();
+/// Reads all complete frames.
+fn read_frames(host: &Rc<Host>, client: &Rc<Client>) -> Result<Batch, Violation> {
+    let mut batch = Batch::default();
     while !client.duplex.is_closed() {
         let frame = client.frames.borrow_mut().next_frame();
         match frame {
-            Ok(Some(frame)) => handle_frame(host, client, &frame, &mut read)?,
+            Ok(Some(frame)) => handle_frame(host, client, &frame, &mut batch)?,
             Ok(None) => break,
-            Err(ThriftError::NegativeLength) => return Err(Violation("a frame of negative length")),
-            Err(_) => return Err(Violation("a frame that is too long")),
+            Err(ThriftError::NegativeLength) => return Err(Violation("frame of negative length")),
+            Err(_) => return Err(Violation("frame is too long")),
         }
     }
-    Ok(read)
+    Ok(batch)
 }
 
 fn handle_frame(
     host: &Rc<Host>,
     client: &Rc<Client>,
     frame: &[u8],
-    read: &mut Read,
+    batch: &mut Batch,
 ) -> Result<(), Violation> {
     client.note_frame();
     let mut cursor = Cursor::new(frame);
-    let head = cursor.message_header().map_err(|_| Violation("a message that can't be read"))?;
+    let head = cursor.message_header().map_err(|_| Violation("malformed message"))?;
     match head.method.as_str() {
         _ if matches!(head.message_type, MessageType::Reply | MessageType::Exception) => {
             client.answer_exception(&head, INVALID_MESSAGE_TYPE, "not a call");
         }
         "dispatch" if head.message_type == MessageType::Call => {
-            read_dispatch(host, client, &head, cursor, read)?
+            read_dispatch(host, client, &head, cursor, batch)?
         }
-        "cancelRequest" => match read_cancelled_number(cursor) {
-            Ok(seqid) => note_cancelled(host, client, seqid, read),
+        "cancelRequest" => match read_cancelled_seqid(cursor) {
+            Ok(seqid) => note_cancelled(host, client, seqid, batch),
             Err(e) => client.answer_exception(&head, PROTOCOL_ERROR, &e.to_string()),
         },
         "alive" if head.message_type == MessageType::Call => {
@@ -96,25 +96,26 @@
     Ok(())
 }
 
-/// A request is taken back. One that came with the same read was never wanted: it must cost neither the module's room
-/// nor the engines' work, or a client that does it by the hundred keeps all others out.
-fn note_cancelled(host: &Host, client: &Client, seqid: i32, read: &mut Read) {
-    read.requests.retain(|request| request.seqid != seqid);
-    let open = host.look(|core| core.has(client.id, seqid));
-    if open && !read.cancelled.contains(&seqid) {
-        read.cancelled.push(seqid);
+/// Notes the cancellation of a request. A request that came with the same read is dropped before the decision
+/// module sees it: a client that sends and cancels requests by the hundred must not take room and engine time
+/// from others.
+fn note_cancelled(host: &Host, client: &Client, seqid: i32, batch: &mut Batch) {
+    batch.requests.retain(|request| request.seqid != seqid);
+    let open = host.read_core(|core| core.has_request(client.id, seqid));
+    if open && !batch.cancelled.contains(&seqid) {
+        batch.cancelled.push(seqid);
     }
 }
 
-/// Takes open requests back, all at once: none of them gets an attempt in place of another that goes with it.
+/// Cancels open requests together; see [`Core::cancel_requests`](crate::core::Core::cancel_requests).
 fn cancel(host: &Rc<Host>, client: &Client, seqids: &[i32]) {
     if !seqids.is_empty() {
-        host.core(|core, now| core.lapse_all(now, client.id, seqids));
+        host.with_core(|core, now| core.cancel_requests(now, client.id, seqids));
     }
 }
 
-/// The number that a `cancelRequest` names.
-fn read_cancelled_number(mut cursor: Cursor<'_>) -> Result<i32, ThriftError> {
+/// The sequence number that a `cancelRequest` names.
+fn read_cancelled_seqid(mut cursor: Cursor<'_>) -> Result<i32, ThriftError> {
     let mut seqid = None;
     while let Some((kind, field)) = cursor.field_header()? {
         match (kind, field) {
@@ -149,24 +150,25 @@
     client: &Rc<Client>,
     head: &MessageHeader,
     cursor: Cursor<'_>,
-    read: &mut Read,
+    batch: &mut Batch,
 ) -> Result<(), Violation> {
-    // An answer under a number that is open twice could be taken for the other's.
-    let (has, open) = host.look(|core| (core.has(client.id, head.seqid), core.open_of(client.id)));
-    let is_open = has && !read.cancelled.contains(&head.seqid);
-    if is_open || read.requests.iter().any(|request| request.seqid == head.seqid) {
-        return Err(Violation("two requests under one number"));
+    // With two open requests under one sequence number, the client could not tell their answers apart.
+    let (has, open) =
+        host.read_core(|core| (core.has_request(client.id, head.seqid), core.open_requests_of(client.id)));
+    let is_open = has && !batch.cancelled.contains(&head.seqid);
+    if is_open || batch.requests.iter().any(|request| request.seqid == head.seqid) {
+        return Err(Violation("sequence number of an open request reused"));
     }
-    if open + read.requests.len() >= OPEN_REQUESTS + read.cancelled.len() {
-        return Err(Violation("more open requests than a connection may have"));
+    if open + batch.requests.len() >= OPEN_REQUESTS_MAX + batch.cancelled.len() {
+        return Err(Violation("too many open requests on one connection"));
     }
     let parsed = read_arguments(cursor).map_err(|e| e.to_string()).and_then(|(fields, body)| {
-        call::read(&fields, body, &host.config.names, &host.config.settings.classes)
+        call::parse(&fields, body, &host.config.names, &host.config.settings.classes)
     });
     match parsed {
-        Ok(call) => read.requests.push(Unsubmitted { seqid: head.seqid, call }),
+        Ok(call) => batch.requests.push(Unsubmitted { seqid: head.seqid, call }),
         Err(why) => {
-            if host.quotas[0].allows(host.clock.now()) {
+            if host.log_quotas.clients.allows(host.clock.now()) {
                 tracing::info!(why, "a request that can't be used");
             }
             client.answer_exception(head, PROTOCOL_ERROR, &why);
@@ -175,29 +177,29 @@
     Ok(())
 }
 
-/// Hands requests to the core, in the order in which they came. Those of a client that has gone already are not begun.
-/// Where the gateway takes no more, each is refused at once.
+/// Submits requests to the core in the order in which they came. Requests of a client that has disconnected
+/// are dropped. While the gateway drains, every request is refused at once.
 fn submit(host: &Rc<Host>, client: &Rc<Client>, requests: Vec<Unsubmitted>) -> Result<(), Violation> {
     if requests.is_empty() || !client.duplex.is_alive() {
         return Ok(());
     }
-    let unread = host.standstill.unread_for(Instant::now()).as_micros() as Micros;
+    let backlog_age = host.pauses.backlog_age(Instant::now()).as_micros() as Micros;
     for Unsubmitted { seqid, mut call } in requests {
-        call.wait = call.wait.saturating_sub(unread);
+        call.wait = call.wait.saturating_sub(backlog_age);
         if client.duplex.is_closed() {
-            // An earlier answer found that the client does not read.
+            // Sending an earlier answer showed that the client does not read.
             break;
         }
         tracing::debug!(client = client.id.0, seqid, ?call, "request");
         if host.is_draining() {
-            client.answer(seqid, &Verdict::Refused(0));
+            client.answer(seqid, &Reply::Refused(0));
             continue;
         }
-        match host.core(|core, now| core.request(now, client.id, seqid, call)) {
-            Taken::Yes => {}
-            Taken::Full => client.answer(seqid, &Verdict::Refused(0)),
-            Taken::OwnId => return Err(Violation("the id of an open request again")),
-            Taken::OthersId => {
+        match host.with_core(|core, now| core.submit(now, client.id, seqid, call)) {
+            Admission::Accepted => {}
+            Admission::Full => client.answer(seqid, &Reply::Refused(0)),
+            Admission::OwnIdReused => return Err(Violation("id of an open request reused")),
+            Admission::IdInUse => {
                 let head =
                     MessageHeader { method: "dispatch".into(), message_type: MessageType::Call, seqid };
                 client.answer_exception(&head, PROTOCOL_ERROR, "id: in use");
--- a/crates/platform/src/resolver.rs
+++ b/crates/platform/src/resolver.rs
@@ -1,6 +1,6 @@
-//! Follows the list of engines by DNS over UDP.
+//! Polls the list of engines by DNS over UDP.
 //!
-//! A question stays open while the next ones are asked: the answer of a slow resolver counts, whichever it answers.
+//! Queries stay open while later ones are sent, so that the answer of a slow resolver to any of them is used.
 
 use std::cell::Cell;
 use std::net::{SocketAddr, UdpSocket};
@@ -18,167 +18,176 @@
 use crate::host::Host;
 use crate::list;
 
-/// How often the list is asked for. A change counts as told once an answer holds it, and 1.5 s after it happened at the
-/// latest: asking several times within that leaves room for answers that get lost.
-const EVERY: Duration = Duration::from_millis(250);
-/// How long an answer is waited for before the next question is asked, less [`PAUSE_STEP`].
-const WITHIN: Duration = Duration::from_millis(150);
-/// By how much that grows with each question in a row that found no answer. Questions never get rarer than [`EVERY`]: what
-/// changed while nothing was heard counts as told soon after the resolver is back.
-const PAUSE_STEP: Duration = Duration::from_millis(30);
-/// After so many questions in a row without an answer the log tells.
-const FAILURES_TOLD: u32 = 8;
-/// How long a question stays open. What happened counts as told after 1.5 s: an answer that is older helps nobody.
-const OPEN_TIME: Duration = Duration::from_millis(1_500);
-/// Questions that are open at a time, each with a socket of its own.
-const OPEN_MOST: usize = 8;
-/// Datagrams that are looked at for one question. Guards the thread that everything runs on against a flood of them.
-const DATAGRAMS_MOST: u32 = 32;
-/// Bytes of an answer; one octet more tells one that is longer.
-const ANSWER: usize = 8_000;
+/// The interval of queries. By the rules of the platform, a gateway knows of a change once an answer contains
+/// it, and at the latest 1.5 s after it happened. Several queries within that time allow for lost answers.
+const QUERY_INTERVAL: Duration = Duration::from_millis(250);
+/// How long an answer is awaited before the next query is sent, less [`BACKOFF_STEP`].
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
+/// By how much this time grows with each consecutive query without an answer. It never exceeds
+/// [`QUERY_INTERVAL`]: changes during an outage count as known soon after the resolver is back.
+const BACKOFF_STEP: Duration = Duration::from_millis(30);
+/// The number of consecutive queries without an answer after which the failure is logged.
+const FAILURES_LOGGED: u32 = 8;
+/// How long a query stays open. A change counts as known after 1.5 s, so that an older answer is of no use.
+const QUERY_LIFETIME: Duration = Duration::from_millis(1_500);
+/// Highest number of open queries. Each has a socket of its own.
+const OPEN_QUERIES_MAX: usize = 8;
+/// Highest number of datagrams that are examined for one query: a flood of them must not block the only
+/// thread.
+const DATAGRAMS_MAX: u32 = 32;
+/// Highest size of an answer. The buffer has one byte more, to detect longer ones.
+const ANSWER_MAX_BYTES: usize = 8_000;
 
-/// Where the resolver is.
+/// The resolver that the list of engines comes from.
 pub struct Resolver {
     address: Cell<SocketAddr>,
-    moved: Event,
-    /// Told when it has been silent for long, and again after each further such span.
+    /// Notified when the address changes.
+    address_changed: Event,
+    /// Notified after every [`FAILURES_LOGGED`] consecutive queries without an answer.
     silent: Event,
 }
 
 impl Resolver {
-    /// A resolver at an address.
+    /// Creates a resolver with the given address.
     pub fn new(address: SocketAddr) -> Rc<Self> {
-        Rc::new(Resolver { address: Cell::new(address), moved: Event::new(), silent: Event::new() })
+        Rc::new(Resolver { address: Cell::new(address), address_changed: Event::new(), silent: Event::new() })
     }
 
-    /// It is elsewhere from now on.
-    pub fn moved_to(&self, address: SocketAddr) {
+    /// Changes the address.
+    pub fn set_address(&self, address: SocketAddr) {
         self.address.set(address);
-        self.moved.notify(usize::MAX);
+        self.address_changed.notify(usize::MAX);
     }
 
-    /// Where it is.
+    /// The present address.
     pub fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
-    /// Waits until it has been silent for long.
-    pub(crate) async fn silence(&self) {
+    /// Waits until the resolver has not answered for a while.
+    pub(crate) async fn wait_for_silence(&self) {
         self.silent.listen().await;
     }
 
-    /// Follows the list, from the event with that number on. Never ends.
-    pub async fn follow(self: Rc<Self>, host: Rc<Host>, mut have: u32) {
-        let mut questions = Questions::to(self.address.get());
+    /// Polls the list and passes on newer ones than that with the given number. Never returns.
+    pub async fn follow(self: Rc<Self>, host: Rc<Host>, mut list_number: u32) {
+        let mut queries = Queries::to(self.address.get());
         let mut failures = 0u32;
         loop {
-            let moved = self.moved.listen();
-            if questions.address != self.address.get() {
-                // Nothing that the old address says counts any more.
-                questions.move_to(self.address.get());
+            let address_changed = self.address_changed.listen();
+            if queries.address != self.address.get() {
+                // Answers from the old address are no longer valid.
+                queries.set_address(self.address.get());
                 failures = 0;
             }
-            let asking = async {
-                let failed = questions.ask_and_listen(&host, failures, &mut have).await;
+            let polling = async {
+                let failed = queries.poll_once(&host, failures, &mut list_number).await;
                 failures = if failed { failures.saturating_add(1) } else { 0 };
             };
-            future::or(moved, asking).await;
-            if failures > 0 && failures % FAILURES_TOLD == 0 {
+            future::or(address_changed, polling).await;
+            if failures > 0 && failures % FAILURES_LOGGED == 0 {
                 self.silent.notify(usize::MAX);
             }
-            if failures == FAILURES_TOLD {
-                let (address, why) = (questions.address, &questions.fault);
+            if failures == FAILURES_LOGGED {
+                let (address, why) = (queries.address, &queries.last_error);
                 tracing::warn!(%address, why, "no good answer of the resolver: the old list stands");
             }
         }
     }
 }
 
-/// A question that may still be answered.
-struct Question {
+/// A query without a valid answer.
+struct Query {
     socket: Async<UdpSocket>,
     id: u16,
-    asked: Instant,
-    /// Datagrams that were looked at for it.
+    sent: Instant,
+    /// How many datagrams were examined for it.
     datagrams: u32,
 }
 
-/// The questions to one address.
-struct Questions {
+/// The queries to the present address.
+struct Queries {
     address: SocketAddr,
-    /// Those that may still be answered, oldest first.
-    open: Vec<Question>,
-    /// The socket of the last one that was answered, for the next one.
-    proven: Option<Async<UdpSocket>>,
-    /// A socket of an earlier address, kept until there is one for this.
-    spare: Option<Async<UdpSocket>>,
-    /// Why there was no good answer of late.
-    fault: String,
+    /// Queries that may still be answered, oldest first.
+    open: Vec<Query>,
+    /// The socket of the last answered query, to be reused for the next one.
+    proven_socket: Option<Async<UdpSocket>>,
+    /// A socket from the previous address, kept in case no new one can be opened.
+    spare_socket: Option<Async<UdpSocket>>,
+    /// Why the last query failed.
+    last_error: String,
 }
 
-impl Questions {
+impl Queries {
     fn to(address: SocketAddr) -> Self {
-        Questions { address, open: Vec::new(), proven: None, spare: None, fault: "no answer".into() }
+        Queries {
+            address,
+            open: Vec::new(),
+            proven_socket: None,
+            spare_socket: None,
+            last_error: "no answer".into(),
+        }
     }
 
-    /// Ends all questions; the next ones go elsewhere.
-    fn move_to(&mut self, address: SocketAddr) {
-        let last = self.open.drain(..).next_back().map(|question| question.socket);
-        self.spare = self.proven.take().or(last).or(self.spare.take());
+    /// Drops all open queries and sends the next ones to another address.
+    fn set_address(&mut self, address: SocketAddr) {
+        let last = self.open.drain(..).next_back().map(|query| query.socket);
+        self.spare_socket = self.proven_socket.take().or(last).or(self.spare_socket.take());
         self.address = address;
     }
 
-    /// Asks once and takes what comes until the next question is due; true if no good answer came. `have` is the number of
-    /// the newest list that was taken.
-    async fn ask_and_listen(&mut self, host: &Rc<Host>, failures: u32, have: &mut u32) -> bool {
-        let asked = self.ask(Instant::now());
-        if let Err(why) = asked {
-            self.fault = why.to_string();
+    /// Sends one query and handles answers until the next one is due; true if no valid answer came.
+    /// `list_number` is the number of the newest list so far.
+    async fn poll_once(&mut self, host: &Rc<Host>, failures: u32, list_number: &mut u32) -> bool {
+        let sent = self.send(Instant::now());
+        if let Err(error) = sent {
+            self.last_error = error.to_string();
         }
-        // After the first failures it is asked anew at once: one answer lost must not cost a change its time.
-        let patience = WITHIN + PAUSE_STEP * failures.saturating_add(1).min(FAILURES_TOLD);
-        let mut next = Instant::now() + patience.min(EVERY);
+        // After the first failures the next query is sent earlier: a lost answer must not delay the news of a
+        // change much.
+        let timeout = ANSWER_TIMEOUT + BACKOFF_STEP * failures.saturating_add(1).min(FAILURES_LOGGED);
+        let mut next_query = Instant::now() + timeout.min(QUERY_INTERVAL);
         let mut failed = true;
-        while let Some(list) = self.receive_until(next, &host.config.names).await {
-            if failures >= FAILURES_TOLD && failed {
-                tracing::info!(address = %self.address, failures, "the resolver answers again");
+        while let Some(list) = self.receive_until(next_query, &host.config.names).await {
+            if failures >= FAILURES_LOGGED && failed {
+                tracing::info!(address = %self.address, failures, "resolver answers again");
             }
-            (failed, next) = (false, Instant::now() + EVERY);
-            if is_newer(list.number, *have) {
-                *have = list.number;
-                host.listed(list, false);
+            (failed, next_query) = (false, Instant::now() + QUERY_INTERVAL);
+            if is_newer(list.number, *list_number) {
+                *list_number = list.number;
+                host.update_list(list, false);
             } else {
-                host.list_stands();
+                host.note_unchanged_list();
             }
         }
         failed
     }
 
-    /// Asks, under a fresh random id.
-    fn ask(&mut self, now: Instant) -> std::io::Result<()> {
-        self.open.retain(|question| now.duration_since(question.asked) < OPEN_TIME);
-        if self.open.len() >= OPEN_MOST {
+    /// Sends a query with a new random id.
+    fn send(&mut self, now: Instant) -> std::io::Result<()> {
+        self.open.retain(|query| now.duration_since(query.sent) < QUERY_LIFETIME);
+        if self.open.len() >= OPEN_QUERIES_MAX {
             self.open.remove(0);
         }
-        let question = Question { socket: self.socket()?, id: rand::random(), asked: now, datagrams: 0 };
-        let bytes = list::question(question.id);
-        while let Err(error) = question.socket.get_ref().send(&bytes) {
+        let query = Query { socket: self.next_socket()?, id: rand::random(), sent: now, datagrams: 0 };
+        let bytes = list::query(query.id);
+        while let Err(error) = query.socket.get_ref().send(&bytes) {
             if error.kind() != std::io::ErrorKind::Interrupted {
                 return Err(error);
             }
         }
-        self.open.push(question);
+        self.open.push(query);
         Ok(())
     }
 
-    /// The socket for the next question: that of the last good answer, else a fresh one, so that what somebody else sends
-    /// to a port seen does not reach it. Where no descriptor is free that of the earlier address or of the oldest question
-    /// serves on: the list must not be lost for want of one.
-    fn socket(&mut self) -> std::io::Result<Async<UdpSocket>> {
-        if let Some(socket) = self.proven.take() {
+    /// The socket for the next query: that of the last valid answer, else a new one, whose port is unknown to
+    /// anybody who might forge answers. If no file descriptor is free, the socket of the previous address or
+    /// of the oldest query is reused, so that the list can still be polled.
+    fn next_socket(&mut self) -> std::io::Result<Async<UdpSocket>> {
+        if let Some(socket) = self.proven_socket.take() {
             return Ok(socket);
         }
-        match (open(self.address), self.spare.take()) {
+        match (open(self.address), self.spare_socket.take()) {
             (Ok(socket), _) => Ok(socket),
             (Err(_), Some(spare)) => redirect(spare, self.address),
             (Err(error), None) if self.open.is_empty() => Err(error),
@@ -186,71 +195,71 @@
         }
     }
 
-    /// The next good answer to any open question, if one comes by then.
-    async fn receive_until(&mut self, until: Instant, names: &Names) -> Option<list::List> {
+    /// The next valid answer to any open query; `None` if none comes in time.
+    async fn receive_until(&mut self, deadline: Instant, names: &Names) -> Option<list::List> {
         let received = async { Some(self.receive(names).await) };
-        let over = async {
-            violetward_net::sleep_until(until).await;
+        let timed_out = async {
+            violetward_net::sleep_until(deadline).await;
             None
         };
-        future::or(received, over).await
+        future::or(received, timed_out).await
     }
 
-    /// The next good answer to any open question. Waits for ever where there is none.
+    /// The next valid answer to any open query. Never returns if there is none.
     async fn receive(&mut self, names: &Names) -> list::List {
-        let mut bytes = vec![0; ANSWER + 1];
+        let mut bytes = vec![0; ANSWER_MAX_BYTES + 1];
         loop {
-            let place = self.readable().await;
-            let question = &mut self.open[place];
-            match question.socket.get_ref().recv(&mut bytes) {
-                Ok(size) => match list::answer(&bytes[..size], question.id, names) {
+            let index = self.readable().await;
+            let query = &mut self.open[index];
+            match query.socket.get_ref().recv(&mut bytes) {
+                Ok(size) => match list::parse_answer(&bytes[..size], query.id, names) {
                     Ok(list) => {
-                        self.settle(place);
+                        self.note_answered(index);
                         return list;
                     }
                     Err(why) => {
-                        question.datagrams += 1;
-                        self.fault = why;
+                        query.datagrams += 1;
+                        self.last_error = why;
                     }
                 },
                 Err(error) if SocketErrorKind::of(&error) == SocketErrorKind::Retry => {}
                 Err(error) => {
-                    self.fault = error.to_string();
-                    self.open.remove(place);
+                    self.last_error = error.to_string();
+                    self.open.remove(index);
                     continue;
                 }
             }
-            if self.open[place].datagrams >= DATAGRAMS_MOST {
-                self.fault = "a flood of answers that don't fit".into();
-                self.open.remove(place);
+            if self.open[index].datagrams >= DATAGRAMS_MAX {
+                self.last_error = "too many invalid answers to one query".into();
+                self.open.remove(index);
             }
         }
     }
 
-    /// The place of an open question whose socket has something to read.
+    /// Waits for an open query whose socket is readable, and returns its index.
     async fn readable(&self) -> usize {
         future::poll_fn(|context| {
-            let is_ready = |question: &Question| question.socket.poll_readable(context).is_ready();
+            let is_ready = |query: &Query| query.socket.poll_readable(context).is_ready();
             self.open.iter().position(is_ready).map_or(Poll::Pending, Poll::Ready)
         })
         .await
     }
 
-    /// A question has been answered; what was asked before it is of no more use.
-    fn settle(&mut self, place: usize) {
-        let answered = self.open.drain(..=place).next_back();
-        self.proven = answered.map(|question| question.socket);
+    /// Closes an answered query and all older ones, and keeps its socket.
+    fn note_answered(&mut self, index: usize) {
+        let answered = self.open.drain(..=index).next_back();
+        self.proven_socket = answered.map(|query| query.socket);
     }
 }
 
-/// Has a socket take datagrams from another address. What the old one has sent may still be in it, and is dropped.
+/// Connects a socket to another address, and drops the datagrams from the old one that it still holds.
 fn redirect(socket: Async<UdpSocket>, address: SocketAddr) -> std::io::Result<Async<UdpSocket>> {
     socket.get_ref().connect(address)?;
-    (0..DATAGRAMS_MOST).take_while(|_| socket.get_ref().recv(&mut [0]).is_ok()).for_each(drop);
+    (0..DATAGRAMS_MAX).take_while(|_| socket.get_ref().recv(&mut [0]).is_ok()).for_each(drop);
     Ok(socket)
 }
 
-/// A socket that takes datagrams from that address alone.
+/// Opens a socket that receives datagrams from the given address only.
 fn open(address: SocketAddr) -> std::io::Result<Async<UdpSocket>> {
     let any: SocketAddr = if address.is_ipv4() { ([0; 4], 0).into() } else { ([0u16; 8], 0).into() };
     let socket = Async::<UdpSocket>::bind(any)?;
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,33 +1,37 @@
-//! The end of a gateway: it goes on for as long as its front may still send requests, then takes no more, answers what
-//! it has, and closes each connection behind its last answer.
+//! Graceful shutdown: the gateway keeps serving for as long as the platform's load balancer may still send
+//! requests. Then it drains: it accepts no more requests, answers the open ones, and closes each connection
+//! after its last answer.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use crate::host::Host;
 
-/// How long after SIGTERM requests are still taken. The platform's front sends new connections for up to 0.4 s and
-/// requests for 0.2 s more; what it sends later than 0.7 s has to be answered before the process is killed, so that
-/// nothing with a deadline of its own may be taken by then.
-const STILL_TAKING: Duration = Duration::from_millis(650);
-/// How often it is looked whether all has ended.
-const LOOK_EVERY: Duration = Duration::from_millis(10);
+/// How long after SIGTERM requests are still accepted. The platform's load balancer opens new connections for
+/// up to 0.4 s and sends requests for 0.2 s more. Requests that come later than 0.7 s must be answered before
+/// the process is killed, so they may not be accepted with a deadline of their own.
+const STOP_GRACE: Duration = Duration::from_millis(650);
+/// How often the end of the drain is checked.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Ends a gateway; returns once every request has its answer and every connection is closed. Each part of that is
-/// bounded: a request by its deadline, an answer that is not read and a frame that does not end by the sweep of
-/// connections, a close by its own time.
+/// Shuts a gateway down; returns once every request is answered and every client connection is closed. Each
+/// part has a time-out: requests their deadlines, unread answers and incomplete frames those of the
+/// connection, and the orderly close its own.
 pub async fn stop(host: &Rc<Host>) {
     host.begin_stop();
-    tracing::info!(open = host.look(crate::core::Core::open), "stopping: what comes still gets its answer");
-    violetward_net::sleep(STILL_TAKING).await;
+    tracing::info!(
+        open = host.read_core(crate::core::Core::open_requests),
+        "stopping: what comes still gets its answer"
+    );
+    violetward_net::sleep(STOP_GRACE).await;
     host.begin_drain();
-    while !has_ended(host) {
-        violetward_net::sleep(LOOK_EVERY).await;
+    while !is_drained(host) {
+        violetward_net::sleep(DRAIN_CHECK_INTERVAL).await;
     }
 }
 
-/// Nothing is listened on, and no connection of a client is left.
-fn has_ended(host: &Host) -> bool {
+/// Whether the listener is closed and no client connection and no open request is left.
+fn is_drained(host: &Host) -> bool {
     let connections = host.clients.borrow().len() + host.closing.count();
-    !host.listening.get() && connections == 0 && host.look(crate::core::Core::open) == 0
+    !host.listening.get() && connections == 0 && host.read_core(crate::core::Core::open_requests) == 0
 }
--- a/crates/platform/src/standstill.rs
+++ b/crates/platform/src/standstill.rs
@@ -1,50 +1,54 @@
-//! Notices that the process has stood still: stopped, or without the processor.
+//! Detects pauses of the process: it was stopped, or got no CPU time.
 //!
-//! What is read after that may have lain unread for as long, and its client's wait has run meanwhile.
+//! Requests that are read after a pause may have waited in the socket for as long, while the client's wait
+//! was running.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// How often the process shows that it goes on.
-pub const BEAT: Duration = Duration::from_millis(200);
-/// A beat may be late by this much and is on time.
-const PUNCTUAL: Duration = Duration::from_millis(50);
-/// For how long after a standstill what is read may have come in it.
-const BACKLOG: Duration = Duration::from_millis(100);
+/// The interval of the heartbeat that reveals pauses.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(200);
+/// A heartbeat that is late by no more than this indicates no pause.
+const HEARTBEAT_TOLERANCE: Duration = Duration::from_millis(50);
+/// For how long after a pause requests that are read may have come during it.
+const BACKLOG_TIME: Duration = Duration::from_millis(100);
 
-/// The beats of a process.
+/// Detects pauses by late heartbeats.
 #[derive(Debug)]
-pub struct Standstill {
-    last_beat: Cell<Instant>,
-    /// When the last standstill was noticed, and how long it was.
-    noticed: Cell<Option<(Instant, Duration)>>,
+pub struct PauseDetector {
+    last_heartbeat: Cell<Instant>,
+    /// When the last pause was detected, and how long it was.
+    last_pause: Cell<Option<(Instant, Duration)>>,
 }
 
-impl Standstill {
-    /// A process that goes on.
+impl PauseDetector {
+    /// A detector that has seen no pause.
     pub fn new(now: Instant) -> Self {
-        Standstill { last_beat: Cell::new(now), noticed: Cell::new(None) }
+        PauseDetector { last_heartbeat: Cell::new(now), last_pause: Cell::new(None) }
     }
 
-    /// The process goes on: to be called every [`BEAT`]. How long it has stood still, if it has.
-    pub fn beat(&self, now: Instant) -> Option<Duration> {
-        let stood = self.overdue(now);
-        if let Some(stood) = stood {
-            self.noticed.set(Some((now, stood)));
+    /// Records a heartbeat, and returns the length of the pause that it reveals, if any. To be called every
+    /// [`HEARTBEAT_INTERVAL`].
+    pub fn heartbeat(&self, now: Instant) -> Option<Duration> {
+        let pause = self.overdue(now);
+        if let Some(pause) = pause {
+            self.last_pause.set(Some((now, pause)));
         }
-        self.last_beat.set(now);
-        stood
+        self.last_heartbeat.set(now);
+        pause
     }
 
-    /// How long what is read now may have lain unread.
-    pub fn unread_for(&self, now: Instant) -> Duration {
-        let noticed = self.noticed.get().filter(|&(at, _)| now.saturating_duration_since(at) < BACKLOG);
-        self.overdue(now).or(noticed.map(|(_, stood)| stood)).unwrap_or_default()
+    /// For how long a request that is read now may have waited in the socket.
+    pub fn backlog_age(&self, now: Instant) -> Duration {
+        let recent = |&(at, _): &(Instant, Duration)| now.saturating_duration_since(at) < BACKLOG_TIME;
+        let last_pause = self.last_pause.get().filter(recent).map(|(_, pause)| pause);
+        self.overdue(now).or(last_pause).unwrap_or_default()
     }
 
-    /// By how much the next beat is overdue.
+    /// By how much the next heartbeat is overdue, if by more than the tolerance.
     fn overdue(&self, now: Instant) -> Option<Duration> {
-        let late = now.saturating_duration_since(self.last_beat.get()).saturating_sub(BEAT);
-        (late > PUNCTUAL).then_some(late)
+        let late =
+            now.saturating_duration_since(self.last_heartbeat.get()).saturating_sub(HEARTBEAT_INTERVAL);
+        (late > HEARTBEAT_TOLERANCE).then_some(late)
     }
 }
--- a/crates/platform/src/starts.rs
+++ b/crates/platform/src/starts.rs
@@ -1,8 +1,8 @@
-//! When engines started, in the gateway's time.
+//! Corrects the start times of engines to the gateway's clock.
 //!
-//! The list tells late starts in Unix time, and this machine's wall clock may have been wrong when the gateway started. An
-//! engine, or a new start of one, that a list names first has started since the last list that did not name it, however
-//! late lists are, and not in the future.
+//! The list gives start times in Unix time, and the gateway's wall clock may have been wrong when the gateway
+//! started. An engine, or a restart of one, that appears in a list for the first time has started after the
+//! previous list, less the delay of lists, and not in the future.
 
 use std::collections::HashMap;
 
@@ -10,41 +10,41 @@
 
 use crate::list::List;
 
-/// How long after it happened a start may be listed first.
-const LIST_LAG: Micros = 1_500_000;
+/// How long after a start the list may first contain it.
+const LIST_DELAY_US: Micros = 1_500_000;
 
-/// The starts of the engines that are listed.
+/// The start times of the listed engines.
 #[derive(Debug, Default)]
-pub struct Starts {
-    /// When the list was last heard; `None` before the first one.
-    heard: Option<Micros>,
-    /// The start that each engine was listed with, and the one that is believed.
+pub struct StartTimes {
+    /// When a list was last received; `None` before the first one.
+    last_list: Option<Micros>,
+    /// The start time that each engine was listed with, and the corrected one.
     engines: HashMap<EngineId, (Micros, Micros)>,
 }
 
-impl Starts {
-    /// The list was heard, and is as it was.
-    pub fn confirm(&mut self, now: Micros) {
-        self.heard = Some(now);
+impl StartTimes {
+    /// Notes that a list was received that is the same as the last one.
+    pub fn note_unchanged(&mut self, now: Micros) {
+        self.last_list = Some(now);
     }
 
-    /// Puts the starts that are believed in place of those that a new list tells.
-    pub fn believe(&mut self, list: &mut List, now: Micros) {
-        // What the first list names may have started at any time.
-        let earliest = self.heard.map_or(0, |heard| heard.saturating_sub(LIST_LAG)).min(now);
+    /// Replaces the start times in a new list by the corrected ones.
+    pub fn correct(&mut self, list: &mut List, now: Micros) {
+        // The engines in the first list may have started at any time.
+        let earliest = self.last_list.map_or(0, |received| received.saturating_sub(LIST_DELAY_US)).min(now);
         let mut engines = HashMap::new();
         for entry in list.engines.values_mut().map(|listing| &mut listing.entry) {
-            let told = entry.came_up;
-            let known = self.engines.get(&entry.engine).filter(|known| known.0 == told);
+            let listed = entry.came_up;
+            let known = self.engines.get(&entry.engine).filter(|known| known.0 == listed);
             entry.came_up = match known {
-                // No late start.
-                _ if told == 0 => 0,
-                Some(&(_, believed)) => believed,
-                None => told.clamp(earliest, now),
+                // 0 stands for an engine without a recent start.
+                _ if listed == 0 => 0,
+                Some(&(_, corrected)) => corrected,
+                None => listed.clamp(earliest, now),
             };
-            engines.insert(entry.engine, (told, entry.came_up));
+            engines.insert(entry.engine, (listed, entry.came_up));
         }
         self.engines = engines;
-        self.confirm(now);
+        self.note_unchanged(now);
     }
 }
--- a/crates/platform/tests/bed/scripted.rs
+++ b/crates/platform/tests/bed/scripted.rs
@@ -266,7 +266,7 @@
             };
             let follow_moves = async {
                 while let Ok(address) = moving.recv().await {
-                    follow.moved_to(address);
+                    follow.set_address(address);
                     tell_moved.send(()).ok();
                 }
             };
--- a/crates/platform/tests/core.rs
+++ b/crates/platform/tests/core.rs
@@ -13,7 +13,9 @@
 };
 use violetward_platform::call::Call;
 use violetward_platform::config::{self, Config};
-use violetward_platform::core::{AttemptId, ClientId, Core, Effect, Ending, Taken, Terms, Verdict};
+use violetward_platform::core::{
+    Admission, AttemptId, ClientId, Completion, Core, CoreConfig, Effect, Reply,
+};
 use violetward_platform::list::List;
 
 const MARGIN: Micros = 15_000;
@@ -23,7 +25,7 @@
     seed: u64,
     rng: StdRng,
     core: Core,
-    terms: Terms,
+    terms: CoreConfig,
     config: Config,
     now: Micros,
     out: BTreeMap<AttemptId, Micros>,
@@ -55,12 +57,12 @@
     let (call, now) = (history.call(), history.now);
     let took = Rc::default();
     history.core = Core::new(Box::new(Watcher(Rc::clone(&took))), history.terms.clone(), now);
-    history.core.engines(now, &list(1, 0, 1), true);
+    history.core.update_engines(now, &list(1, 0, 1), true);
     let attempt = AttemptId(call.id, 0);
     let call = Call { wait: 5_000_000, ..call };
-    assert_eq!(history.core.request(now, ClientId(1), 1, call), Taken::Yes);
-    history.core.written(now + 200_000, attempt);
-    history.core.ended(now + 230_000, attempt, Ending::of(Outcome::Ok));
+    assert_eq!(history.core.submit(now, ClientId(1), 1, call), Admission::Accepted);
+    history.core.attempt_written(now + 200_000, attempt);
+    history.core.attempt_ended(now + 230_000, attempt, Completion::new(Outcome::Ok));
     assert_eq!(*took.borrow(), [30_000]);
 }
 
@@ -79,11 +81,16 @@
     fn new(seed: u64) -> History {
         let config = config::parse(&bed::config("127.0.0.1:1", &[])).expect("a good configuration");
         let gateway = Gateway::new(config.settings.clone(), seed);
-        let terms =
-            Terms { attempts_cap: 3, open_cap: 1_000, body_bytes: 1 << 20, margin: MARGIN, held: HELD };
+        let terms = CoreConfig {
+            attempts_cap: 3,
+            open_cap: 1_000,
+            body_bytes_cap: 1 << 20,
+            answer_margin: MARGIN,
+            client_delay: HELD,
+        };
         let now = 1_700_000_000_000_000;
         let mut core = Core::new(Box::new(gateway), terms.clone(), now);
-        core.engines(now, &list(1, 0, 4), true);
+        core.update_engines(now, &list(1, 0, 4), true);
         let rng = StdRng::seed_from_u64(seed);
         let (out, owed) = (BTreeMap::new(), HashMap::new());
         History { seed, rng, core, terms, config, now, out, owed, next: 1, answers: [0; 3] }
@@ -99,8 +106,8 @@
             wait: self.rng.random_range(give_up / 20..give_up),
             longest_wait: give_up,
             retry: self.rng.random_bool(0.1),
-            window: (class == 2).then_some(9_000_000),
-            once: (class == 2).then(|| format!("{:032x}", self.next)),
+            dedup_window: (class == 2).then_some(9_000_000),
+            idempotency_key: (class == 2).then(|| format!("{:032x}", self.next)),
             cost: self.rng.random_range(1_000..400_000),
             memory_mb: self.rng.random_range(0.0..500.0),
             key: (class == 2).then(|| OrderKey(format!("k{}", self.rng.random_range(0..5)))),
@@ -111,14 +118,14 @@
 
     /// Carries out what the core asks for, and checks it.
     fn effects(&mut self) {
-        while let Some(effect) = self.core.effect() {
+        while let Some(effect) = self.core.next_effect() {
             match effect {
                 Effect::Launch(launch) => {
-                    assert!(launch.until > self.now, "seed {}: sent when its time was up", self.seed);
+                    assert!(launch.deadline > self.now, "seed {}: sent when its time was up", self.seed);
                     assert!(launch.attempt.1 < 3, "seed {}: too many attempts", self.seed);
-                    self.out.insert(launch.attempt, launch.until);
+                    self.out.insert(launch.attempt, launch.deadline);
                 }
-                Effect::Withdraw(_, attempt) => {
+                Effect::CancelAttempt(_, attempt) => {
                     let was = self.out.remove(&attempt);
                     assert!(was.is_some(), "seed {}: {attempt:?} was not out", self.seed);
                 }
@@ -130,20 +137,20 @@
                     let (_, due) = owed.unwrap_or_else(|| panic!("seed {}: an answer not owed", self.seed));
                     assert!(self.now <= due, "seed {}: an answer too late", self.seed);
                     let place = match verdict {
-                        Verdict::Served(result) => {
+                        Reply::Served(result) => {
                             assert_eq!(result, b"a\tb\tc\n", "seed {}", self.seed);
                             0
                         }
-                        Verdict::Refused(_) => 1,
-                        Verdict::Failed => 2,
+                        Reply::Refused(_) => 1,
+                        Reply::Failed => 2,
                     };
                     self.answers[place] += 1;
                 }
                 Effect::Probe(engine) => {
                     let ok = self.rng.random_bool(0.7);
-                    self.core.probed(self.now, engine, ok, Load::default());
+                    self.core.probe_ended(self.now, engine, ok, Load::default());
                 }
-                Effect::Say(_) => {}
+                Effect::Log(_) => {}
             }
         }
     }
@@ -165,13 +172,13 @@
                 let owed = (call.id, self.now + call.wait);
                 self.next += 1;
                 self.owed.insert((client, seqid), owed);
-                assert_eq!(self.core.request(self.now, client, seqid, call.clone()), Taken::Yes);
-                if self.rng.random_bool(0.05) && self.core.has(client, seqid) {
-                    let again = self.core.request(self.now, ClientId(9), 1, call.clone());
-                    assert_eq!(again, Taken::OthersId, "seed {}", self.seed);
+                assert_eq!(self.core.submit(self.now, client, seqid, call.clone()), Admission::Accepted);
+                if self.rng.random_bool(0.05) && self.core.has_request(client, seqid) {
+                    let again = self.core.submit(self.now, ClientId(9), 1, call.clone());
+                    assert_eq!(again, Admission::IdInUse, "seed {}", self.seed);
                     assert_eq!(
-                        self.core.request(self.now, client, -1, call),
-                        Taken::OwnId,
+                        self.core.submit(self.now, client, -1, call),
+                        Admission::OwnIdReused,
                         "seed {}",
                         self.seed
                     );
@@ -193,25 +200,29 @@
                     };
                     let work = (outcome == Outcome::Ok).then_some(50_000);
                     let result = b"a\tb\tc\n".to_vec();
-                    self.core.ended(self.now, attempt, Ending { work, result, ..Ending::of(outcome) });
+                    self.core.attempt_ended(
+                        self.now,
+                        attempt,
+                        Completion { work, result, ..Completion::new(outcome) },
+                    );
                 }
             }
             90..96 => {
                 let keys: Vec<_> = self.owed.keys().copied().collect();
                 if let Some(&(client, seqid)) = keys.iter().min() {
                     self.owed.remove(&(client, seqid));
-                    self.core.lapse(self.now, client, seqid);
+                    self.core.cancel_request(self.now, client, seqid);
                 }
             }
             96 => {
                 let client = ClientId(self.rng.random_range(0..4));
                 self.owed.retain(|key, _| key.0 != client);
-                self.core.client_gone(self.now, client);
+                self.core.client_disconnected(self.now, client);
             }
             _ => {
                 let from = self.rng.random_range(0..5);
                 let number = self.next as u32 + 1;
-                self.core.engines(self.now, &list(number, from, 4), false);
+                self.core.update_engines(self.now, &list(number, from, 4), false);
             }
         }
         self.effects();
@@ -234,7 +245,7 @@
             history.effects();
         }
         assert!(history.owed.is_empty(), "seed {seed}: {:?} without an answer", history.owed);
-        let [open, numbers, attempts, engines, _] = history.core.held();
+        let [open, numbers, attempts, engines, _] = history.core.entry_counts();
         assert_eq!((open, numbers, attempts, engines), (0, 0, 0, 4), "seed {seed}");
         assert_eq!(history.core.counts.overdue, 0, "seed {seed}: the module forgot a request");
         all.iter_mut().zip(history.answers).for_each(|(sum, n)| *sum += n);
@@ -248,28 +259,28 @@
     let mut history = History::new(7);
     for turn in 0..2_000 {
         history.now += 400_000;
-        history.core.engines(history.now, &list(turn as u32 + 2, turn, 4), false);
+        history.core.update_engines(history.now, &list(turn as u32 + 2, turn, 4), false);
         for _ in 0..5 {
             let call = history.call();
             let seqid = history.next as i32;
             history.next += 1;
             history.owed.insert((ClientId(turn), seqid), (call.id, history.now + call.wait));
-            history.core.request(history.now, ClientId(turn), seqid, call);
+            history.core.submit(history.now, ClientId(turn), seqid, call);
             history.effects();
         }
         let out: Vec<AttemptId> = history.out.keys().copied().collect();
         for attempt in out {
             history.out.remove(&attempt);
-            let ending = Ending { result: b"a\tb\tc\n".to_vec(), ..Ending::of(Outcome::Ok) };
-            history.core.ended(history.now, attempt, ending);
+            let ending = Completion { result: b"a\tb\tc\n".to_vec(), ..Completion::new(Outcome::Ok) };
+            history.core.attempt_ended(history.now, attempt, ending);
             history.effects();
         }
         history.owed.retain(|key, _| key.0 != ClientId(turn));
-        history.core.client_gone(history.now, ClientId(turn));
+        history.core.client_disconnected(history.now, ClientId(turn));
         history.core.wake(history.now);
         history.effects();
     }
-    let [open, numbers, attempts, engines, timers] = history.core.held();
+    let [open, numbers, attempts, engines, timers] = history.core.entry_counts();
     assert_eq!((open, numbers, attempts, engines), (0, 0, 0, 4));
     assert!(timers <= 2, "{timers} timers are left");
 }
@@ -278,13 +289,13 @@
 #[test]
 fn a_request_that_no_engine_answers_is_ended_before_its_client_leaves() {
     let mut history = History::new(3);
-    let call = Call { wait: 1_000_000, class: 0, once: None, key: None, ..history.call() };
+    let call = Call { wait: 1_000_000, class: 0, idempotency_key: None, key: None, ..history.call() };
     let start = history.now;
-    history.core.request(start, ClientId(1), 1, call);
+    history.core.submit(start, ClientId(1), 1, call);
     let mut ended = None;
     while let (None, Some(at)) = (ended, history.core.next_wake()) {
         history.core.wake(at);
-        while let Some(effect) = history.core.effect() {
+        while let Some(effect) = history.core.next_effect() {
             if let Effect::Answer(..) = effect {
                 ended = Some(at);
             }
@@ -300,9 +311,9 @@
     let mut call = history.call();
     change(&mut call);
     let came = history.now;
-    assert_eq!(history.core.request(came, ClientId(1), 1, call), Taken::Yes);
+    assert_eq!(history.core.submit(came, ClientId(1), 1, call), Admission::Accepted);
     loop {
-        while let Some(effect) = history.core.effect() {
+        while let Some(effect) = history.core.next_effect() {
             if matches!(effect, Effect::Answer(..)) {
                 return history.now - came;
             }
@@ -329,7 +340,7 @@
             (call.wait, call.longest_wait, call.retry, call.cost) = (wait, longest_wait, retry, 1_000);
             call.class = if keyed { 2 } else { 0 };
             call.key = keyed.then(|| OrderKey("k".into()));
-            call.once = keyed.then(|| "0123456789abcdef0123456789abcdef".into());
+            call.idempotency_key = keyed.then(|| "0123456789abcdef0123456789abcdef".into());
         });
         assert!(answered <= most, "{answered} µs of {most}: wait {wait}, retry {retry}, keyed {keyed}");
         assert!(answered + 10 * MARGIN > most, "{answered} µs of {most}: time given away");
@@ -337,7 +348,7 @@
     // Where a class's waits are short, less is allowed for: a quarter of them.
     let answered = open_time(|call| {
         (call.wait, call.longest_wait, call.class, call.cost) = (2_000_000, 2_000_000, 2, 1_000);
-        (call.key, call.once) = (Some(OrderKey("k".into())), Some("a".repeat(32)));
+        (call.key, call.idempotency_key) = (Some(OrderKey("k".into())), Some("a".repeat(32)));
     });
     assert!((1_300_000..=1_500_000).contains(&answered), "{answered} µs of 2 s");
 }
--- a/crates/platform/tests/core_orders.rs
+++ b/crates/platform/tests/core_orders.rs
@@ -15,7 +15,9 @@
 };
 use violetward_platform::call::{self, Call};
 use violetward_platform::config::{self, Config};
-use violetward_platform::core::{AttemptId, ClientId, Core, Effect, Ending, Launch, Taken, Terms, Verdict};
+use violetward_platform::core::{
+    Admission, AttemptId, ClientId, Completion, Core, CoreConfig, Effect, Launch, Reply,
+};
 use violetward_platform::list::{Known, List};
 
 const START: Micros = 1_700_000_000_000_000;
@@ -35,13 +37,13 @@
     config::parse(&whole.to_string()).expect("good settings")
 }
 
-fn terms(config: &Config) -> Terms {
-    Terms {
+fn terms(config: &Config) -> CoreConfig {
+    CoreConfig {
         attempts_cap: config.settings.attempts_cap,
         open_cap: OPEN_CAP,
-        body_bytes: 1 << 20,
-        margin: MARGIN,
-        held: 310_000,
+        body_bytes_cap: 1 << 20,
+        answer_margin: MARGIN,
+        client_delay: 310_000,
     }
 }
 
@@ -97,7 +99,7 @@
         ("key", key),
         ("heap_mb", "64"),
     ];
-    call::read(&fields, b"select 1", &config.names, &config.settings.classes).expect("a good request")
+    call::parse(&fields, b"select 1", &config.names, &config.settings.classes).expect("a good request")
 }
 
 /// What the module has sent, and the ends that it was told.
@@ -151,17 +153,17 @@
         let module = Noting(Gateway::new(config.settings.clone(), 1), Rc::clone(&ledger));
         let mut core = Core::new(Box::new(module), terms(&config), START);
         let machines: Vec<Machine> = (0..engines).map(|n| Machine::new(n, 0, 0, 0)).collect();
-        core.engines(START, &list(1, &machines, &config), true);
+        core.update_engines(START, &list(1, &machines, &config), true);
         Bench { config, core, ledger, now: START }
     }
 
-    fn ask(&mut self, client: u64, seqid: i32, id: u64, cost: f64) -> Taken {
+    fn ask(&mut self, client: u64, seqid: i32, id: u64, cost: f64) -> Admission {
         let call = ask(&self.config, "look", id, 2_000, cost, "k");
-        self.core.request(self.now, ClientId(client), seqid, call)
+        self.core.submit(self.now, ClientId(client), seqid, call)
     }
 
     fn effects(&mut self) -> Vec<Effect> {
-        std::iter::from_fn(|| self.core.effect()).collect()
+        std::iter::from_fn(|| self.core.next_effect()).collect()
     }
 
     /// What is launched with the effects so far.
@@ -175,7 +177,7 @@
 
     /// A client's only request, launched and waiting for a connection.
     fn launched(&mut self) -> Launch {
-        assert_eq!(self.ask(1, 1, 1, 20.0), Taken::Yes);
+        assert_eq!(self.ask(1, 1, 1, 20.0), Admission::Accepted);
         self.launches().pop().expect("an attempt")
     }
 }
@@ -186,17 +188,19 @@
 
 #[test]
 fn an_attempt_that_waits_for_its_connection_is_given_up_as_its_client_leaves() {
-    let leave: [fn(&mut Core, Micros); 2] =
-        [|core, now| core.lapse(now, ClientId(1), 1), |core, now| core.client_gone(now, ClientId(1))];
+    let leave: [fn(&mut Core, Micros); 2] = [
+        |core, now| core.cancel_request(now, ClientId(1), 1),
+        |core, now| core.client_disconnected(now, ClientId(1)),
+    ];
     for (allowed, leave) in [(true, leave[0]), (true, leave[1]), (false, leave[0]), (false, leave[1])] {
         let mut bench = Bench::new(2, may_cancel(allowed));
         let launch = bench.launched();
         leave(&mut bench.core, bench.now + 10_000);
-        assert_eq!(bench.effects(), [Effect::Withdraw(launch.engine, launch.attempt)]);
+        assert_eq!(bench.effects(), [Effect::CancelAttempt(launch.engine, launch.attempt)]);
         assert_eq!(bench.ledger.borrow().ends, [(launch.attempt, Outcome::Moot)]);
-        assert_eq!(bench.core.held()[..3], [0, 0, 0]);
+        assert_eq!(bench.core.entry_counts()[..3], [0, 0, 0]);
         // What its connection tells of it later is nobody's.
-        bench.core.ended(bench.now + 20_000, launch.attempt, Ending::of(Outcome::ConnectFailed));
+        bench.core.attempt_ended(bench.now + 20_000, launch.attempt, Completion::new(Outcome::ConnectFailed));
         assert_eq!(bench.ledger.borrow().ends.len(), 1);
     }
 }
@@ -206,15 +210,15 @@
     for allowed in [true, false] {
         let mut bench = Bench::new(2, may_cancel(allowed));
         let launch = bench.launched();
-        bench.core.written(bench.now, launch.attempt);
-        bench.core.lapse(bench.now + 10_000, ClientId(1), 1);
-        let withdrawn = Effect::Withdraw(launch.engine, launch.attempt);
+        bench.core.attempt_written(bench.now, launch.attempt);
+        bench.core.cancel_request(bench.now + 10_000, ClientId(1), 1);
+        let withdrawn = Effect::CancelAttempt(launch.engine, launch.attempt);
         assert_eq!(bench.effects(), if allowed { vec![withdrawn] } else { vec![] });
-        bench.core.ended(bench.now + 20_000, launch.attempt, Ending::of(Outcome::Ok));
+        bench.core.attempt_ended(bench.now + 20_000, launch.attempt, Completion::new(Outcome::Ok));
         assert_eq!(bench.effects(), [], "nothing is owed any more");
         let outcome = if allowed { Outcome::Cancelled } else { Outcome::Ok };
         assert_eq!(bench.ledger.borrow().ends, [(launch.attempt, outcome)]);
-        assert_eq!(bench.core.held()[..3], [0, 0, 0]);
+        assert_eq!(bench.core.entry_counts()[..3], [0, 0, 0]);
     }
 }
 
@@ -224,20 +228,20 @@
     // Two of one key: the second waits for its turn, which comes with the end of the first.
     for (client, id) in [(1, 1), (2, 2)] {
         let call = ask(&bench.config, "load", id, 5_000, 20.0, "k");
-        assert_eq!(bench.core.request(bench.now, ClientId(client), 1, call), Taken::Yes);
+        assert_eq!(bench.core.submit(bench.now, ClientId(client), 1, call), Admission::Accepted);
     }
     let first = bench.launches().pop().expect("an attempt");
-    bench.core.written(bench.now, first.attempt);
-    bench.core.client_gone(bench.now + 1_000, ClientId(2));
-    bench.core.ended(bench.now + 2_000, first.attempt, Ending::of(Outcome::Full));
+    bench.core.attempt_written(bench.now, first.attempt);
+    bench.core.client_disconnected(bench.now + 1_000, ClientId(2));
+    bench.core.attempt_ended(bench.now + 2_000, first.attempt, Completion::new(Outcome::Full));
     // The first goes elsewhere, or waits; its client leaves before that is written.
-    bench.core.client_gone(bench.now + 3_000, ClientId(1));
+    bench.core.client_disconnected(bench.now + 3_000, ClientId(1));
     bench.effects();
     for after in (10_000..6_000_000).step_by(20_000) {
         bench.core.wake(bench.now + after);
         assert_eq!(bench.launches(), []);
     }
-    assert_eq!(bench.core.held()[..3], [0, 0, 0]);
+    assert_eq!(bench.core.entry_counts()[..3], [0, 0, 0]);
 }
 
 #[test]
@@ -245,22 +249,22 @@
     for allowed in [true, false] {
         let mut bench = Bench::new(1, may_cancel(allowed));
         for id in 0..20 {
-            assert_eq!(bench.ask(1, id, id as u64 + 1, 300.0), Taken::Yes);
+            assert_eq!(bench.ask(1, id, id as u64 + 1, 300.0), Admission::Accepted);
         }
         let out = bench.launches();
         for launch in &out {
-            bench.core.written(bench.now, launch.attempt);
+            bench.core.attempt_written(bench.now, launch.attempt);
         }
-        assert!(bench.core.open() > out.len(), "some wait for room");
+        assert!(bench.core.open_requests() > out.len(), "some wait for room");
         // Where attempts may be withdrawn, each that is makes room for one of those that wait.
-        bench.core.client_gone(bench.now + 1_000, ClientId(1));
+        bench.core.client_disconnected(bench.now + 1_000, ClientId(1));
         assert_eq!(bench.launches(), []);
-        assert_eq!(bench.core.open(), 0);
+        assert_eq!(bench.core.open_requests(), 0);
         for launch in out {
-            bench.core.ended(bench.now + 2_000, launch.attempt, Ending::of(Outcome::Ok));
+            bench.core.attempt_ended(bench.now + 2_000, launch.attempt, Completion::new(Outcome::Ok));
         }
         assert_eq!(bench.effects(), []);
-        assert_eq!(bench.core.held()[..3], [0, 0, 0]);
+        assert_eq!(bench.core.entry_counts()[..3], [0, 0, 0]);
     }
 }
 
@@ -268,13 +272,13 @@
 fn unwritten_attempts_of_a_leaving_client_make_no_room_for_its_others() {
     let mut bench = Bench::new(1, may_cancel(true));
     for id in 0..20 {
-        assert_eq!(bench.ask(1, id, id as u64 + 1, 300.0), Taken::Yes);
+        assert_eq!(bench.ask(1, id, id as u64 + 1, 300.0), Admission::Accepted);
     }
     let out = bench.launches().len();
-    assert!(bench.core.open() > out, "some wait for room");
-    bench.core.client_gone(bench.now + 1_000, ClientId(1));
+    assert!(bench.core.open_requests() > out, "some wait for room");
+    bench.core.client_disconnected(bench.now + 1_000, ClientId(1));
     assert_eq!(bench.launches(), []);
-    assert_eq!(bench.core.held()[..3], [0, 0, 0]);
+    assert_eq!(bench.core.entry_counts()[..3], [0, 0, 0]);
     assert_eq!(bench.core.counts.lapsed + bench.core.counts.refused, 20);
     // None was tried over and over on its way out: that would use up the budget of further attempts.
     assert!(bench.ledger.borrow().next.values().all(|&sent| sent <= 1));
@@ -286,7 +290,7 @@
     const WORK_MS: f64 = 100.0;
     let mut bench = Bench::new(1, |s| s["Contract"]["FallMultiple"] = json!(0.5));
     let cold = Machine::new(7, 0, 0, START / 1_000);
-    bench.core.engines(START, &list(2, &[cold], &bench.config), false);
+    bench.core.update_engines(START, &list(2, &[cold], &bench.config), false);
     let settings = bench.config.settings.clone();
     let capacity = settings.kinds[0].cores * settings.cold_from * settings.fall_span as f64;
     let budget = settings.fall_multiple * capacity / (WORK_MS * 1e3);
@@ -295,12 +299,16 @@
     for id in 1..=600 {
         bench.now += 5_000;
         bench.core.wake(bench.now);
-        assert_eq!(bench.ask(id, 1, id, WORK_MS), Taken::Yes);
+        assert_eq!(bench.ask(id, 1, id, WORK_MS), Admission::Accepted);
         for launch in bench.launches() {
             sent.push(bench.now);
-            bench.core.written(bench.now, launch.attempt);
+            bench.core.attempt_written(bench.now, launch.attempt);
             let work = Some((WORK_MS * 1e3) as Micros);
-            bench.core.ended(bench.now, launch.attempt, Ending { work, ..Ending::of(Outcome::Ok) });
+            bench.core.attempt_ended(
+                bench.now,
+                launch.attempt,
+                Completion { work, ..Completion::new(Outcome::Ok) },
+            );
         }
         let within = sent.iter().filter(|&&at| at + settings.fall_span > bench.now).count();
         assert!(within as f64 <= most, "{within} in a window, where {most:.1} are borne");
@@ -312,15 +320,15 @@
 fn a_second_answer_is_nobodys() {
     let mut bench = Bench::new(2, may_cancel(true));
     let launch = bench.launched();
-    bench.core.written(bench.now, launch.attempt);
-    let served = Ending { result: b"a\tb\tc\n".to_vec(), ..Ending::of(Outcome::Ok) };
-    bench.core.ended(bench.now + 1_000, launch.attempt, served.clone());
-    let answer = Effect::Answer(ClientId(1), 1, Verdict::Served(served.result.clone()));
+    bench.core.attempt_written(bench.now, launch.attempt);
+    let served = Completion { result: b"a\tb\tc\n".to_vec(), ..Completion::new(Outcome::Ok) };
+    bench.core.attempt_ended(bench.now + 1_000, launch.attempt, served.clone());
+    let answer = Effect::Answer(ClientId(1), 1, Reply::Served(served.result.clone()));
     assert_eq!(bench.effects(), [answer]);
     // The same number is in use again as it comes.
-    assert_eq!(bench.ask(1, 1, 2, 20.0), Taken::Yes);
+    assert_eq!(bench.ask(1, 1, 2, 20.0), Admission::Accepted);
     bench.launches();
-    bench.core.ended(bench.now + 2_000, launch.attempt, served);
+    bench.core.attempt_ended(bench.now + 2_000, launch.attempt, served);
     assert_eq!(bench.effects(), []);
     assert_eq!(bench.ledger.borrow().ends.len(), 1);
 }
@@ -329,13 +337,13 @@
 fn an_id_is_free_again_only_when_none_of_its_attempts_is_out() {
     let mut bench = Bench::new(2, may_cancel(false));
     let launch = bench.launched();
-    assert_eq!(bench.ask(1, 2, 1, 20.0), Taken::OwnId);
-    assert_eq!(bench.ask(2, 1, 1, 20.0), Taken::OthersId);
-    bench.core.written(bench.now, launch.attempt);
-    bench.core.lapse(bench.now, ClientId(1), 1);
-    assert_eq!(bench.ask(1, 2, 1, 20.0), Taken::OthersId);
-    bench.core.ended(bench.now, launch.attempt, Ending::of(Outcome::Error));
-    assert_eq!(bench.ask(2, 1, 1, 20.0), Taken::Yes);
+    assert_eq!(bench.ask(1, 2, 1, 20.0), Admission::OwnIdReused);
+    assert_eq!(bench.ask(2, 1, 1, 20.0), Admission::IdInUse);
+    bench.core.attempt_written(bench.now, launch.attempt);
+    bench.core.cancel_request(bench.now, ClientId(1), 1);
+    assert_eq!(bench.ask(1, 2, 1, 20.0), Admission::IdInUse);
+    bench.core.attempt_ended(bench.now, launch.attempt, Completion::new(Outcome::Error));
+    assert_eq!(bench.ask(2, 1, 1, 20.0), Admission::Accepted);
     assert_eq!(bench.launches()[0].attempt, launch.attempt);
 }
 
@@ -343,11 +351,11 @@
 fn beyond_the_most_that_may_be_open_nothing_is_taken_until_one_ends() {
     let mut bench = Bench::new(1, may_cancel(true));
     let cap = OPEN_CAP as u64;
-    let taken = (0..2 * cap).filter(|&n| bench.ask(n, 1, n + 1, 0.1) == Taken::Yes).count();
-    assert_eq!((taken, bench.core.open()), (OPEN_CAP, OPEN_CAP));
+    let taken = (0..2 * cap).filter(|&n| bench.ask(n, 1, n + 1, 0.1) == Admission::Accepted).count();
+    assert_eq!((taken, bench.core.open_requests()), (OPEN_CAP, OPEN_CAP));
     assert_eq!(bench.core.counts.full, cap);
-    bench.core.lapse(bench.now, ClientId(0), 1);
-    assert_eq!(bench.ask(500, 1, 500, 0.1), Taken::Yes);
+    bench.core.cancel_request(bench.now, ClientId(0), 1);
+    assert_eq!(bench.ask(500, 1, 500, 0.1), Admission::Accepted);
 }
 
 /// Does what the settings' limits are there to prevent: sends each request to two engines at once.
@@ -369,15 +377,15 @@
     let mut bench = Bench::new(2, may_cancel(true));
     bench.core = Core::new(Box::new(Doubling), terms(&bench.config), START);
     let machines: Vec<Machine> = (0..2).map(|n| Machine::new(n, 0, 0, 0)).collect();
-    bench.core.engines(START, &list(1, &machines, &bench.config), true);
-    assert_eq!(bench.ask(1, 1, 1, 20.0), Taken::Yes);
+    bench.core.update_engines(START, &list(1, &machines, &bench.config), true);
+    assert_eq!(bench.ask(1, 1, 1, 20.0), Admission::Accepted);
     let out = bench.launches();
-    bench.core.written(bench.now, out[0].attempt);
-    bench.core.ended(bench.now, out[0].attempt, Ending::of(Outcome::Ok));
+    bench.core.attempt_written(bench.now, out[0].attempt);
+    bench.core.attempt_ended(bench.now, out[0].attempt, Completion::new(Outcome::Ok));
     let effects = bench.effects();
-    assert!(effects.contains(&Effect::Withdraw(out[1].engine, out[1].attempt)), "{effects:?}");
-    assert!(effects.contains(&Effect::Answer(ClientId(1), 1, Verdict::Served(Vec::new()))), "{effects:?}");
-    assert_eq!(bench.core.held()[..3], [0, 0, 0]);
+    assert!(effects.contains(&Effect::CancelAttempt(out[1].engine, out[1].attempt)), "{effects:?}");
+    assert!(effects.contains(&Effect::Answer(ClientId(1), 1, Reply::Served(Vec::new()))), "{effects:?}");
+    assert_eq!(bench.core.entry_counts()[..3], [0, 0, 0]);
 }
 
 #[test]
@@ -385,21 +393,21 @@
     let mut bench = Bench::new(2, may_cancel(true));
     bench.core = Core::new(Box::new(Doubling), terms(&bench.config), START);
     let machines: Vec<Machine> = (0..2).map(|n| Machine::new(n, 0, 0, 0)).collect();
-    bench.core.engines(START, &list(1, &machines, &bench.config), true);
-    assert_eq!(bench.ask(1, 1, 1, 20.0), Taken::Yes);
+    bench.core.update_engines(START, &list(1, &machines, &bench.config), true);
+    assert_eq!(bench.ask(1, 1, 1, 20.0), Admission::Accepted);
     bench.launches();
     let mut answers = 0;
     while let Some(at) = bench.core.next_wake() {
         bench.core.wake(at);
         for effect in bench.effects() {
             if let Effect::Answer(_, _, verdict) = effect {
-                assert!(at <= START + 2_000_000 && verdict == Verdict::Failed);
+                assert!(at <= START + 2_000_000 && verdict == Reply::Failed);
                 answers += 1;
             }
         }
     }
     assert_eq!((answers, bench.core.counts.overdue), (1, 1));
-    assert_eq!(bench.core.held()[..3], [0, 0, 0]);
+    assert_eq!(bench.core.entry_counts()[..3], [0, 0, 0]);
 }
 
 /// The first attempt may have run; the second waits for its connection until after the window in which engines would have
@@ -411,12 +419,12 @@
         s["Classes"][0]["WindowUs"] = json!(600_000);
     });
     let first = bench.launched();
-    bench.core.written(bench.now, first.attempt);
-    bench.core.ended(bench.now + 400_000, first.attempt, Ending::of(Outcome::Broken));
+    bench.core.attempt_written(bench.now, first.attempt);
+    bench.core.attempt_ended(bench.now + 400_000, first.attempt, Completion::new(Outcome::Broken));
     let second = bench.launches().pop().expect("a repeat");
     bench.core.wake(bench.now + 600_000);
     let effects = bench.effects();
-    assert!(effects.contains(&Effect::Withdraw(second.engine, second.attempt)), "{effects:?}");
+    assert!(effects.contains(&Effect::CancelAttempt(second.engine, second.attempt)), "{effects:?}");
     assert_eq!(bench.ledger.borrow().ends.last(), Some(&(second.attempt, Outcome::Moot)));
 }
 
@@ -427,14 +435,14 @@
         s["Classes"][0]["WindowUs"] = json!(600_000);
     });
     let first = bench.launched();
-    bench.core.written(bench.now, first.attempt);
-    bench.core.ended(bench.now + 400_000, first.attempt, Ending::of(Outcome::Broken));
+    bench.core.attempt_written(bench.now, first.attempt);
+    bench.core.attempt_ended(bench.now + 400_000, first.attempt, Completion::new(Outcome::Broken));
     let second = bench.launches().pop().expect("a repeat");
-    bench.core.written(bench.now + 410_000, second.attempt);
+    bench.core.attempt_written(bench.now + 410_000, second.attempt);
     bench.core.wake(bench.now + 700_000);
     assert_eq!(bench.effects(), []);
-    bench.core.ended(bench.now + 710_000, second.attempt, Ending::of(Outcome::Ok));
-    assert_eq!(bench.effects(), [Effect::Answer(ClientId(1), 1, Verdict::Served(Vec::new()))]);
+    bench.core.attempt_ended(bench.now + 710_000, second.attempt, Completion::new(Outcome::Ok));
+    assert_eq!(bench.effects(), [Effect::Answer(ClientId(1), 1, Reply::Served(Vec::new()))]);
 }
 
 #[test]
@@ -444,12 +452,12 @@
         s["Classes"][0]["WindowUs"] = json!(600_000);
     });
     let first = bench.launched();
-    bench.core.written(bench.now, first.attempt);
-    bench.core.ended(bench.now + 400_000, first.attempt, Ending::of(Outcome::Full));
+    bench.core.attempt_written(bench.now, first.attempt);
+    bench.core.attempt_ended(bench.now + 400_000, first.attempt, Completion::new(Outcome::Full));
     let second = bench.launches().pop().expect("another attempt");
     bench.core.wake(bench.now + 650_000);
     assert_eq!(bench.effects(), []);
-    bench.core.written(bench.now + 660_000, second.attempt);
+    bench.core.attempt_written(bench.now + 660_000, second.attempt);
 }
 
 /// An attempt as the rules see it.
@@ -553,7 +561,7 @@
         let mut core = Core::new(Box::new(module), terms(&config), START);
         let machines: Vec<Machine> =
             (0..6).map(|n| Machine::new(n, n as usize % 2, n as usize / 2 % 2, 0)).collect();
-        core.engines(START, &list(1, &machines, &config), true);
+        core.update_engines(START, &list(1, &machines, &config), true);
         World {
             seed,
             rng,
@@ -595,11 +603,11 @@
     }
 
     fn effects(&mut self) {
-        while let Some(effect) = self.core.effect() {
+        while let Some(effect) = self.core.next_effect() {
             let seed = self.seed;
             match effect {
                 Effect::Launch(launch) => self.check_launch(&launch),
-                Effect::Withdraw(_, attempt) => {
+                Effect::CancelAttempt(_, attempt) => {
                     assert!(
                         self.story(attempt.0).sent[attempt.1 as usize].out,
                         "seed {seed}: {attempt:?} was not out"
@@ -616,14 +624,14 @@
                 Effect::Probe(engine) => {
                     assert!(self.config.settings.may_probe, "seed {seed}: a probe that is not allowed");
                     let ok = self.rng.random_bool(0.7);
-                    self.core.probed(self.now, engine, ok, Load::default());
+                    self.core.probe_ended(self.now, engine, ok, Load::default());
                 }
-                Effect::Say(_) => {}
+                Effect::Log(_) => {}
             }
         }
         let out: usize = self.waiting.len() + self.written.len();
         let open = self.stories.values().filter(|s| s.owed).count();
-        assert_eq!(self.core.held()[..3], [open, open, out], "seed {}", self.seed);
+        assert_eq!(self.core.entry_counts()[..3], [open, open, out], "seed {}", self.seed);
     }
 
     fn check_launch(&mut self, launch: &Launch) {
@@ -642,7 +650,7 @@
         assert!(story.owed && !story.gone, "seed {seed}: an attempt begins for nobody");
         assert!(number < cap && story.sent.len() == number as usize, "seed {seed}: attempt {number}");
         assert!(!story.is_out(), "seed {seed}: two attempts are out");
-        assert!(launch.until > now && launch.until <= story.due, "seed {seed}: until");
+        assert!(launch.deadline > now && launch.deadline <= story.due, "seed {seed}: until");
         if class.effect == violetward::Effect::Once {
             assert!(!story.may_have_run(), "seed {seed}: an unsafe request is repeated");
         }
@@ -712,10 +720,10 @@
             assert!(known && now < at + window, "seed {seed}: a repeat that engines don't drop");
         }
         story.sent[attempt.1 as usize].written = Some(now);
-        self.core.written(now, attempt);
+        self.core.attempt_written(now, attempt);
     }
 
-    fn check_answer(&mut self, client: ClientId, seqid: i32, verdict: &Verdict) {
+    fn check_answer(&mut self, client: ClientId, seqid: i32, verdict: &Reply) {
         let (seed, now) = (self.seed, self.now);
         let story = self.stories.values_mut().find(|s| s.owed && (s.client, s.seqid) == (client, seqid));
         let story = story.unwrap_or_else(|| panic!("seed {seed}: an answer that is not owed"));
@@ -724,7 +732,7 @@
         story.owed = false;
         let effect = self.config.settings.classes[story.class].effect;
         match verdict {
-            Verdict::Served(result) => {
+            Reply::Served(result) => {
                 assert_eq!(
                     *result,
                     format!("{}\tb\tc\n", story.number).into_bytes(),
@@ -732,14 +740,14 @@
                 );
                 self.answers[0] += 1;
             }
-            Verdict::Refused(after) => {
+            Reply::Refused(after) => {
                 let dropped = matches!(effect, violetward::Effect::Keyed { scope: KeyScope::All, .. });
                 let harmless = effect == violetward::Effect::Repeatable || dropped || !story.may_have_run();
                 assert!(harmless, "seed {seed}: refused though a further try may do harm");
                 assert!(*after <= self.config.settings.retry_advice.unwrap_or(0), "seed {seed}: advice");
                 self.answers[1] += 1;
             }
-            Verdict::Failed => {
+            Reply::Failed => {
                 assert!(story.may_have_run(), "seed {seed}: failed though it never ran");
                 self.answers[2] += 1;
             }
@@ -771,12 +779,12 @@
         self.next += 1;
         let before = self.stories.get(&call.id);
         let expected = match before {
-            Some(story) if story.owed && story.client == client => Taken::OwnId,
-            Some(story) if story.owed || story.is_out() => Taken::OthersId,
-            _ if self.stories.values().filter(|s| s.owed).count() >= OPEN_CAP => Taken::Full,
-            _ => Taken::Yes,
+            Some(story) if story.owed && story.client == client => Admission::OwnIdReused,
+            Some(story) if story.owed || story.is_out() => Admission::IdInUse,
+            _ if self.stories.values().filter(|s| s.owed).count() >= OPEN_CAP => Admission::Full,
+            _ => Admission::Accepted,
         };
-        if expected == Taken::Yes {
+        if expected == Admission::Accepted {
             let story = Story {
                 number,
                 client,
@@ -791,7 +799,7 @@
             self.stories.insert(call.id, story);
             self.taken.push(self.now);
         }
-        assert_eq!(self.core.request(self.now, client, seqid, call), expected, "seed {}", self.seed);
+        assert_eq!(self.core.submit(self.now, client, seqid, call), expected, "seed {}", self.seed);
     }
 
     /// An engine answers, or a connection ends.
@@ -806,7 +814,7 @@
                 return self.write(attempt);
             }
             self.end(attempt, true, false);
-            return self.core.ended(self.now, attempt, Ending::of(Outcome::ConnectFailed));
+            return self.core.attempt_ended(self.now, attempt, Completion::new(Outcome::ConnectFailed));
         }
         let (outcome, never_ran) = match self.rng.random_range(0..20) {
             0 => (Outcome::Error, false),
@@ -820,13 +828,13 @@
         self.end(attempt, never_ran, unsure);
         let result = format!("{}\tb\tc\n", self.story(attempt.0).number).into_bytes();
         let work = (outcome == Outcome::Ok).then_some(100_000);
-        let ending = Ending { work, result, ..Ending::of(outcome) };
-        self.core.ended(self.now, attempt, ending.clone());
+        let ending = Completion { work, result, ..Completion::new(outcome) };
+        self.core.attempt_ended(self.now, attempt, ending.clone());
         if self.rng.random_bool(0.1) {
             // A second answer, or one after the connection has told of its end.
             self.effects();
             if !self.waiting.contains(&attempt) && !self.written.contains(&attempt) {
-                self.core.ended(self.now, attempt, ending);
+                self.core.attempt_ended(self.now, attempt, ending);
             }
         }
     }
@@ -841,9 +849,9 @@
             }
         }
         if all {
-            self.core.client_gone(self.now, client);
+            self.core.client_disconnected(self.now, client);
         } else {
-            self.core.lapse(self.now, client, seqid);
+            self.core.cancel_request(self.now, client, seqid);
         }
     }
 
@@ -866,13 +874,13 @@
         let stays = |engine| self.machines.iter().any(|m| m.id() == engine && !m.draining);
         let engine_of = |a: &AttemptId| self.stories[&a.0].sent[a.1 as usize].engine;
         let unsent: Vec<AttemptId> = self.waiting.iter().copied().filter(|a| !stays(engine_of(a))).collect();
-        self.core.engines(self.now, &list, false);
+        self.core.update_engines(self.now, &list, false);
         for attempt in unsent {
             // Its request may have been ended by the list itself.
             self.effects();
             if self.waiting.contains(&attempt) {
                 self.end(attempt, true, false);
-                self.core.ended(self.now, attempt, Ending::of(Outcome::ConnectFailed));
+                self.core.attempt_ended(self.now, attempt, Completion::new(Outcome::ConnectFailed));
             }
         }
     }
@@ -907,7 +915,7 @@
         world.effects();
         let owed = world.stories.values().filter(|s| s.owed).count();
         assert_eq!(owed, 0, "seed {seed}: requests without an answer");
-        let [open, numbers, attempts, engines, _] = world.core.held();
+        let [open, numbers, attempts, engines, _] = world.core.entry_counts();
         assert_eq!((open, numbers, attempts, engines), (0, 0, 0, world.machines.len()), "seed {seed}");
         assert_eq!(world.core.counts.overdue, 0, "seed {seed}: the module forgot a request");
         let left = &world.ledger.borrow().out;
--- a/crates/platform/tests/link.rs
+++ b/crates/platform/tests/link.rs
@@ -1,8 +1,8 @@
 //! One connection to an engine without sockets: what is asked, what is believed, and what never shares it.
 
 use violetward::{EngineId, Outcome, RequestId};
-use violetward_platform::core::{AttemptId, Ending, Launch};
-use violetward_platform::link::{Link, Told};
+use violetward_platform::core::{AttemptId, Completion, Launch};
+use violetward_platform::link::{EngineEvent, Link};
 use violetward_resp::write_array;
 
 const ID: &str = "9b1f03aa5c7e2d41";
@@ -12,10 +12,10 @@
         attempt: AttemptId(RequestId(0x9b1f_03aa_5c7e_2d41), attempt),
         engine: EngineId(1),
         class: 0,
-        once: Some("5c0f".into()),
+        idempotency_key: Some("5c0f".into()),
         memory_mb: 95.2,
-        rank: 2,
-        until: 0,
+        priority: 2,
+        deadline: 0,
         body: b"select 1".as_slice().into(),
     }
 }
@@ -40,13 +40,13 @@
     command(&[ID.as_bytes(), word.as_bytes(), fields.as_bytes(), body.as_bytes()])
 }
 
-fn feed(link: &mut Link, bytes: &[u8]) -> Result<(Vec<u8>, Vec<Told>), String> {
+fn feed(link: &mut Link, bytes: &[u8]) -> Result<(Vec<u8>, Vec<EngineEvent>), String> {
     let (mut out, mut told) = (Vec::new(), Vec::new());
     link.feed(bytes, &mut out, &mut told).map(|()| (out, told))
 }
 
-fn ended(told: &[Told]) -> &Ending {
-    let [Told::Ended(_, ending)] = told else { panic!("{told:?}") };
+fn ended(told: &[EngineEvent]) -> &Completion {
+    let [EngineEvent::AttemptEnded(_, ending)] = told else { panic!("{told:?}") };
     ending
 }
 
@@ -103,7 +103,7 @@
         let mut link = asked();
         assert!(feed(&mut link, &bytes).is_err(), "{}", String::from_utf8_lossy(&bytes));
         let mut told = Vec::new();
-        link.broken(Outcome::Broken, &mut told);
+        link.fail_all(Outcome::Broken, &mut told);
         assert_eq!(ended(&told).outcome, Outcome::Broken);
     }
     // Every page fits, all together do not.
@@ -116,15 +116,15 @@
 #[test]
 fn an_attempt_never_shares_a_connection_with_an_earlier_one_that_may_still_answer() {
     let mut link = asked();
-    assert!(!link.takes(AttemptId(RequestId(0x9b1f_03aa_5c7e_2d41), 1)), "it is out");
+    assert!(!link.accepts(AttemptId(RequestId(0x9b1f_03aa_5c7e_2d41), 1)), "it is out");
     let mut out = Vec::new();
-    assert!(!link.withdraw(launch(1).attempt, &mut out), "another attempt");
-    assert!(link.withdraw(launch(0).attempt, &mut out));
+    assert!(!link.cancel(launch(1).attempt, &mut out), "another attempt");
+    assert!(link.cancel(launch(0).attempt, &mut out));
     assert_eq!(out, command(&[b"abort", ID.as_bytes()]));
-    assert!(!link.takes(launch(1).attempt), "its answer may still come");
-    assert!(link.takes(AttemptId(RequestId(5), 0)));
+    assert!(!link.accepts(launch(1).attempt), "its answer may still come");
+    assert!(link.accepts(AttemptId(RequestId(5), 0)));
     assert_eq!(feed(&mut link, &answer("ok", "batches=1", "a\tb\tc\n")).unwrap().1, []);
-    assert!(!link.takes(launch(1).attempt), "a second copy may follow");
+    assert!(!link.accepts(launch(1).attempt), "a second copy may follow");
 }
 
 #[test]
@@ -132,10 +132,10 @@
     for word in ["refused", "error", "stale"] {
         let mut link = asked();
         feed(&mut link, &answer(word, "-", "")).unwrap();
-        assert!(!link.takes(launch(1).attempt), "a second {word} would end the next attempt");
+        assert!(!link.accepts(launch(1).attempt), "a second {word} would end the next attempt");
         assert_eq!(feed(&mut link, &answer(word, "-", "")).unwrap().1, []);
-        assert!(!link.takes(launch(1).attempt), "a third {word} may follow");
-        assert!(link.takes(AttemptId(RequestId(5), 0)), "other requests go on");
+        assert!(!link.accepts(launch(1).attempt), "a third {word} may follow");
+        assert!(link.accepts(AttemptId(RequestId(5), 0)), "other requests go on");
     }
 }
 
@@ -146,7 +146,7 @@
         feed(&mut link, &answer("ok", "batches=2", "a\tb\tc\n")).unwrap();
         assert!(feed(&mut link, &answer(word, "-", "")).is_err(), "{word}");
         let mut told = Vec::new();
-        link.broken(Outcome::Broken, &mut told);
+        link.fail_all(Outcome::Broken, &mut told);
         assert_eq!(ended(&told).outcome, Outcome::Broken);
     }
     // An error may come between two pages: its engine knows the request no more.
@@ -160,10 +160,10 @@
     let mut link = Link::new();
     let whole = answer("ok", "batches=1", "a\tb\tc\n");
     for (at, byte) in whole.iter().enumerate() {
-        assert_eq!(link.is_within(), at > 0, "before byte {at}");
+        assert_eq!(link.has_partial_message(), at > 0, "before byte {at}");
         feed(&mut link, &[*byte]).unwrap();
     }
-    assert!(!link.is_within());
+    assert!(!link.has_partial_message());
 }
 
 #[test]
@@ -176,7 +176,7 @@
     out.clear();
     link.renice(launch(0).attempt, 1, &mut out);
     assert_eq!(out, b"", "it has run");
-    link.withdraw(launch(0).attempt, &mut out);
+    link.cancel(launch(0).attempt, &mut out);
     assert_eq!(out, command(&[b"done", ID.as_bytes()]));
 }
 
@@ -196,7 +196,7 @@
     assert_eq!(out, command(&[b"stats", tag.as_bytes()]));
     let yes = command(&[tag.as_bytes(), b"yes", b"l=util:0.5", b""]);
     let (_, told) = feed(&mut link, &yes).unwrap();
-    assert!(matches!(told[..], [Told::Probed(true, load)] if load.cores == Some(0.5)));
+    assert!(matches!(told[..], [EngineEvent::ProbeEnded(true, load)] if load.cores == Some(0.5)));
     assert_eq!(feed(&mut link, &yes).unwrap().1, []);
-    assert!(!link.forget_probe(&tag));
+    assert!(!link.cancel_probe(&tag));
 }
--- a/crates/platform/tests/list.rs
+++ b/crates/platform/tests/list.rs
@@ -19,7 +19,7 @@
 fn ask(resolver: &PlatformResolver, id: u16) -> Vec<u8> {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-    socket.send_to(&list::question(id), resolver.address).unwrap();
+    socket.send_to(&list::query(id), resolver.address).unwrap();
     let mut bytes = vec![0; 9_000];
     let size = socket.recv(&mut bytes).unwrap();
     bytes.truncate(size);
@@ -40,7 +40,7 @@
 fn a_good_answer_is_read_in_the_modules_units() {
     let resolver = PlatformResolver::start("east", "std").unwrap();
     resolver.tell(41, engines());
-    let list = list::answer(&ask(&resolver, 7), 7, &names()).unwrap();
+    let list = list::parse_answer(&ask(&resolver, 7), 7, &names()).unwrap();
     assert_eq!((list.number, list.engines.len()), (41, 9));
     let engine = &list.engines["s-00000001"];
     assert_eq!(engine.address, "10.1.0.1:4100".parse().unwrap());
@@ -64,15 +64,15 @@
     for fault in faults {
         resolver.order(fault);
         let bytes = ask(&resolver, 7);
-        assert!(list::answer(&bytes, 7, &names()).is_err(), "{fault:?}");
+        assert!(list::parse_answer(&bytes, 7, &names()).is_err(), "{fault:?}");
     }
     let good = ask(&resolver, 7);
-    assert!(list::answer(&good, 7, &names()).is_ok());
-    assert!(list::answer(&list::question(7), 7, &names()).is_err(), "a question is no answer");
+    assert!(list::parse_answer(&good, 7, &names()).is_ok());
+    assert!(list::parse_answer(&list::query(7), 7, &names()).is_err(), "a question is no answer");
     let strange = Names { kinds: vec!["old".into()], ..names() };
-    assert!(list::answer(&good, 7, &strange).is_err(), "a kind that is not known");
+    assert!(list::parse_answer(&good, 7, &strange).is_err(), "a kind that is not known");
     for end in 0..good.len() {
-        assert!(list::answer(&good[..end], 7, &names()).is_err(), "cut at {end}");
+        assert!(list::parse_answer(&good[..end], 7, &names()).is_err(), "cut at {end}");
     }
 }
 
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -10,7 +10,9 @@
 use violetward::{Action, Decide, Event, Gateway, Load, Micros, Outcome, TenantId};
 use violetward_platform::call::{self, Call};
 use violetward_platform::config::{self, Config};
-use violetward_platform::core::{AttemptId, ClientId, Core, Effect, Ending, Launch, Taken, Terms, Verdict};
+use violetward_platform::core::{
+    Admission, AttemptId, ClientId, Completion, Core, CoreConfig, Effect, Launch, Reply,
+};
 use violetward_platform::link::Link;
 
 const START: Micros = 1_700_000_000_000_000;
@@ -38,7 +40,7 @@
 }
 
 fn read(config: &Config, fields: &[(&str, &str)]) -> Result<Call, String> {
-    call::read(fields, b"select 1", &config.names, &config.settings.classes)
+    call::parse(fields, b"select 1", &config.names, &config.settings.classes)
 }
 
 /// Fields of a request of a class, with further ones.
@@ -61,26 +63,26 @@
     }
 
     fn with(config: Config, module: Box<dyn Decide>) -> Bench {
-        let terms = Terms {
+        let terms = CoreConfig {
             attempts_cap: config.settings.attempts_cap,
             open_cap: 1_000,
-            body_bytes: 1 << 20,
-            margin: 15_000,
-            held: 310_000,
+            body_bytes_cap: 1 << 20,
+            answer_margin: 15_000,
+            client_delay: 310_000,
         };
         let mut core = Core::new(module, terms, START);
-        core.engines(START, &config.known.list(&config.names).expect("a good list"), true);
+        core.update_engines(START, &config.known.list(&config.names).expect("a good list"), true);
         Bench { config, core, now: START }
     }
 
     /// Takes a request with these fields under a number.
     fn ask(&mut self, seqid: i32, fields: &[(&str, &str)]) {
         let call = read(&self.config, fields).expect("a good request");
-        assert_eq!(self.core.request(self.now, CLIENT, seqid, call), Taken::Yes);
+        assert_eq!(self.core.submit(self.now, CLIENT, seqid, call), Admission::Accepted);
     }
 
     fn effects(&mut self) -> Vec<Effect> {
-        std::iter::from_fn(|| self.core.effect()).collect()
+        std::iter::from_fn(|| self.core.next_effect()).collect()
     }
 
     fn launches(&mut self) -> Vec<Launch> {
@@ -92,11 +94,11 @@
     }
 
     fn end(&mut self, attempt: AttemptId, outcome: Outcome) {
-        self.core.ended(self.now, attempt, Ending::of(outcome));
+        self.core.attempt_ended(self.now, attempt, Completion::new(outcome));
     }
 
     /// Lets time pass until the request has its answer; whatever is launched meanwhile is never written.
-    fn answer(&mut self) -> Verdict {
+    fn answer(&mut self) -> Reply {
         loop {
             for effect in self.effects() {
                 if let Effect::Answer(_, _, verdict) = effect {
@@ -169,7 +171,7 @@
         let fields = [("class", "report"), ("id", &id), ("wait", "1000"), ("cost", "2000"), ("tenant", name)];
         bench.ask(turn as i32, &fields);
         for effect in bench.effects() {
-            if let Effect::Answer(_, seqid, Verdict::Refused(_)) = effect {
+            if let Effect::Answer(_, seqid, Reply::Refused(_)) = effect {
                 refused[seqid as usize % 2] += 1;
             }
         }
@@ -225,7 +227,7 @@
         assert_eq!(launches.is_empty(), open.is_empty());
         assert!(launches.iter().all(|l| open.contains(&l.engine)), "{launches:?}");
         if open.is_empty() {
-            assert_eq!(bench.core.open(), 0, "refused at once");
+            assert_eq!(bench.core.open_requests(), 0, "refused at once");
         }
     }
 }
@@ -245,10 +247,10 @@
     // No longest wait is told: the client's own counts.
     bench.ask(1, &fields("only", &[]));
     let launch = bench.launches().pop().expect("an attempt");
-    assert_eq!((launch.memory_mb, launch.rank), (0.0, 1));
-    bench.core.written(bench.now, launch.attempt);
+    assert_eq!((launch.memory_mb, launch.priority), (0.0, 1));
+    bench.core.attempt_written(bench.now, launch.attempt);
     bench.end(launch.attempt, Outcome::Ok);
-    assert_eq!(bench.answer(), Verdict::Served(Vec::new()));
+    assert_eq!(bench.answer(), Reply::Served(Vec::new()));
 }
 
 #[test]
@@ -264,7 +266,7 @@
     bench.ask(1, &fields("look", &[]));
     let launch = bench.launches().pop().expect("an attempt");
     bench.end(launch.attempt, Outcome::ConnectFailed);
-    assert_eq!(bench.answer(), Verdict::Refused(0));
+    assert_eq!(bench.answer(), Reply::Refused(0));
     assert_eq!(bench.core.counts.attempts, 1);
 }
 
@@ -281,7 +283,7 @@
             let id = format!("{:016x}", seqid + 1);
             bench.ask(seqid, &[("class", "look"), ("id", &id), ("wait", "1500"), ("cost", "400")]);
             for effect in bench.effects() {
-                if let Effect::Answer(_, _, Verdict::Refused(after)) = effect {
+                if let Effect::Answer(_, _, Reply::Refused(after)) = effect {
                     longest = longest.max(after);
                 }
             }
@@ -303,9 +305,9 @@
     bench.ask(1, &fields("look", &[]));
     let launches = bench.launches();
     assert_eq!(launches.len(), 1, "{launches:?}");
-    bench.core.written(bench.now, launches[0].attempt);
+    bench.core.attempt_written(bench.now, launches[0].attempt);
     bench.end(launches[0].attempt, Outcome::Ok);
-    assert_eq!(bench.answer(), Verdict::Served(Vec::new()));
+    assert_eq!(bench.answer(), Reply::Served(Vec::new()));
 }
 
 #[test]
@@ -341,7 +343,7 @@
                 match effect {
                     Effect::Probe(engine) => {
                         probes += 1;
-                        bench.core.probed(bench.now, engine, true, Load::default());
+                        bench.core.probe_ended(bench.now, engine, true, Load::default());
                     }
                     Effect::Launch(launch) => bench.end(launch.attempt, Outcome::Error),
                     _ => {}
@@ -362,9 +364,9 @@
         let mut bench = Bench::new(configuration(unsafe_class).expect("good settings"));
         bench.ask(1, &fields("look", &[]));
         let launch = bench.launches().pop().expect("an attempt");
-        bench.core.written(bench.now, launch.attempt);
+        bench.core.attempt_written(bench.now, launch.attempt);
         bench.end(launch.attempt, outcome);
-        assert_eq!(bench.answer(), Verdict::Failed, "{outcome:?}");
+        assert_eq!(bench.answer(), Reply::Failed, "{outcome:?}");
         assert_eq!(bench.core.counts.attempts, 1, "{outcome:?}");
     }
 }
@@ -387,7 +389,7 @@
 fn an_unsafe_request_that_was_never_written_is_refused() {
     let mut bench = Bench::new(configuration(unsafe_class).expect("good settings"));
     bench.ask(1, &fields("look", &[]));
-    assert_eq!(bench.answer(), Verdict::Refused(0));
+    assert_eq!(bench.answer(), Reply::Refused(0));
     assert_eq!(bench.core.counts.overdue, 0);
 }
 
@@ -401,7 +403,7 @@
     let mut bench = Bench::new(config.expect("good settings"));
     bench.ask(1, &fields("look", &[ONCE]));
     let first = bench.launches().pop().expect("an attempt");
-    bench.core.written(bench.now, first.attempt);
+    bench.core.attempt_written(bench.now, first.attempt);
     bench.end(first.attempt, Outcome::Broken);
     let second = bench.launches().pop().expect("another attempt");
     let zone = |engine| {
@@ -409,10 +411,10 @@
     };
     assert_eq!(zone(first.engine), zone(second.engine));
     // What may have run is not refused: an engine of the other zone would run the client's next try again.
-    bench.core.written(bench.now, second.attempt);
+    bench.core.attempt_written(bench.now, second.attempt);
     bench.end(second.attempt, Outcome::Broken);
     let last = bench.answer();
-    assert_eq!(last, Verdict::Failed);
+    assert_eq!(last, Reply::Failed);
 }
 
 #[test]
@@ -440,7 +442,7 @@
     let running = configuration(|_| ()).expect("good settings");
     let differs = |change: fn(&mut Value)| {
         let read = configuration(change).expect("good settings");
-        running.not_taken_over(&read)
+        running.changes_pending_restart(&read)
     };
     assert!(differs(|_| ()).is_empty());
     assert_eq!(differs(|s| s["Classes"][2]["Name"] = json!("renamed")), ["settings"]);
@@ -449,7 +451,7 @@
     assert_eq!(differs(|s| s["Limits"]["ConnIdleUs"] = json!(1)), ["settings"]);
     let text = bed::config("127.0.0.1:2", &[]);
     let parse = |text: &str| config::parse(text).expect("a good configuration");
-    assert!(parse(&text).not_taken_over(&parse(&bed::config("127.0.0.1:3", &[]))).is_empty());
+    assert!(parse(&text).changes_pending_restart(&parse(&bed::config("127.0.0.1:3", &[]))).is_empty());
     let small = text.replace("\"memory_mb\":48", "\"memory_mb\":32");
-    assert_eq!(parse(&text).not_taken_over(&parse(&small)), ["limits"]);
+    assert_eq!(parse(&text).changes_pending_restart(&parse(&small)), ["limits"]);
 }
--- a/crates/platform/tests/shutdown.rs
+++ b/crates/platform/tests/shutdown.rs
@@ -53,7 +53,7 @@
     let (mut socket, request) = (client.socket(), client.request(&id(2), "look", 2_500));
     gateway.on_its_thread(move |host| {
         socket.write_all(&request).unwrap();
-        front::close_overdue(host, Instant::now() + SOON);
+        front::close_timed_out(host, Instant::now() + SOON);
     });
     let (connection, _) = engine.command("fetch");
     engine.serve(connection, &id(2));
--- a/crates/platform/tests/sockets.rs
+++ b/crates/platform/tests/sockets.rs
@@ -51,7 +51,7 @@
         tell.send(address).unwrap();
         async_io::block_on(executor.run(async {
             while let Ok(address) = moved.recv().await {
-                follow.moved_to(address);
+                follow.set_address(address);
             }
         }));
     });
--- a/crates/platform/tests/standstill.rs
+++ b/crates/platform/tests/standstill.rs
@@ -9,7 +9,7 @@
 
 use bed::scripted::*;
 use bed::CONNECT_TIMEOUT;
-use violetward_platform::standstill::{Standstill, BEAT};
+use violetward_platform::standstill::{PauseDetector, HEARTBEAT_INTERVAL};
 use violetward_standin::platform::Listed;
 
 /// How late a final answer may be.
@@ -89,13 +89,17 @@
 #[test]
 fn a_standstill_is_noticed_by_what_is_read_before_its_beat_and_just_behind_it() {
     let (start, stood) = (Instant::now(), Duration::from_millis(1_500));
-    let process = Standstill::new(start);
-    assert_eq!(process.unread_for(start + BEAT), Duration::ZERO);
-    assert_eq!(process.beat(start + BEAT + Duration::from_millis(20)), None, "a beat that is a little late");
-    let last = start + BEAT + Duration::from_millis(20);
-    let resumed = last + BEAT + stood;
-    assert_eq!(process.unread_for(resumed), stood);
-    assert_eq!(process.beat(resumed), Some(stood));
-    assert_eq!(process.unread_for(resumed + Duration::from_millis(20)), stood, "what came meanwhile");
-    assert_eq!(process.unread_for(resumed + Duration::from_millis(120)), Duration::ZERO);
+    let process = PauseDetector::new(start);
+    assert_eq!(process.backlog_age(start + HEARTBEAT_INTERVAL), Duration::ZERO);
+    assert_eq!(
+        process.heartbeat(start + HEARTBEAT_INTERVAL + Duration::from_millis(20)),
+        None,
+        "a beat that is a little late"
+    );
+    let last = start + HEARTBEAT_INTERVAL + Duration::from_millis(20);
+    let resumed = last + HEARTBEAT_INTERVAL + stood;
+    assert_eq!(process.backlog_age(resumed), stood);
+    assert_eq!(process.heartbeat(resumed), Some(stood));
+    assert_eq!(process.backlog_age(resumed + Duration::from_millis(20)), stood, "what came meanwhile");
+    assert_eq!(process.backlog_age(resumed + Duration::from_millis(120)), Duration::ZERO);
 }
