--- a/crates/platform/src/call.rs
+++ b/crates/platform/src/call.rs
@@ -8,11 +8,11 @@
 
 use crate::group::table_group;
 
-/// Highest length of an order key or an idempotency key.
+/// Maximum length of an order key or an idempotency key.
 const KEY_MAX_BYTES: usize = 128;
-/// Highest cost estimate: about a day on one core.
+/// Maximum cost estimate: about a day on one core.
 const COST_MAX_MS: f64 = 1e8;
-/// Highest memory estimate: a hundred terabytes, more than any machine has.
+/// Maximum memory estimate: a hundred terabytes, more than any machine has.
 const MEMORY_MAX_MB: f64 = 1e8;
 /// Longest wait where the settings give none for the class: a day.
 const WAIT_MAX_MS: f64 = 86_400_000.0;
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -130,19 +130,19 @@
     /// connections that are being closed. Clients get what is left: regular clients use a third of all
     /// descriptors, and malicious ones add to that.
     pub fn descriptors(&self) -> Descriptors {
-        const RESERVE: usize = 24;
-        let rest = self.sockets.saturating_sub(RESERVE);
+        const RESERVED_DESCRIPTORS: usize = 24;
+        let rest = self.sockets.saturating_sub(RESERVED_DESCRIPTORS);
         let (engines, closing) = (rest / 3, rest / 12);
         Descriptors { clients: rest - engines - closing, closing, engines }
     }
 
-    /// Highest size of a client's frame. It bounds the memory for incomplete frames on many connections: an
+    /// Maximum size of a client's frame. It bounds the memory for incomplete frames on many connections: an
     /// eighth of the memory, divided by the number of client connections, but enough for any statement.
     pub fn frame_max_bytes(&self) -> usize {
         (self.buffer_max_bytes() / self.descriptors().clients.max(1)).clamp(64 << 10, 256 << 10)
     }
 
-    /// Highest total size of the statements of open requests, and of the answers that clients have not read
+    /// Maximum total size of the statements of open requests, and of the answers that clients have not read
     /// yet: an eighth of the memory each.
     pub fn buffer_max_bytes(&self) -> usize {
         usize::try_from(self.memory_mb).unwrap_or(usize::MAX).saturating_mul(1 << 20) / 8
--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -95,7 +95,7 @@
     /// Another client has an open request with this id, or attempts of an earlier request with it are
     /// outstanding.
     IdInUse,
-    /// The limit on open requests or on held statements is reached; the client may safely retry.
+    /// The limit on open requests or on the size of their statements is reached; the client may safely retry.
     Full,
 }
 
@@ -166,11 +166,11 @@
 /// Limits and times that the core is configured with.
 #[derive(Debug, Clone)]
 pub struct CoreConfig {
-    /// Highest number of attempts at one request.
+    /// Maximum number of attempts at one request.
     pub attempts_cap: u32,
-    /// Highest number of open requests; further ones are refused without consulting the decision module.
+    /// Maximum number of open requests; further ones are refused without consulting the decision module.
     pub open_cap: usize,
-    /// Highest number of bytes of held statements; requests beyond it are refused likewise.
+    /// Maximum total size of the statements of open requests in bytes; further requests are refused likewise.
     pub body_bytes_cap: usize,
     /// Time reserved for the answer to travel to the client. The decision module gets a deadline that is
     /// earlier by this.
@@ -219,7 +219,7 @@
     /// Events that the decision module has not been told yet.
     inbox: VecDeque<Event>,
     effects: VecDeque<Effect>,
-    /// Bytes of all held statements.
+    /// Total size of the statements of open requests.
     body_bytes: usize,
     now: Micros,
     /// Counters since the start.
--- a/crates/platform/src/engine.rs
+++ b/crates/platform/src/engine.rs
@@ -35,7 +35,7 @@
 /// How many times that is checked.
 const LIVENESS_CHECKS: u32 = 8;
 
-/// Highest number of connections that are dialled for a request while each is reset before anything was sent
+/// Maximum number of connections that are dialled for a request while each is reset before anything was sent
 /// on it, and of consecutive health checks that are repeated because their connection broke.
 const DIALS_MAX: u32 = 4;
 
@@ -47,6 +47,11 @@
 /// The time constant with which break rates decay.
 const BREAK_DECAY: Duration = Duration::from_secs(10);
 
+/// The index in [`Engines::break_rates`] of connections on which no more than one request was sent.
+const FRESH: usize = 0;
+/// The index in [`Engines::break_rates`] of connections that were reused.
+const USED: usize = 1;
+
 /// A request or health check that waits for a connection.
 struct Queued {
     /// A number that is unique among everything queued for the same engine.
@@ -231,8 +236,8 @@
 /// The engines that are listed or still have connections.
 pub struct Engines {
     max_connections: usize,
-    /// The rates at which fresh and used connections recently broke under a request, and when each was last
-    /// updated.
+    /// The rates at which [`FRESH`] and [`USED`] connections recently broke under a request, and when each
+    /// was last updated.
     break_rates: [Cell<(f64, Instant)>; 2],
     settings: Connections,
     engines: RefCell<HashMap<EngineId, Rc<Engine>>>,
@@ -255,8 +260,8 @@
     }
 
     /// Takes a new list. Ends the queued attempts for engines that drain, have left, have moved or were
-    /// restarted: once a connection comes up, they would arrive too late at a draining engine, or at a wrong
-    /// one.
+    /// restarted: once a connection comes up, they would reach a draining engine too late, or another process
+    /// than the one that they were meant for.
     pub fn update_list(&self, list: &List) -> Vec<(AttemptId, Completion)> {
         let mut unsent = Vec::new();
         let mut engines = self.engines.borrow_mut();
@@ -299,7 +304,8 @@
     /// Sends an attempt, or queues it until there is a connection. Returns its end if neither is possible.
     pub fn launch(&self, host: &Rc<Host>, launch: Launch) -> Option<Completion> {
         tracing::debug!(engine = %format_args!("{:x}", launch.engine.0),
-            id = %crate::link::id_text(launch.attempt), attempt = launch.attempt.1, memory = launch.memory_mb, rank = launch.priority, "launch");
+            id = %crate::link::id_text(launch.attempt), attempt = launch.attempt.1,
+            memory = launch.memory_mb, rank = launch.priority, "launch");
         let engine = self.engines.borrow().get(&launch.engine).cloned();
         let engine = engine.filter(|e| e.listed.get() == Listed::Up);
         let attempt = launch.attempt;
@@ -367,20 +373,18 @@
 
     /// By how much the break rate of used connections exceeds that of fresh ones.
     fn excess_break_rate(&self) -> f64 {
-        let [fresh, used] = [0, 1].map(|kind| self.break_rate(kind));
-        used - fresh
+        self.break_rate(USED) - self.break_rate(FRESH)
     }
 
-    /// The present break rate of fresh (0) or used (1) connections.
+    /// The present break rate of [`FRESH`] or [`USED`] connections.
     fn break_rate(&self, kind: usize) -> f64 {
         let (rate, updated) = self.break_rates[kind].get();
         rate * (-updated.elapsed().as_secs_f64() / BREAK_DECAY.as_secs_f64()).exp()
     }
 
-    /// Updates the break rate after a request has ended on a connection, or the connection has broken under
-    /// it.
+    /// Updates the break rate after a request was served on a connection, or the connection broke under one.
     fn update_break_rate(&self, connection: &Connection, broke: bool) {
-        let kind = usize::from(connection.requests_sent.get() > 1);
+        let kind = if connection.requests_sent.get() > 1 { USED } else { FRESH };
         let rate = self.break_rate(kind);
         let new_rate = rate + BREAK_WEIGHT * (f64::from(u8::from(broke)) - rate);
         self.break_rates[kind].set((new_rate, Instant::now()));
@@ -407,7 +411,7 @@
         best.or_else(|| if may_grow() { None } else { shared() }).cloned()
     }
 
-    /// Highest number of connections of one engine.
+    /// Maximum number of connections of one engine.
     fn max_per_engine(&self) -> usize {
         (self.max_connections / self.engines.borrow().len().max(1)).max(1)
     }
--- a/crates/platform/src/engine/dial.rs
+++ b/crates/platform/src/engine/dial.rs
@@ -20,11 +20,11 @@
 /// A dial is late after this multiple of the usual time. Then a parallel dial is started, and each further
 /// one after this multiple of the previous wait.
 const LATE_FACTOR: u32 = 4;
-/// Highest number of dials in parallel to a late one.
+/// Maximum number of dials in parallel to a late one.
 const PARALLEL_DIALS_MAX: u32 = 2;
-/// No dial is late before this fraction of the time-out has passed: the time lost until then is not worth a
+/// No dial is late before the time-out divided by this has passed: the time lost until then is not worth a
 /// handshake.
-const LATE_MIN_FRACTION: u32 = 100;
+const LATE_MIN_DIVISOR: u32 = 100;
 /// The weight of the last dial in the usual time is one divided by this.
 const DIAL_TIME_SAMPLES: u32 = 8;
 
@@ -37,7 +37,7 @@
 
     /// The time after which a dial is late.
     pub(super) fn late_after(&self, timeout: Duration) -> Duration {
-        (self.usual_dial_time.get().unwrap_or_default() * LATE_FACTOR).max(timeout / LATE_MIN_FRACTION)
+        (self.usual_dial_time.get().unwrap_or_default() * LATE_FACTOR).max(timeout / LATE_MIN_DIVISOR)
     }
 
     pub(super) fn update_usual_dial_time(&self, took: Duration) {
--- a/crates/platform/src/host.rs
+++ b/crates/platform/src/host.rs
@@ -21,7 +21,7 @@
 use crate::standstill::{PauseDetector, HEARTBEAT_INTERVAL};
 use crate::starts::StartTimes;
 
-/// Highest number of log lines of one kind per minute; further ones are dropped.
+/// Maximum number of log lines of one kind per minute; further ones are dropped.
 const LOG_LINES_PER_MINUTE: u32 = 30;
 /// How often the counters are logged.
 const STATUS_INTERVAL: Duration = Duration::from_secs(10);
@@ -170,7 +170,7 @@
         read(&self.core.borrow())
     }
 
-    /// Notes that a list of engines was received that is the same as the last one.
+    /// Notes that a list of engines was received that is no newer than the last one.
     pub fn note_unchanged_list(&self) {
         self.start_times.borrow_mut().note_unchanged(self.clock.now());
     }
--- a/crates/platform/src/link.rs
+++ b/crates/platform/src/link.rs
@@ -12,11 +12,11 @@
 
 use crate::core::{AttemptId, Completion, Launch};
 
-/// Highest size of a result in bytes.
+/// Maximum size of a result in bytes.
 pub const RESULT_MAX_BYTES: usize = 48_000;
-/// Highest size of a page in bytes.
+/// Maximum size of a page in bytes.
 pub const PAGE_MAX_BYTES: usize = 6_000;
-/// Highest number of pages of a result. Pages hold whole rows, and so may be up to half empty.
+/// Maximum number of pages of a result. Pages hold whole rows, and so may be up to half empty.
 const PAGES_MAX: usize = 4 * RESULT_MAX_BYTES / PAGE_MAX_BYTES;
 /// Tabs of a row; rows have three columns.
 const TABS_PER_ROW: usize = 2;
--- a/crates/platform/src/requests.rs
+++ b/crates/platform/src/requests.rs
@@ -11,7 +11,7 @@
 use crate::core::{Admission, Reply};
 use crate::host::Host;
 
-/// Highest number of open requests of one connection.
+/// Maximum number of open requests of one connection.
 const OPEN_REQUESTS_MAX: usize = 32;
 
 /// Codes of Thrift application exceptions.
--- a/crates/platform/src/resolver.rs
+++ b/crates/platform/src/resolver.rs
@@ -30,12 +30,12 @@
 const FAILURES_LOGGED: u32 = 8;
 /// How long a query stays open. A change counts as known after 1.5 s, so that an older answer is of no use.
 const QUERY_LIFETIME: Duration = Duration::from_millis(1_500);
-/// Highest number of open queries. Each has a socket of its own.
+/// Maximum number of open queries. Each has a socket of its own.
 const OPEN_QUERIES_MAX: usize = 8;
-/// Highest number of datagrams that are examined for one query: a flood of them must not block the only
+/// Maximum number of datagrams that are examined for one query: a flood of them must not block the only
 /// thread.
 const DATAGRAMS_MAX: u32 = 32;
-/// Highest size of an answer. The buffer has one byte more, to detect longer ones.
+/// Maximum size of an answer. The buffer has one byte more, to detect longer ones.
 const ANSWER_MAX_BYTES: usize = 8_000;
 
 /// The resolver that the list of engines comes from.
--- a/crates/platform/src/service.rs
+++ b/crates/platform/src/service.rs
@@ -66,8 +66,9 @@
     Ok(())
 }
 
-/// Reads the configuration whenever the resolver does not answer: the signal that tells of its new address
-/// may have been lost, or have come before this process handled signals. Never returns.
+/// Reads the configuration whenever the resolver does not answer, and switches to the address that it names:
+/// the signal for a reload may have been lost, or have come before this process handled signals. Never
+/// returns.
 async fn watch_resolver_address(resolver: Rc<Resolver>, file: PathBuf) {
     loop {
         resolver.wait_for_silence().await;
--- a/crates/platform/src/shutdown.rs
+++ b/crates/platform/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown: the gateway keeps serving for as long as the platform's load balancer may still send
+//! Graceful shutdown: the gateway keeps serving for as long as the platform's front end may still send
 //! requests. Then it drains: it accepts no more requests, answers the open ones, and closes each connection
 //! after its last answer.
 
@@ -7,7 +7,7 @@
 
 use crate::host::Host;
 
-/// How long after SIGTERM requests are still accepted. The platform's load balancer opens new connections for
+/// How long after SIGTERM requests are still accepted. The platform's front end opens new connections for
 /// up to 0.4 s and sends requests for 0.2 s more. Requests that come later than 0.7 s must be answered before
 /// the process is killed, so they may not be accepted with a deadline of their own.
 const STOP_GRACE: Duration = Duration::from_millis(650);
--- a/crates/platform/src/starts.rs
+++ b/crates/platform/src/starts.rs
@@ -23,7 +23,7 @@
 }
 
 impl StartTimes {
-    /// Notes that a list was received that is the same as the last one.
+    /// Notes that a list was received that is no newer than the last one.
     pub fn note_unchanged(&mut self, now: Micros) {
         self.last_list = Some(now);
     }
