--- a/crates/platform/src/resolver.rs
+++ b/crates/platform/src/resolver.rs
@@ -23,7 +23,7 @@
 const QUERY_INTERVAL: Duration = Duration::from_millis(250);
 /// How long an answer is awaited before the next query is sent, less [`BACKOFF_STEP`].
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(150);
-/// By how much this time grows with each consecutive query without an answer. It never exceeds
+/// By how much the wait for an answer grows with each consecutive query without one. The wait never exceeds
 /// [`QUERY_INTERVAL`]: changes during an outage count as known soon after the resolver is back.
 const BACKOFF_STEP: Duration = Duration::from_millis(30);
 /// The number of consecutive queries without an answer after which the failure is logged.
--- a/crates/platform/src/service.rs
+++ b/crates/platform/src/service.rs
@@ -169,7 +169,8 @@
     use super::*;
 
     const INCOMPLETE: &str = r#"{"name":"n0","listen":"127.0.0.1:0","dns":"127.0.0.1:5"#;
-    const COMPLETE: &str = r#"{"name":"n0","listen":"127.0.0.1:0","dns":"127.0.0.1:55","known":{"no":1,"items":[]},
+    const COMPLETE: &str = r#"{"name":"n0","listen":"127.0.0.1:0","dns":"127.0.0.1:55",
+        "known":{"no":1,"items":[]},
         "limits":{"cores":1.0,"memory_mb":48,"sockets":256},
         "settings":{"NInstances":1,"Classes":[],"Contract":{},"Limits":{"AttemptsCap":3}}}"#;
 
