--- a/crates/platform/src/core.rs
+++ b/crates/platform/src/core.rs
@@ -346,7 +346,7 @@
             is_retry: call.retry,
             has_dedup_key: true,
             pin: None,
-            deadline: deadline,
+            deadline,
         }));
         Admission::Accepted
     }
