--- a/crates/gateway/src/agreed.rs
+++ b/crates/gateway/src/agreed.rs
@@ -95,7 +95,7 @@
         let votes = votes && trouble.is_none();
         let floor = Rules::floor(&terms.floor.0, &terms.floor.1, &names);
         let check = {
-            let (floor, names, holds) = (floor.clone(), names.clone(), terms.windows.is_some());
+            let (floor, names, holds) = (floor.clone(), names.clone(), terms.windows_fingerprint.is_some());
             Box::new(move |content: &[u8]| match check(content, &names, &floor)? {
                 rules if holds || rules.windows().is_empty() => Ok(()),
                 _ => Err("windows are not held here: the configuration has no (windows ...)".into()),
--- a/crates/gateway/src/agreed/asking.rs
+++ b/crates/gateway/src/agreed/asking.rs
@@ -41,7 +41,7 @@
     fn signed(&self, content: &[u8], after: u64, dry: bool, key: &str, given: &str) -> bool {
         let given = (0..given.len() / 2).map(|i| given.get(2 * i..2 * i + 2));
         let given: Option<Vec<u8>> = given.map(|d| u8::from_str_radix(d?, 16).ok()).collect();
-        let known = self.terms.operators.iter().find(|(name, _)| name == key);
+        let known = self.terms.operator_keys.iter().find(|(name, _)| name == key);
         let fits = |secret: &str, given: &[u8]| code(secret, after, dry, content).verify_slice(given).is_ok();
         known.zip(given).is_some_and(|((_, secret), given)| fits(secret, &given))
     }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -62,21 +62,21 @@
     for (i, form) in forms.iter().enumerate() {
         let repeated = form.name != "select" && forms[..i].iter().any(|f| f.name == form.name);
         if !SECTIONS.contains(&form.name.as_str()) && form.name != "select" {
-            c.at(form, format!("{} is not known; known: {}, select", form.name, SECTIONS.join(", ")));
+            c.error_at(form, format!("{} is not known; known: {}, select", form.name, SECTIONS.join(", ")));
         } else if repeated {
-            c.at(form, format!("{} stands twice", form.name));
+            c.error_at(form, format!("{} stands twice", form.name));
         }
     }
     let section = |name: &str| forms.iter().find(|f| f.name == name);
     let config = build(&mut c, &section, &forms, folder);
-    c.mistakes.sort();
+    c.diagnostics.sort();
     match config {
-        Some(config) if c.mistakes.is_empty() => Ok(config),
+        Some(config) if c.diagnostics.is_empty() => Ok(config),
         _ => {
-            if c.mistakes.is_empty() {
-                c.mistakes.push(Mistake { line: 1, column: 1, text: "the file is empty".into() });
+            if c.diagnostics.is_empty() {
+                c.diagnostics.push(Mistake { line: 1, column: 1, message: "the file is empty".into() });
             }
-            Err(c.mistakes)
+            Err(c.diagnostics)
         }
     }
 }
@@ -89,7 +89,7 @@
 ) -> Option<Config> {
     let missing = |c: &mut Checker, name: &str| {
         if section(name).is_none() {
-            c.mistakes.push(Mistake { line: 1, column: 1, text: format!("({name} ...) is missing") });
+            c.diagnostics.push(Mistake { line: 1, column: 1, message: format!("({name} ...) is missing") });
         }
     };
     for name in ["gateway", "kinds", "classes"] {
@@ -109,37 +109,37 @@
         "repeat-tag",
     ];
     let g = c.fields(gateway, 0, &known);
-    let number = g.whole(c, "number", (0, 1 << 20), 0);
-    let of = g.whole(c, "of", (1, 1 << 20), 1);
+    let number = g.integer(c, "number", (0, 1 << 20), 0);
+    let of = g.integer(c, "of", (1, 1 << 20), 1);
     if number >= of {
-        c.at(gateway, format!("gateway: number {number} must be under (of {of}): numbers count from 0"));
+        c.error_at(gateway, format!("gateway: number {number} must be under (of {of}): numbers count from 0"));
     }
     let zone = g.word(c, "zone", "default");
     let mut names = Names { zones: vec![zone], ..Names::default() };
-    let listen = g.need(c, "listen").cloned();
+    let listen = g.require(c, "listen").cloned();
     let listen = listen.and_then(|f| c.word(&f, "an address such as \"127.0.0.1:8080\"").map(|w| (f, w)));
     let listen = listen.and_then(|(f, w)| {
         let parsed = w.parse::<SocketAddr>().ok();
         if parsed.is_none() {
-            c.at(&f, format!("listen: expected an address and port such as \"127.0.0.1:8080\", found {w}"));
+            c.error_at(&f, format!("listen: expected an address and port such as \"127.0.0.1:8080\", found {w}"));
         }
         parsed
     });
     let origin = g.get("origin").cloned().and_then(|f| {
         let word = c.word(&f, "the name of a zone")?;
         let name = violetward_dns::name::Name::parse(&word, &violetward_dns::name::Name::root());
-        name.map_err(|e| c.at(&f, format!("origin: {e}"))).ok()
+        name.map_err(|e| c.error_at(&f, format!("origin: {e}"))).ok()
     });
-    let engines = g.need(c, "engines").cloned().and_then(|f| c.word(&f, "the path of the engine list"));
+    let engines = g.require(c, "engines").cloned().and_then(|f| c.word(&f, "the path of the engine list"));
 
     let zone_front = section("dns").and_then(|form| zone_front(c, form, &origin));
     let peers = section("membership").and_then(|form| peer_terms(c, form, folder));
     let kernel = section("kernel").and_then(|form| {
         let f = c.fields(form, 0, &["connection-file", "user", "rows"]);
-        let file = f.need(c, "connection-file").cloned().and_then(|f| c.word(&f, "a path"))?;
+        let file = f.require(c, "connection-file").cloned().and_then(|f| c.word(&f, "a path"))?;
         let user = f.word(c, "user", "notebook");
-        let rows = f.whole(c, "rows", (1, 1_000_000), 1000) as usize;
-        Some(KernelConfig { connection_file: folder.join(file), user, rows })
+        let rows = f.integer(c, "rows", (1, 1_000_000), 1000) as usize;
+        Some(KernelConfig { connection_file: folder.join(file), user, max_rows: rows })
     });
     let sessions = session_terms(c, section("sessions"), folder);
     let limits = section("limits");
@@ -148,29 +148,29 @@
     settings.own_id = PeerId(number);
     settings.gateways = of as u32;
 
-    for datum in &kinds.rest {
+    for datum in &kinds.args {
         let Some(form) = c.form(*datum) else { continue };
         let Some(name) = named(c, &form, "kind", &names.kinds) else { continue };
         let f = c.fields(&form, 1, &["cores", "memory"]);
-        let cores = f.need(c, "cores").cloned().and_then(|f| c.number(&f, 0.1, 4096.0)).unwrap_or(1.0);
+        let cores = f.require(c, "cores").cloned().and_then(|f| c.number(&f, 0.1, 4096.0)).unwrap_or(1.0);
         let memory = f.size(c, "memory", 0);
         settings.kinds.push(Kind { cores, memory_mb: memory as f64 / f64::from(1 << 20) });
         names.kinds.push(name);
     }
     if settings.kinds.is_empty() {
-        c.at(kinds, "kinds: expected at least one (kind NAME (cores N) (memory SIZE))");
+        c.error_at(kinds, "kinds: expected at least one (kind NAME (cores N) (memory SIZE))");
     }
     if let Some(tenants) = section("tenants") {
-        for datum in &tenants.rest {
+        for datum in &tenants.args {
             let Some(form) = c.form(*datum) else { continue };
             let Some(name) = named(c, &form, "tenant", &names.tenants) else { continue };
             let f = c.fields(&form, 1, &["per-second"]);
-            let rate = f.need(c, "per-second").cloned().and_then(|f| c.number(&f, 0.0, 1e9)).unwrap_or(0.0);
+            let rate = f.require(c, "per-second").cloned().and_then(|f| c.number(&f, 0.0, 1e9)).unwrap_or(0.0);
             settings.tenants.push(Tenant { quota_per_s: rate });
             names.tenants.push(name);
         }
     }
-    for datum in &classes.rest {
+    for datum in &classes.args {
         let Some(form) = c.form(*datum) else { continue };
         let Some(name) = named(c, &form, "class", &names.classes) else { continue };
         let f = class(c, &form, &mut names, &host, &settings);
@@ -178,7 +178,7 @@
         names.classes.push(name);
     }
     if settings.classes.is_empty() {
-        c.at(classes, "classes: expected at least one (class NAME ...)");
+        c.error_at(classes, "classes: expected at least one (class NAME ...)");
     }
     let mut agreement =
         section("agreement").and_then(|f| agreement_terms(c, f, peers.as_ref(), &names, folder));
@@ -195,7 +195,7 @@
     for form in forms.iter().filter(|f| f.name == "select") {
         let Some(name) = c.name(form) else { continue };
         let Some(class) = names.classes.iter().position(|n| *n == name) else {
-            c.at(form, format!("select: there is no class {name}; classes: {}", names.classes.join(", ")));
+            c.error_at(form, format!("select: there is no class {name}; classes: {}", names.classes.join(", ")));
             continue;
         };
         let f = c.fields(form, 1, &["source", "user", "tag", "first-word"]);
@@ -208,7 +208,7 @@
         listen: listen?,
         engines: folder.join(engines?),
         origin,
-        zone_front,
+        zone_server: zone_front,
         kernel,
         peers,
         agreement,
@@ -226,12 +226,12 @@
 
 fn named(c: &mut Checker, form: &Form<'_>, what: &str, before: &[String]) -> Option<String> {
     if form.name != what {
-        c.at(form, format!("expected ({what} NAME ...), found ({} ...)", form.name));
+        c.error_at(form, format!("expected ({what} NAME ...), found ({} ...)", form.name));
         return None;
     }
     let name = c.name(form)?;
     if before.contains(&name) {
-        c.at(form, format!("{what} {name} stands twice"));
+        c.error_at(form, format!("{what} {name} stands twice"));
         return None;
     }
     Some(name)
@@ -240,10 +240,10 @@
 /// Checks that only hold over several sections.
 pub fn cross_checks(config: &Config) -> Vec<String> {
     let mut found = Vec::new();
-    if config.host.list_every * 2 > config.drain_grace {
+    if config.host.list_poll_interval * 2 > config.drain_grace {
         found.push(format!(
             "limits/list-every ({:?}) must be at most half of policy/drain-grace ({:?}): a drain seen late is not kept",
-            config.host.list_every, config.drain_grace
+            config.host.list_poll_interval, config.drain_grace
         ));
     }
     let s = &config.settings;
--- a/crates/gateway/src/config/membership.rs
+++ b/crates/gateway/src/config/membership.rs
@@ -7,7 +7,7 @@
     use violetward_membership::wire::NAME;
     let several = ["key", "via"];
     let mut fields: Vec<Form<'_>> = Vec::new();
-    for datum in &form.rest {
+    for datum in &form.args {
         let Some(field) = c.form(*datum) else { continue };
         let known = [
             "listen",
@@ -24,9 +24,9 @@
             "widen",
         ];
         if !known.contains(&field.name.as_str()) {
-            c.at(&field, format!("{} is not known in membership; known: {}", field.name, known.join(", ")));
+            c.error_at(&field, format!("{} is not known in membership; known: {}", field.name, known.join(", ")));
         } else if !several.contains(&field.name.as_str()) && fields.iter().any(|f| f.name == field.name) {
-            c.at(&field, format!("{} stands twice", field.name));
+            c.error_at(&field, format!("{} stands twice", field.name));
         }
         fields.push(field);
     }
@@ -35,7 +35,7 @@
     let address = |c: &mut Checker, form: &Form<'_>, word: &str| -> Option<SocketAddr> {
         let parsed = word.parse().ok();
         if parsed.is_none() {
-            c.at(form, format!("{}: expected {what}, found {word}", form.name));
+            c.error_at(form, format!("{}: expected {what}, found {word}", form.name));
         }
         parsed
     };
@@ -50,14 +50,14 @@
             Some(form) => c.word(&form, "a name").filter(|word| {
                 let fits = (1..=NAME).contains(&word.len());
                 if !fits {
-                    c.at(&form, format!("{field}: expected 1 to {NAME} octets"));
+                    c.error_at(&form, format!("{field}: expected 1 to {NAME} octets"));
                 }
                 fits
             }),
             None => default.map(str::to_owned),
         };
         if word.is_none() && get(field).is_none() {
-            c.at(form, format!("membership needs ({field} ...)"));
+            c.error_at(form, format!("membership needs ({field} ...)"));
         }
         word
     };
@@ -75,7 +75,7 @@
             ("via", [name, to]) => via.extend(address(c, field, to).map(|to| (name.clone(), to))),
             ("key", [name, secret]) => keys
                 .push(violetward_membership::Key { name: name.clone(), secret: secret.clone().into_bytes() }),
-            _ => c.at(
+            _ => c.error_at(
                 field,
                 format!("expected (key NAME \"secret\") or (via NAME ADDRESS), found ({} ...)", field.name),
             ),
@@ -86,33 +86,33 @@
     let ring = match &file {
         Some((path, form)) => {
             if !keys.is_empty() {
-                c.at(form, "key-file and key: expected one of them");
+                c.error_at(form, "key-file and key: expected one of them");
             }
             let read = std::fs::read_to_string(folder.join(path))
                 .map_err(|e| e.to_string())
                 .and_then(|t| read_ring(&t));
-            read.map_err(|why| c.at(form, format!("key-file {path}: {why}"))).ok()
+            read.map_err(|why| c.error_at(form, format!("key-file {path}: {why}"))).ok()
         }
         None => violetward_membership::Keys::new(keys)
-            .map_err(|why| c.at(form, format!("membership: {why}")))
+            .map_err(|why| c.error_at(form, format!("membership: {why}")))
             .ok(),
     };
-    let period = get("period").and_then(|f| c.span(&f)).unwrap_or(Duration::from_millis(500));
+    let period = get("period").and_then(|f| c.duration(&f)).unwrap_or(Duration::from_millis(500));
     if period < Duration::from_millis(20) {
-        c.at(form, "membership: period must be at least \"20ms\"");
+        c.error_at(form, "membership: period must be at least \"20ms\"");
     }
-    let most = get("most").and_then(|f| c.whole(&f, 2, 100_000)).unwrap_or(4_096) as usize;
+    let most = get("most").and_then(|f| c.integer(&f, 2, 100_000)).unwrap_or(4_096) as usize;
     let widest = get("widest").and_then(|f| c.number(&f, 1.0, 10.0)).unwrap_or(2.0);
     let widen = get("widen").and_then(|f| c.number(&f, 0.001, 10.0)).unwrap_or(0.1);
     if listen.is_none() && get("listen").is_none() {
-        c.at(form, "membership needs (listen ADDRESS)");
+        c.error_at(form, "membership needs (listen ADDRESS)");
     }
     let (listen, name, site, keys) = (listen?, own?, site?, ring?);
     if advertise.is_none() && listen.ip().is_unspecified() {
-        c.at(
+        c.error_at(
             form,
             "membership: (advertise ADDRESS) must tell where others reach a listener on all addresses",
         );
     }
-    Some(PeerTerms { listen, advertise, name, site, seeds, via, keys, key_file, period, most, widest, widen })
+    Some(PeerTerms { listen, advertise, name, site, seeds, address_overrides: via, keys, key_file, probe_interval: period, max_members: most, max_total_share: widest, share_growth_per_s: widen })
 }
--- a/crates/gateway/src/config/policy.rs
+++ b/crates/gateway/src/config/policy.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 pub(super) fn policy(c: &mut Checker, form: Option<&Form<'_>>) -> (Settings, Duration) {
-    let empty = Form::made("policy");
+    let empty = Form::empty("policy");
     let known = [
         "attempts",
         "budget",
@@ -25,10 +25,10 @@
         "cross-zone-price",
     ];
     let f = c.fields(form.unwrap_or(&empty), 0, &known);
-    let span = |c: &mut Checker, name: &str, ms: u64| micros(f.span(c, name, Duration::from_millis(ms)));
+    let span = |c: &mut Checker, name: &str, ms: u64| micros(f.duration(c, name, Duration::from_millis(ms)));
     let budget = f.get("budget").cloned().map(|b| {
         let f = c.fields(&b, 0, &["free", "share", "window"]);
-        let window = f.need(c, "window").cloned().and_then(|w| c.span(&w)).unwrap_or(Duration::from_secs(5));
+        let window = f.require(c, "window").cloned().and_then(|w| c.duration(&w)).unwrap_or(Duration::from_secs(5));
         AttemptBudget {
             free: f.number(c, "free", (0.0, 1e6), 5.0),
             per_request: f.number(c, "share", (0.0, 1.0), 0.1),
@@ -65,7 +65,7 @@
         overload_span: span(c, "fall-span", 1_500).max(1),
         key_cooldown: span(c, "key-rest", 2_000),
         budget: Some(budget.unwrap_or(default)),
-        attempts_cap: f.whole(c, "attempts", (1, 10), 3) as u32,
+        attempts_cap: f.integer(c, "attempts", (1, 10), 3) as u32,
         may_cancel: f.flag(c, "cancels", true),
         may_duplicate: false,
         may_probe: f.flag(c, "probes", true),
@@ -76,9 +76,9 @@
         load_reports: LoadReports::WithAnswers,
         prices: Prices { cross_zone: f.number(c, "cross-zone-price", (0.0, 1.0), 0.0), ..Prices::default() },
     };
-    let grace = f.span(c, "drain-grace", Duration::from_millis(250));
+    let grace = f.duration(c, "drain-grace", Duration::from_millis(250));
     if grace < Duration::from_millis(1) {
-        c.at(&f.owner, "policy: drain-grace must be at least \"1ms\"");
+        c.error_at(&f.form, "policy: drain-grace must be at least \"1ms\"");
     }
     (settings, grace)
 }
@@ -105,23 +105,23 @@
         "waits-for-loads",
     ];
     let f = c.fields(form, 1, &known);
-    let aim = f.need(c, "aim").cloned().and_then(|f| c.span(&f)).unwrap_or(Duration::from_secs(1));
-    let give_up = f.need(c, "give-up").cloned().and_then(|f| c.span(&f)).unwrap_or(aim * 2);
+    let aim = f.require(c, "aim").cloned().and_then(|f| c.duration(&f)).unwrap_or(Duration::from_secs(1));
+    let give_up = f.require(c, "give-up").cloned().and_then(|f| c.duration(&f)).unwrap_or(aim * 2);
     if give_up <= aim {
-        c.at(form, "class: give-up must be over aim: nothing could be late and still be answered");
+        c.error_at(form, "class: give-up must be over aim: nothing could be late and still be answered");
     }
     if give_up <= host.reply_margin * 2 {
-        c.at(form, "class: give-up must be over twice limits/reply-margin: no time to run would be left");
+        c.error_at(form, "class: give-up must be over twice limits/reply-margin: no time to run would be left");
     }
-    let effect = f.need(c, "effect").cloned().and_then(|e| effect(c, &e));
+    let effect = f.require(c, "effect").cloned().and_then(|e| effect(c, &e));
     let effect = effect.unwrap_or(Effect::Repeatable);
     let in_order = f.flag(c, "in-order", false);
     if in_order && settings.key_cooldown == 0 {
-        c.at(form, "class: in-order needs policy/key-rest over 0: work whose end is not known may go on");
+        c.error_at(form, "class: in-order needs policy/key-rest over 0: work whose end is not known may go on");
     }
     if let Effect::Keyed { window, .. } = effect {
         if window <= 2 * settings.quantum {
-            c.at(form, "class: the window of a keyed effect is too short for any further attempt");
+            c.error_at(form, "class: the window of a keyed effect is too short for any further attempt");
         }
     }
     let places = |c: &mut Checker, name: &str, known: &mut Vec<String>, open: bool| -> Option<Vec<usize>> {
@@ -135,7 +135,7 @@
                     known.push(word);
                     numbers.push(known.len() - 1);
                 }
-                None => c.at(&form, format!("{name}: there is no {word}; known: {}", known.join(", "))),
+                None => c.error_at(&form, format!("{name}: there is no {word}; known: {}", known.join(", "))),
             }
         }
         Some(numbers)
@@ -152,25 +152,25 @@
         in_order,
         kinds: kinds.map(|k| k.into_iter().map(KindId).collect()),
         zones: zones.map(|z| z.into_iter().map(ZoneId).collect()),
-        threads: f.whole(c, "threads", (1, 1024), 1) as u32,
+        threads: f.integer(c, "threads", (1, 1024), 1) as u32,
         is_load: f.flag(c, "load", false),
         waits_for_loads: f.flag(c, "waits-for-loads", false),
     }
 }
 
 fn effect(c: &mut Checker, form: &Form<'_>) -> Option<Effect> {
-    let datum = c.one(form, "repeatable, once or (keyed (scope all) (window \"25s\"))")?;
+    let datum = c.single_arg(form, "repeatable, once or (keyed (scope all) (window \"25s\"))")?;
     if datum.list_iter().is_none() {
         return c.choice(form, &[("repeatable", Effect::Repeatable), ("once", Effect::Once)]);
     }
     let keyed = c.form(datum)?;
     if keyed.name != "keyed" {
-        c.at(&keyed, "effect: expected repeatable, once or (keyed ...)");
+        c.error_at(&keyed, "effect: expected repeatable, once or (keyed ...)");
         return None;
     }
     let f = c.fields(&keyed, 0, &["scope", "window"]);
     let scopes = [("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)];
     let scope = f.get("scope").cloned().and_then(|f| c.choice(&f, &scopes)).unwrap_or(KeyScope::All);
-    let window = f.need(c, "window").cloned().and_then(|f| c.span(&f))?;
+    let window = f.require(c, "window").cloned().and_then(|f| c.duration(&f))?;
     Some(Effect::Keyed { scope, window: micros(window) })
 }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -351,7 +351,7 @@
                 .expect("the key has a name and at least sixteen bytes")
         });
         Core {
-            sessions: Sessions::new(terms.limits.clone(), terms.reserve, keys, instance, 0),
+            sessions: Sessions::new(terms.limits.clone(), terms.transaction_reserve, keys, instance, 0),
             offered_work: vec![0.0; settings.classes.len()],
             classes: settings.classes.clone(),
             observations: None,
--- a/crates/gateway/src/core/fronts.rs
+++ b/crates/gateway/src/core/fronts.rs
@@ -76,7 +76,7 @@
             pending,
         };
         self.counts.taken += 1;
-        let too_many = self.open >= self.limits.most_open;
+        let too_many = self.open >= self.limits.max_open_statements;
         self.open += 1;
         self.statements.insert(id, statement);
         self.set_timer(now + self.abandon_after(), Timer::Client(id));
@@ -147,7 +147,7 @@
                 // The client has rows of this attempt now, so it must not be restarted.
                 self.events.push_back(Event::Streaming(RequestId(id.0)));
                 let last_answer = self.attempts.get(&AttemptId(id, attempt)).map_or(now, |a| a.last_answer);
-                let idle = self.limits.stream_idle.as_micros() as Micros;
+                let idle = self.limits.stream_idle_timeout.as_micros() as Micros;
                 self.set_timer(last_answer + idle, Timer::Stream(AttemptId(id, attempt)));
             }
         }
--- a/crates/gateway/src/core/protection.rs
+++ b/crates/gateway/src/core/protection.rs
@@ -438,7 +438,7 @@
                 }
                 if after.is_some() {
                     self.events.push_back(Event::Streaming(RequestId(id.0)));
-                    let idle = self.limits.stream_idle.as_micros() as Micros;
+                    let idle = self.limits.stream_idle_timeout.as_micros() as Micros;
                     self.set_timer(self.now + idle, Timer::Stream(resumed.attempt));
                 }
                 self.effects.push_back(Effect::Resume(Box::new(resumed)));
--- a/crates/gateway/src/core/time.rs
+++ b/crates/gateway/src/core/time.rs
@@ -62,7 +62,7 @@
     /// Fails an attempt whose engine has stopped sending pages in the middle of a result.
     pub(super) fn check_stream(&mut self, id: AttemptId) {
         let Some(attempt) = self.attempts.get(&id) else { return };
-        let (idle, paused) = (self.limits.stream_idle.as_micros() as Micros, attempt.paused);
+        let (idle, paused) = (self.limits.stream_idle_timeout.as_micros() as Micros, attempt.paused);
         let last_answer = if paused { self.now } else { attempt.last_answer };
         if self.now >= last_answer + idle {
             self.effects.push_back(Effect::Cancel(id));
@@ -82,7 +82,7 @@
     pub(super) fn check_client(&mut self, id: StatementId) {
         let Some(s) = self.statements.get(&id) else { return };
         let retention =
-            if s.pages.end().is_some() { self.limits.keep_ended } else { self.limits.abandon_after };
+            if s.pages.end().is_some() { self.limits.ended_retention } else { self.limits.abandon_timeout };
         let until = s.last_poll + retention.as_micros() as Micros;
         if s.waiting_polls > 0 || self.now < until {
             let next_check = until.max(self.now + CLIENT_RECHECK_US);
@@ -140,6 +140,6 @@
     }
 
     pub(super) fn abandon_after(&self) -> Micros {
-        self.limits.abandon_after.as_micros() as Micros
+        self.limits.abandon_timeout.as_micros() as Micros
     }
 }
--- a/crates/gateway/src/custody.rs
+++ b/crates/gateway/src/custody.rs
@@ -254,7 +254,7 @@
             lease: micros(terms.lease),
             drift_ppm: terms.drift,
             action_margin: micros(terms.check),
-            replicas: terms.copies,
+            replicas: terms.guardians,
             max_replica_records: terms.most.0,
             max_replica_bytes: terms.most.1,
         };
@@ -282,7 +282,7 @@
             waited: Cell::default(),
         });
         *host.custody.borrow_mut() = Some(custody.clone());
-        host.with_core(|core, _| core.protect_classes(terms.protect.clone()));
+        host.with_core(|core, _| core.protect_classes(terms.protected_classes.clone()));
         host.spawn(custody.clone().keep(host.clone(), store, kept));
         host.spawn(custody.clone().wake(host.clone()));
         host.spawn(custody.clone().look(host.clone()));
@@ -347,7 +347,7 @@
             }
             Effect::Unreplicated(key) => {
                 self.unprotected.set(self.unprotected.get() + 1);
-                if let Some(id) = self.local(&key).filter(|_| self.terms.refuses) {
+                if let Some(id) = self.local(&key).filter(|_| self.terms.refuse_unguarded) {
                     let why = "no other gateway could keep it";
                     host.with_core(|core, now| core.refuse_unprotected(now, id, why));
                 }
@@ -418,7 +418,7 @@
         if !self.ready.get() && host.started.elapsed() < self.terms.lease * 2 {
             return Takes::No("this gateway has just started; the statement was not taken");
         }
-        match self.terms.refuses {
+        match self.terms.refuse_unguarded {
             true => Takes::No("this gateway may not act now; the statement was not taken"),
             false => Takes::Unprotected,
         }
--- a/crates/gateway/src/custody_terms.rs
+++ b/crates/gateway/src/custody_terms.rs
@@ -29,33 +29,33 @@
     ];
     let f = c.fields(form, 0, &known);
     if peers.is_none() {
-        c.at(
+        c.error_at(
             form,
             "custody needs (membership ...): who lives, and what gateways say to each other, come from there",
         );
         return None;
     }
-    let voters = f.need(c, "voters").cloned().map(|v| (c.words(&v), v));
+    let voters = f.require(c, "voters").cloned().map(|v| (c.words(&v), v));
     if let Some((voters, form)) = &voters {
         let repeated = voters.iter().enumerate().any(|(i, v)| voters[..i].contains(v));
         if repeated || !(1..=9).contains(&voters.len()) {
-            c.at(form, "voters: expected one to nine names, each once");
+            c.error_at(form, "voters: expected one to nine names, each once");
         }
     }
-    let lease = f.span(c, "lease", Duration::from_secs(2));
-    let check = f.span(c, "check", Duration::from_millis(100));
-    let drift = f.whole(c, "drift", (0, 100_000), 1_000);
+    let lease = f.duration(c, "lease", Duration::from_secs(2));
+    let check = f.duration(c, "check", Duration::from_millis(100));
+    let drift = f.integer(c, "drift", (0, 100_000), 1_000);
     if lease < Duration::from_millis(400) || check > lease / 4 {
-        c.at(form, "custody: expected lease >= \"400ms\" and check <= a quarter of it");
+        c.error_at(form, "custody: expected lease >= \"400ms\" and check <= a quarter of it");
     }
-    let copies = f.whole(c, "copies", (1, 8), 2) as usize;
-    let path = f.need(c, "folder").cloned().and_then(|v| c.word(&v, "a path"));
+    let copies = f.integer(c, "copies", (1, 8), 2) as usize;
+    let path = f.require(c, "folder").cloned().and_then(|v| c.word(&v, "a path"));
     let mut protect = vec![f.get("protect").is_none(); names.classes.len()];
     if let Some(form) = f.get("protect").cloned() {
         for class in c.words(&form) {
             match names.classes.iter().position(|n| *n == class) {
                 Some(n) => protect[n] = true,
-                None => c.at(
+                None => c.error_at(
                     &form,
                     format!("protect: there is no class {class}; classes: {}", names.classes.join(", ")),
                 ),
@@ -64,7 +64,7 @@
     }
     let choices = [("go", false), ("refuse", true)];
     let refuses = f.get("unguarded").cloned().and_then(|f| c.choice(&f, &choices)).unwrap_or(false);
-    let records = f.whole(c, "records", (1, 10_000_000), 50_000) as usize;
+    let records = f.integer(c, "records", (1, 10_000_000), 50_000) as usize;
     let octets = f.size(c, "octets", 256 << 20) as usize;
     let (voters, folder) = (voters?.0, folder.join(path?));
     Some(CustodyTerms {
@@ -72,10 +72,10 @@
         lease,
         drift,
         check,
-        copies,
+        guardians: copies,
         folder,
-        protect,
-        refuses,
+        protected_classes: protect,
+        refuse_unguarded: refuses,
         most: (records, octets),
     })
 }
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -171,7 +171,7 @@
     headers.push("Via", format!("1.1 violetward-{}", host.config.settings.own_id.0));
     headers.push("Content-Type", "text/plain; charset=utf-8");
     launch.context.write(&mut headers);
-    let within = host.config.host.connect_within;
+    let within = host.config.host.connect_timeout;
     let connection = if launch.new_connection { pool.connect(within).await } else { pool.get(within).await };
     let mut connection =
         connection.map_err(|e| AttemptError(Outcome::ConnectFailed, format!("no connection: {e}")))?;
@@ -308,7 +308,7 @@
     let mut tries = 0;
     loop {
         tries += 1;
-        let within = host.config.host.connect_within;
+        let within = host.config.host.connect_timeout;
         let connection = pool.get(within).await;
         let mut connection = connection
             .map_err(|e| AttemptError(Outcome::Reset, format!("no connection for the next page: {e}")))?;
@@ -347,7 +347,7 @@
     }
     let Some(uri) = next_uri.borrow_mut().take() else { return };
     let exchange = async {
-        let Ok(mut connection) = pool.get(host.config.host.connect_within).await else { return };
+        let Ok(mut connection) = pool.get(host.config.host.connect_timeout).await else { return };
         let answer = connection.call("DELETE", path(&uri), &host_header(pool.address()), b"").await;
         if answer.is_ok_and(|m| m.keep_alive) {
             pool.put(connection);
@@ -375,7 +375,7 @@
     headers.push("Via", format!("1.1 violetward-{}", host.config.settings.own_id.0));
     context.write(&mut headers);
     let exchange = async {
-        let mut connection = pool.get(host.config.host.connect_within).await.ok()?;
+        let mut connection = pool.get(host.config.host.connect_timeout).await.ok()?;
         let message = connection.call("POST", STATEMENT, &headers, text.as_bytes()).await.ok()?;
         let (results, _) = read(&pool, connection, message).ok()?;
         let uri = results.next_uri?;
@@ -389,7 +389,7 @@
 pub(crate) async fn status(host: &Host, address: SocketAddr) -> Option<(Load, Option<String>)> {
     let pool = host.pool(address);
     let exchange = async {
-        let mut connection = pool.get(host.config.host.connect_within).await.ok()?;
+        let mut connection = pool.get(host.config.host.connect_timeout).await.ok()?;
         let message = connection.call("GET", "/v1/status", &host_header(address), b"").await.ok()?;
         let epoch = message.headers.get(EPOCH).map(str::to_owned);
         let status =
@@ -399,7 +399,7 @@
         }
         status.map(|status| (status, epoch))
     };
-    let (status, epoch) = timeout(host.config.host.probe_within, exchange).await??;
+    let (status, epoch) = timeout(host.config.host.probe_timeout, exchange).await??;
     let memory = (status.heap_available > 0).then(|| status.heap_used as f64 / status.heap_available as f64);
     let load = Load {
         in_flight: status.running_statements.map(f64::from),
--- a/crates/gateway/src/forms.rs
+++ b/crates/gateway/src/forms.rs
@@ -15,12 +15,12 @@
     /// Column, from 1.
     pub column: usize,
     /// What is wrong and what was expected.
-    pub text: String,
+    pub message: String,
 }
 
 impl fmt::Display for Mistake {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}: {}", self.line, self.column, self.text)
+        write!(f, "{}:{}: {}", self.line, self.column, self.message)
     }
 }
 
@@ -30,21 +30,21 @@
     /// Its first word.
     pub name: String,
     /// The rest.
-    pub rest: Vec<Ref<'a>>,
-    place: (usize, usize),
+    pub args: Vec<Ref<'a>>,
+    position: (usize, usize),
 }
 
 impl Form<'static> {
     /// A form without arguments.
-    pub fn made(name: &str) -> Self {
-        Form { name: name.to_owned(), rest: Vec::new(), place: (1, 1) }
+    pub fn empty(name: &str) -> Self {
+        Form { name: name.to_owned(), args: Vec::new(), position: (1, 1) }
     }
 }
 
 impl<'a> Form<'a> {
     /// The same form, at the same place, with other arguments.
-    pub fn with(&self, rest: Vec<Ref<'a>>) -> Form<'a> {
-        Form { rest, ..self.clone() }
+    pub fn with_args(&self, rest: Vec<Ref<'a>>) -> Form<'a> {
+        Form { args: rest, ..self.clone() }
     }
 }
 
@@ -52,7 +52,7 @@
 #[derive(Debug, Default)]
 pub struct Checker {
     /// What has been found so far.
-    pub mistakes: Vec<Mistake>,
+    pub diagnostics: Vec<Mistake>,
 }
 
 /// The top-level data of a text.
@@ -71,7 +71,7 @@
                 return Err(Mistake {
                     line,
                     column: column.max(1),
-                    text: format!("not an S-expression: {e}"),
+                    message: format!("not an S-expression: {e}"),
                 });
             }
         }
@@ -95,12 +95,12 @@
 
 impl Checker {
     /// Notes a mistake at a form.
-    pub fn at(&mut self, form: &Form<'_>, text: impl Into<String>) {
-        self.note(form.place, text.into());
+    pub fn error_at(&mut self, form: &Form<'_>, text: impl Into<String>) {
+        self.push_error(form.position, text.into());
     }
 
-    fn note(&mut self, (line, column): (usize, usize), text: String) {
-        self.mistakes.push(Mistake { line, column, text });
+    fn push_error(&mut self, (line, column): (usize, usize), text: String) {
+        self.diagnostics.push(Mistake { line, column, message: text });
     }
 
     /// Reads a form; notes what is none.
@@ -109,15 +109,15 @@
         let mut items = match datum.list_iter() {
             Some(items) => items.collect::<Vec<_>>().into_iter(),
             None => {
-                self.note(place, format!("expected a form like (name value), found {}", shown(&datum)));
+                self.push_error(place, format!("expected a form like (name value), found {}", shown(&datum)));
                 return None;
             }
         };
         let name = items.next().and_then(|n| word(&n));
         match name {
-            Some(name) => Some(Form { name, rest: items.collect(), place }),
+            Some(name) => Some(Form { name, args: items.collect(), position: place }),
             None => {
-                self.note(place, "expected a form that begins with a name".into());
+                self.push_error(place, "expected a form that begins with a name".into());
                 None
             }
         }
@@ -125,63 +125,63 @@
 
     /// Reads the arguments of a form, from `skip` on, as fields; notes unknown and repeated ones.
     pub fn fields<'a>(&mut self, form: &Form<'a>, skip: usize, known: &[&str]) -> Fields<'a> {
-        let forms: Vec<Form<'a>> = form.rest.iter().skip(skip).filter_map(|d| self.form(*d)).collect();
+        let forms: Vec<Form<'a>> = form.args.iter().skip(skip).filter_map(|d| self.form(*d)).collect();
         for (i, field) in forms.iter().enumerate() {
             if !known.contains(&field.name.as_str()) {
                 let text =
                     format!("{} is not known in {}; known: {}", field.name, form.name, known.join(", "));
-                self.note(field.place, text);
+                self.push_error(field.position, text);
             } else if forms[..i].iter().any(|f| f.name == field.name) {
-                self.note(field.place, format!("{} stands twice in {}", field.name, form.name));
+                self.push_error(field.position, format!("{} stands twice in {}", field.name, form.name));
             }
         }
-        Fields { owner: form.clone(), forms }
+        Fields { form: form.clone(), fields: forms }
     }
 
     /// The one argument of a form.
-    pub fn one<'a>(&mut self, form: &Form<'a>, what: &str) -> Option<Ref<'a>> {
-        match form.rest.as_slice() {
+    pub fn single_arg<'a>(&mut self, form: &Form<'a>, what: &str) -> Option<Ref<'a>> {
+        match form.args.as_slice() {
             [one] => Some(*one),
             _ => {
-                self.at(form, format!("{}: expected {what}", form.name));
+                self.error_at(form, format!("{}: expected {what}", form.name));
                 None
             }
         }
     }
 
-    fn parsed<T>(&mut self, form: &Form<'_>, what: &str, read: impl Fn(&Ref<'_>) -> Option<T>) -> Option<T> {
-        let datum = self.one(form, what)?;
+    fn parse_arg<T>(&mut self, form: &Form<'_>, what: &str, read: impl Fn(&Ref<'_>) -> Option<T>) -> Option<T> {
+        let datum = self.single_arg(form, what)?;
         let value = read(&datum);
         if value.is_none() {
-            self.note(place(&datum), format!("{}: expected {what}, found {}", form.name, shown(&datum)));
+            self.push_error(place(&datum), format!("{}: expected {what}, found {}", form.name, shown(&datum)));
         }
         value
     }
 
     /// A word: a string or a symbol.
     pub fn word(&mut self, form: &Form<'_>, what: &str) -> Option<String> {
-        self.parsed(form, what, word)
+        self.parse_arg(form, what, word)
     }
 
     /// The first argument as a name.
     pub fn name(&mut self, form: &Form<'_>) -> Option<String> {
-        let name = form.rest.first().and_then(word);
+        let name = form.args.first().and_then(word);
         if name.is_none() {
-            self.at(form, format!("{}: expected a name first", form.name));
+            self.error_at(form, format!("{}: expected a name first", form.name));
         }
         name
     }
 
     /// All arguments as words.
     pub fn words(&mut self, form: &Form<'_>) -> Vec<String> {
-        if form.rest.is_empty() {
-            self.at(form, format!("{}: expected at least one word", form.name));
+        if form.args.is_empty() {
+            self.error_at(form, format!("{}: expected at least one word", form.name));
         }
-        let rest = form.rest.clone();
+        let rest = form.args.clone();
         let each = |d: Ref<'_>| {
             let found = word(&d);
             if found.is_none() {
-                self.note(place(&d), format!("{}: expected a word, found {}", form.name, shown(&d)));
+                self.push_error(place(&d), format!("{}: expected a word, found {}", form.name, shown(&d)));
             }
             found
         };
@@ -191,32 +191,32 @@
     /// A number within bounds.
     pub fn number(&mut self, form: &Form<'_>, least: f64, most: f64) -> Option<f64> {
         let what = format!("a number from {least} to {most}");
-        self.parsed(form, &what, |d| d.value().as_f64().filter(|n| (least..=most).contains(n)))
+        self.parse_arg(form, &what, |d| d.value().as_f64().filter(|n| (least..=most).contains(n)))
     }
 
     /// A whole number within bounds.
-    pub fn whole(&mut self, form: &Form<'_>, least: u64, most: u64) -> Option<u64> {
+    pub fn integer(&mut self, form: &Form<'_>, least: u64, most: u64) -> Option<u64> {
         let what = format!("a whole number from {least} to {most}");
-        self.parsed(form, &what, |d| d.value().as_u64().filter(|n| (least..=most).contains(n)))
+        self.parse_arg(form, &what, |d| d.value().as_u64().filter(|n| (least..=most).contains(n)))
     }
 
     /// A span, as a string like `"250ms"`.
-    pub fn span(&mut self, form: &Form<'_>) -> Option<Duration> {
+    pub fn duration(&mut self, form: &Form<'_>) -> Option<Duration> {
         let read =
             |d: &Ref<'_>| word(d).and_then(|w| session::duration(&w)).filter(|d| d.as_secs() < 86_400 * 7);
-        self.parsed(form, "a span such as \"250ms\" or \"1.5s\"", read)
+        self.parse_arg(form, "a span such as \"250ms\" or \"1.5s\"", read)
     }
 
     /// A size, as a string like `"16GB"`.
     pub fn size(&mut self, form: &Form<'_>) -> Option<u64> {
-        self.parsed(form, "a size such as \"512kB\" or \"16GB\"", |d| {
+        self.parse_arg(form, "a size such as \"512kB\" or \"16GB\"", |d| {
             word(d).and_then(|w| session::bytes(&w))
         })
     }
 
     /// `yes` or `no`.
     pub fn flag(&mut self, form: &Form<'_>) -> Option<bool> {
-        self.parsed(form, "yes or no", |d| match word(d)?.as_str() {
+        self.parse_arg(form, "yes or no", |d| match word(d)?.as_str() {
             "yes" => Some(true),
             "no" => Some(false),
             _ => None,
@@ -227,7 +227,7 @@
     pub fn choice<T: Copy>(&mut self, form: &Form<'_>, choices: &[(&str, T)]) -> Option<T> {
         let names: Vec<&str> = choices.iter().map(|c| c.0).collect();
         let what = format!("one of {}", names.join(", "));
-        self.parsed(form, &what, |d| {
+        self.parse_arg(form, &what, |d| {
             let w = word(d)?;
             choices.iter().find(|c| c.0 == w).map(|c| c.1)
         })
@@ -242,33 +242,33 @@
 /// The fields of a form.
 pub struct Fields<'a> {
     /// The form that they belong to.
-    pub owner: Form<'a>,
-    forms: Vec<Form<'a>>,
+    pub form: Form<'a>,
+    fields: Vec<Form<'a>>,
 }
 
 impl<'a> Fields<'a> {
     /// A field.
     pub fn get(&self, name: &str) -> Option<&Form<'a>> {
-        self.forms.iter().find(|f| f.name == name)
+        self.fields.iter().find(|f| f.name == name)
     }
 
     /// A field that must be there.
-    pub fn need(&self, checker: &mut Checker, name: &str) -> Option<&Form<'a>> {
+    pub fn require(&self, checker: &mut Checker, name: &str) -> Option<&Form<'a>> {
         let found = self.get(name);
         if found.is_none() {
-            checker.at(&self.owner, format!("{} needs ({name} ...)", self.owner.name));
+            checker.error_at(&self.form, format!("{} needs ({name} ...)", self.form.name));
         }
         found
     }
 
     /// A span, with a default.
-    pub fn span(&self, checker: &mut Checker, name: &str, default: Duration) -> Duration {
-        self.get(name).and_then(|f| checker.span(f)).unwrap_or(default)
+    pub fn duration(&self, checker: &mut Checker, name: &str, default: Duration) -> Duration {
+        self.get(name).and_then(|f| checker.duration(f)).unwrap_or(default)
     }
 
     /// A whole number, with a default.
-    pub fn whole(&self, checker: &mut Checker, name: &str, bounds: (u64, u64), default: u64) -> u64 {
-        self.get(name).and_then(|f| checker.whole(f, bounds.0, bounds.1)).unwrap_or(default)
+    pub fn integer(&self, checker: &mut Checker, name: &str, bounds: (u64, u64), default: u64) -> u64 {
+        self.get(name).and_then(|f| checker.integer(f, bounds.0, bounds.1)).unwrap_or(default)
     }
 
     /// A number, with a default.
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -105,21 +105,21 @@
 
     /// Serves one connection until it ends.
     async fn serve(&self, socket: Async<std::net::TcpStream>) {
-        let http_limits = Limits { body: self.host.config.host.statement_bytes, ..Limits::default() };
+        let http_limits = Limits { body: self.host.config.host.max_statement_bytes, ..Limits::default() };
         let mut connection = Connection::server(socket, http_limits);
         let limits = &self.host.config.host;
-        if self.connections.get() > limits.most_connections {
+        if self.connections.get() > limits.max_connections {
             let reply = Reply::text(503, "too many connections; nothing was taken");
             self.send(&mut connection, reply, false).await;
             return;
         }
         loop {
             if !connection.has_partial_message()
-                && timeout(limits.idle_connection, connection.wait_readable()).await.is_none()
+                && timeout(limits.connection_idle_timeout, connection.wait_readable()).await.is_none()
             {
                 return;
             }
-            let message = match timeout(limits.request_within, connection.read()).await {
+            let message = match timeout(limits.request_timeout, connection.read()).await {
                 Some(Ok(Some(message))) => message,
                 Some(Ok(None)) | Some(Err(NetError::Io(_))) => return,
                 Some(Err(NetError::Http(e))) => {
@@ -144,7 +144,7 @@
     async fn send(&self, connection: &mut Connection, reply: Reply, keep_alive: bool) -> bool {
         let mut out = Vec::with_capacity(reply.body.len() + 256);
         http::write_response(&mut out, reply.status, &reply.headers, &reply.body, keep_alive);
-        let sent = timeout(self.host.config.host.stream_idle, connection.write(&out)).await;
+        let sent = timeout(self.host.config.host.stream_idle_timeout, connection.write(&out)).await;
         matches!(sent, Some(Ok(())))
     }
 
@@ -329,7 +329,7 @@
     fn poll_timeout(&self, query: &str) -> Duration {
         let requested = query.split('&').find_map(|p| p.strip_prefix("maxWait="));
         let requested = requested.and_then(violetward_statement::session::duration);
-        let longest = self.host.config.host.long_poll;
+        let longest = self.host.config.host.max_poll_wait;
         requested.map_or(longest, |requested| longest.min(requested))
     }
 
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -282,7 +282,7 @@
 
     /// The connection pool of an engine.
     pub(crate) fn pool(&self, address: SocketAddr) -> Rc<Pool> {
-        let limits = Limits { body: self.config.host.page_bytes, ..Limits::default() };
+        let limits = Limits { body: self.config.host.max_page_bytes, ..Limits::default() };
         let mut pools = self.pools.borrow_mut();
         pools
             .entry(address)
@@ -389,7 +389,7 @@
 
     /// Polls the load of all engines at the configured interval. Never returns.
     pub async fn run_status(self: Rc<Self>) {
-        let interval = self.config.host.status_every;
+        let interval = self.config.host.status_poll_interval;
         let pending: Rc<RefCell<std::collections::HashSet<EngineId>>> = Rc::default();
         loop {
             violetward_net::sleep(if interval.is_zero() { Duration::from_secs(3600) } else { interval })
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -33,50 +33,50 @@
     for datum in &data {
         let Some(form) = checker.form(datum.as_ref()) else { continue };
         if form.name != "engine" {
-            checker.at(&form, format!("expected (engine NAME ...), found ({} ...)", form.name));
+            checker.error_at(&form, format!("expected (engine NAME ...), found ({} ...)", form.name));
             continue;
         }
         let Some(name) = checker.name(&form) else { continue };
-        let mistakes_before = checker.mistakes.len();
+        let mistakes_before = checker.diagnostics.len();
         let record = parse_record(&mut checker, &form, &name, names);
         if parsed.records.contains_key(&name) || parsed.damaged.contains(&name) {
-            checker.at(&form, format!("engine {name} is listed twice; the first record counts"));
+            checker.error_at(&form, format!("engine {name} is listed twice; the first record counts"));
             continue;
         }
         match record {
-            Some(record) if checker.mistakes.len() == mistakes_before => {
+            Some(record) if checker.diagnostics.len() == mistakes_before => {
                 parsed.records.insert(name, record);
             }
             _ => parsed.damaged.push(name),
         }
     }
-    parsed.mistakes = checker.mistakes;
+    parsed.mistakes = checker.diagnostics;
     Ok(parsed)
 }
 
 /// Parses the fields of one engine. Mistakes are added to the checker.
 fn parse_record(checker: &mut Checker, form: &Form<'_>, name: &str, names: &Names) -> Option<EngineRecord> {
     let fields = checker.fields(form, 1, &["address", "kind", "zone", "cell", "state", "came-up", "weight"]);
-    let field = fields.need(checker, "address").cloned()?;
+    let field = fields.require(checker, "address").cloned()?;
     let address = checker.word(&field, "an address and port")?.parse().ok();
     if address.is_none() {
-        checker.at(&field, "address: expected an address and port such as \"127.0.0.1:9001\"");
+        checker.error_at(&field, "address: expected an address and port such as \"127.0.0.1:9001\"");
     }
     let kind = fields.word(checker, "kind", names.kinds.first().map_or("", |k| k));
     let kind = names.kinds.iter().position(|k| *k == kind);
     if kind.is_none() {
-        checker.at(
+        checker.error_at(
             form,
             format!("engine {name}: its kind is not in the configuration: {}", names.kinds.join(", ")),
         );
     }
     let zone = fields.word(checker, "zone", names.zones.first().map_or("", |z| z));
     let zone = zone_id(&zone, names);
-    let cell = fields.whole(checker, "cell", (0, u64::MAX), 0);
+    let cell = fields.integer(checker, "cell", (0, u64::MAX), 0);
     let states = [("up", Listed::Up), ("draining", Listed::Draining), ("removed", Listed::Removed)];
     let listed =
         fields.get("state").cloned().map_or(Some(Listed::Up), |state| checker.choice(&state, &states))?;
-    let came_up = fields.whole(checker, "came-up", (0, 1 << 53), 0).saturating_mul(1000);
+    let came_up = fields.integer(checker, "came-up", (0, 1 << 53), 0).saturating_mul(1000);
     let weight = fields.number(checker, "weight", (0.0, 1e6), 1.0);
     let entry = EngineEntry {
         engine: engine_id(name),
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -414,7 +414,7 @@
         let (classes, kinds) = (config.names.classes.join(", "), config.names.kinds.join(", "));
         println!("{}: valid. Classes: {classes}. Kinds: {kinds}.", file.display());
         if let Some(terms) = &config.custody {
-            let protected = config.names.classes.iter().zip(&terms.protect).filter(|c| *c.1);
+            let protected = config.names.classes.iter().zip(&terms.protected_classes).filter(|c| *c.1);
             let protected: Vec<&str> = protected.map(|c| c.0.as_str()).collect();
             println!("Classes whose statements other gateways can take over: {}.", protected.join(", "));
         }
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -174,9 +174,9 @@
         text.push_str(&format!(" ({key} {value})"));
     }
     text.push(')');
-    let parsed = list::parse(&text, names).map_err(|m| m.text)?;
+    let parsed = list::parse(&text, names).map_err(|m| m.message)?;
     if let Some(mistake) = parsed.mistakes.first() {
-        return Err(mistake.text.clone());
+        return Err(mistake.message.clone());
     }
     let mut record = parsed.records.into_values().next().ok_or("it cannot be read")?;
     record.name = name.to_owned();
--- a/crates/gateway/src/notebook.rs
+++ b/crates/gateway/src/notebook.rs
@@ -152,7 +152,7 @@
         sender.try_send([zmtp::greeting(), zmtp::ready(socket)].concat()).ok();
         let stream = Rc::new(stream);
         future::or(
-            write(stream.clone(), outgoing, self.host.config.host.stream_idle),
+            write(stream.clone(), outgoing, self.host.config.host.stream_idle_timeout),
             self.read(connection, stream, socket, channel, sender),
         )
         .await
@@ -171,7 +171,7 @@
         let mut chunk = vec![0; READ_CHUNK_BYTES];
         let mut ready = false;
         loop {
-            let within = self.host.config.host.request_within;
+            let within = self.host.config.host.request_timeout;
             let read = async { (&*stream).read(&mut chunk).await };
             // The handshake is limited in time; after it, a peer may stay silent.
             let read = if ready { Some(read.await) } else { timeout(within, read).await };
@@ -385,7 +385,7 @@
             let changed = self.host.subscribe(id);
             match self.host.with_core(|core, now| core.page(now, id, token, true)) {
                 Turn::Page(page) => {
-                    add_page(&mut table, &page, self.config.rows);
+                    add_page(&mut table, &page, self.config.max_rows);
                     token += 1;
                     if let Some(end) = &page.end {
                         self.carry_changes(session, &page.session);
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -141,24 +141,24 @@
         let act = ActTerms {
             gateways: settings.gateways,
             sites: terms.sites.len(),
-            widest: ring.widest,
+            widest: ring.max_total_share,
             cold_from: settings.cold_capacity,
             cold_span: settings.cold_span,
-            low: terms.low,
-            high: terms.high,
-            step: terms.step,
-            every: terms.every,
+            low: terms.loosen_below,
+            high: terms.tighten_above,
+            step: terms.limit_step,
+            every: terms.limit_interval,
         };
         let (me, _) = peers.me();
         let names = terms.sites.iter().map(|s| s.name.clone()).collect();
-        let sights = Observations::new(&terms.tag, names, terms.own, &settings.classes);
+        let sights = Observations::new(&terms.site_tag, names, terms.own_site, &settings.classes);
         host.with_core(|core, _| core.observe(sights));
         let inner = Inner {
-            watch: Watch::new(terms.watch, terms.own, terms.sites.len(), MOST, now),
+            watch: Watch::new(terms.detection, terms.own_site, terms.sites.len(), MOST, now),
             act: Act::new(act, Learned::new(LEARNED.0, LEARNED.1), now),
             own: PageBuilder::new(&me.name, MAX_PAGES_PER_ORIGIN, now),
             digest: Digest::new(DigestConfig::default()),
-            spread: GossipScheduler::new(terms.pace, rand::random(), now),
+            spread: GossipScheduler::new(terms.gossip, rand::random(), now),
             engines: BTreeMap::new(),
             ticked: now,
             spoke: now,
@@ -172,7 +172,7 @@
             counts: Counts::default(),
         };
         let sites: Vec<&str> = terms.sites.iter().map(|s| s.name.as_str()).collect();
-        tracing::info!(sites = sites.join(" "), acts = terms.acts, "site-loss");
+        tracing::info!(sites = sites.join(" "), acts = terms.enforce, "site-loss");
         let outage = Rc::new(Outage { terms, peers, inner: RefCell::new(inner), least: Cell::new(None) });
         *host.outage.borrow_mut() = Some(outage.clone());
         let to = host.clone();
@@ -320,7 +320,7 @@
             let Some(e) = inner.engines.get_mut(&engine) else { continue };
             // A list that drops what is dead is no plan: the engine is away until it answers, or is forgotten.
             let since = *e.missing.get_or_insert(now);
-            if e.drained || now >= since + self.terms.watch.calm {
+            if e.drained || now >= since + self.terms.detection.calm {
                 self.forget(inner, now, engine);
             }
         }
@@ -338,7 +338,7 @@
         let Some(e) = inner.engines.get_mut(&engine).filter(|e| !e.drained) else { return };
         if sign == EngineSign::Answered {
             e.heard = now;
-            if is_plan(e.missing, now, self.terms.watch.doubt) {
+            if is_plan(e.missing, now, self.terms.detection.doubt) {
                 // It lives and is not to be used: that is a plan.
                 return self.forget(inner, now, engine);
             }
@@ -348,7 +348,7 @@
 
     /// What attempts told, and probes of what was not heard of.
     fn signs(self: &Rc<Self>, host: &Rc<Host>, inner: &mut Inner, now: Micros, span: Micros) {
-        let average = self.terms.average;
+        let average = self.terms.demand_window;
         let signs = host.with_core_deferred(|core, _| {
             core.observations().map(|sights| {
                 sights.decay(span, average);
@@ -378,7 +378,7 @@
             inner.counts.probes += 1;
             let (outage, to) = (self.clone(), host.clone());
             host.spawn(async move {
-                let (sign, way) = probe(address, to.config.host.probe_within).await;
+                let (sign, way) = probe(address, to.config.host.probe_timeout).await;
                 let mut inner = outage.inner.borrow_mut();
                 if let Some(e) = inner.engines.get_mut(&engine) {
                     e.out = false;
@@ -465,11 +465,11 @@
             inner.came.entry(site).or_insert(0);
             let sum: u64 = totals.iter().filter(|t| t.0 .1 == site).map(|t| t.1 .0).sum();
             let before = inner.came.insert(site, sum).unwrap_or(0);
-            if asked > 0 && sum > before && site != self.terms.own {
+            if asked > 0 && sum > before && site != self.terms.own_site {
                 inner.act.came(now, site, (sum - before) as u32);
             }
         }
-        if now >= inner.moved + self.terms.every {
+        if now >= inner.moved + self.terms.limit_interval {
             inner.moved = now;
             let waits = host
                 .with_core_deferred(|core, _| core.observations().map(Observations::take_waits))
@@ -485,7 +485,7 @@
             let away = (0..self.terms.sites.len()).any(|s| {
                 inner.watch.state(s).is_some_and(|(state, since, _)| state.is_away() && since + TEACH < now)
             });
-            if away && self.terms.acts {
+            if away && self.terms.enforce {
                 let before = &inner.taught.1;
                 let rows: Vec<_> = totals
                     .iter()
@@ -529,8 +529,8 @@
             let Some(effect) = effect else { break };
             match effect {
                 Effect::Share(least) => {
-                    tracing::info!(least, acts = self.terms.acts, "share that a loss gives");
-                    self.least.set(least.filter(|_| self.terms.acts));
+                    tracing::info!(least, acts = self.terms.enforce, "share that a loss gives");
+                    self.least.set(least.filter(|_| self.terms.enforce));
                     let share = self.share(self.peers.standing().1);
                     host.with_core(|core, now| core.set_share(now, share));
                 }
@@ -546,13 +546,13 @@
     fn narrow(&self, host: &Rc<Host>) {
         let mut parts = {
             let inner = self.inner.borrow();
-            inner.act.parts(host.config.settings.classes.len(), self.terms.own)
+            inner.act.parts(host.config.settings.classes.len(), self.terms.own_site)
         };
         if parts.iter().flatten().all(|&part| part >= 1.0 - 1e-9) {
             parts = Default::default();
         }
-        if std::mem::replace(&mut self.inner.borrow_mut().keep, parts.clone()) != parts && self.terms.acts {
-            let back = if parts[0].is_empty() { 0 } else { self.terms.stay_away };
+        if std::mem::replace(&mut self.inner.borrow_mut().keep, parts.clone()) != parts && self.terms.enforce {
+            let back = if parts[0].is_empty() { 0 } else { self.terms.retry_after };
             host.with_core(|core, now| core.set_admission_shares(now, parts, back));
         }
     }
--- a/crates/gateway/src/outage/known.rs
+++ b/crates/gateway/src/outage/known.rs
@@ -24,7 +24,7 @@
                 said.push((to, bytes));
             }
         }
-        if now >= inner.knew + self.terms.pace.round_interval {
+        if now >= inner.knew + self.terms.gossip.round_interval {
             inner.knew = now;
             // What one gateway says in all counts for twice the median of all at most.
             let mut told: BTreeMap<String, f64> = BTreeMap::new();
@@ -73,7 +73,7 @@
                 inner.engines.values().filter(|e| e.site == site).filter_map(|e| e.way).collect();
             if !ways.is_empty() {
                 let crossing = ways.iter().sum::<f64>() / ways.len() as f64;
-                let own = place(self.terms.own);
+                let own = place(self.terms.own_site);
                 let cell = DigestCell { zone: place(site), site: own, ..DigestCell::for_class(NO_CLASS) };
                 cells.push((cell, Summary { round_trip_us: crossing, ..Summary::default() }));
             }
@@ -128,7 +128,7 @@
                 (Some(site), None) if class < mean.len() && is_there(site) && says.demand > 0.0 => {
                     let rate = says.demand / 1e3 * fleet[class] / mean[class];
                     // Of the mean over that span; what it varies by beyond Poisson's is not told.
-                    let deviation = (rate / (self.terms.average as f64 / 1e6)).sqrt();
+                    let deviation = (rate / (self.terms.demand_window as f64 / 1e6)).sqrt();
                     demand.push(Demand { site, class, mean: rate, deviation, bursts: 1.0 });
                 }
                 (None, Some(at)) if class < mean.len() && is_there(at) && says.cost_ratio > 0.0 => {
@@ -176,7 +176,7 @@
             crossing,
             connections: BTreeMap::new(),
             cold: BTreeMap::new(),
-            fill: self.terms.fill,
+            fill: self.terms.max_utilization,
         })
     }
 }
--- a/crates/gateway/src/outage/told.rs
+++ b/crates/gateway/src/outage/told.rs
@@ -182,8 +182,8 @@
         let project = |site: usize| Some(self.forecast(host, &inner.act.project(now, &Loss::of(site))?, now));
         Standing {
             name: inner.own.origin().to_owned(),
-            site: self.name(self.terms.own),
-            acts: self.terms.acts,
+            site: self.name(self.terms.own_site),
+            acts: self.terms.enforce,
             sites: all.clone().map(row).collect(),
             share: (self.least.get(), self.share(self.peers.standing().1)),
             keep: if inner.keep[0].is_empty() { BTreeMap::new() } else { keep.collect() },
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -129,20 +129,20 @@
             site: terms.site.clone(),
             address,
             seeds: terms.seeds.clone(),
-            via: terms.via.clone(),
+            via: terms.address_overrides.clone(),
             keys: terms.keys.clone(),
-            period: terms.period.as_micros() as u64,
-            most: terms.most,
+            period: terms.probe_interval.as_micros() as u64,
+            most: terms.max_members,
             fleet: host.config.settings.gateways,
-            widest: terms.widest,
-            widen: terms.widen,
+            widest: terms.max_total_share,
+            widen: terms.share_growth_per_s,
             plain: false,
         };
         tracing::info!(name = terms.name, site = terms.site, %address, "membership");
         let membership = RefCell::new(Membership::new(known, rand::random(), host.now()));
         let peers = Rc::new(Peers {
             membership,
-            via: terms.via.clone(),
+            via: terms.address_overrides.clone(),
             streams: RefCell::new(streams),
             datagrams,
             alarm: Alarm::default(),
@@ -158,7 +158,7 @@
                 of.membership.borrow_mut().keys(keys);
                 Ok(())
             };
-            host.spawn(watch::keys(file, host.config.host.list_every, take));
+            host.spawn(watch::keys(file, host.config.host.list_poll_interval, take));
         }
         Ok(peers)
     }
--- a/crates/gateway/src/rules/syntax.rs
+++ b/crates/gateway/src/rules/syntax.rs
@@ -25,7 +25,7 @@
                 "class" => {
                     let Some(name) = c.name(&form) else { continue };
                     if !names.classes.contains(&name) {
-                        c.at(
+                        c.error_at(
                             &form,
                             format!("there is no class {name} here; known: {}", names.classes.join(", ")),
                         );
@@ -38,22 +38,22 @@
                     let once = f.flag(&mut c, "once", false);
                     let class = ClassRules { closed: admit == Some(false), kinds, zones, once };
                     if rules.classes.insert(name.clone(), class).is_some() {
-                        c.at(&form, format!("class {name} stands twice"));
+                        c.error_at(&form, format!("class {name} stands twice"));
                     }
                 }
                 "tenant" => {
                     let Some(name) = c.name(&form) else { continue };
                     if !names.tenants.contains(&name) {
-                        c.at(&form, format!("there is no tenant {name} here"));
+                        c.error_at(&form, format!("there is no tenant {name} here"));
                     }
                     let f = c.fields(&form, 1, &["per-second"]);
-                    let rate = f.need(&mut c, "per-second").cloned().and_then(|f| c.number(&f, 0.0, 1e9));
+                    let rate = f.require(&mut c, "per-second").cloned().and_then(|f| c.number(&f, 0.0, 1e9));
                     rules.tenants.insert(name, rate.unwrap_or(0.0));
                 }
                 "attempts" => {
                     let f = c.fields(&form, 0, &["cap", "free", "per-request"]);
                     rules.attempts = Attempts {
-                        cap: f.whole(&mut c, "cap", (1, 1_000), u64::from(u32::MAX)) as u32,
+                        cap: f.integer(&mut c, "cap", (1, 1_000), u64::from(u32::MAX)) as u32,
                         free: f.number(&mut c, "free", (0.0, 1e9), f64::INFINITY),
                         per_request: f.number(&mut c, "per-request", (0.0, 1e3), f64::INFINITY),
                     };
@@ -63,27 +63,27 @@
                     let f = c.fields(&form, 1, &["state"]);
                     let states =
                         [("up", Listed::Up), ("draining", Listed::Draining), ("removed", Listed::Removed)];
-                    let state = f.need(&mut c, "state").cloned().and_then(|f| c.choice(&f, &states));
+                    let state = f.require(&mut c, "state").cloned().and_then(|f| c.choice(&f, &states));
                     rules.engines.insert(name, state.unwrap_or(Listed::Up));
                 }
                 "window" => {
                     let Some(grant) = window(&mut c, &form) else { continue };
                     if rules.windows.iter().any(|g| g.name == grant.name) {
-                        c.at(&form, format!("window {} stands twice", grant.name));
+                        c.error_at(&form, format!("window {} stands twice", grant.name));
                     }
                     rules.windows.push(grant);
                 }
-                other => c.at(
+                other => c.error_at(
                     &form,
                     format!("{other} is not known; known: class, tenant, attempts, engine, window"),
                 ),
             }
         }
-        c.mistakes.sort();
-        if c.mistakes.is_empty() {
+        c.diagnostics.sort();
+        if c.diagnostics.is_empty() {
             Ok(rules.plain())
         } else {
-            Err(c.mistakes)
+            Err(c.diagnostics)
         }
     }
 }
@@ -92,13 +92,13 @@
 fn window(c: &mut Checker, form: &forms::Form<'_>) -> Option<Grant> {
     let name = c.name(form)?;
     let f = c.fields(form, 1, &["engines", "from", "until", "by", "off"]);
-    let engines = f.need(c, "engines").cloned().map(|f| c.words(&f))?.into_iter().collect();
+    let engines = f.require(c, "engines").cloned().map(|f| c.words(&f))?.into_iter().collect();
     let mut time = |name: &str| {
-        let field = f.need(c, name).cloned()?;
+        let field = f.require(c, name).cloned()?;
         let word = c.word(&field, "a time such as \"2026-12-02T03:00:00Z\"")?;
         let at = timestamp::parse(&word);
         if at.is_none() {
-            c.at(&field, format!("{name}: expected a time such as \"2026-12-02T03:00:00Z\", found {word}"));
+            c.error_at(&field, format!("{name}: expected a time such as \"2026-12-02T03:00:00Z\", found {word}"));
         }
         at
     };
@@ -135,7 +135,7 @@
 fn set(c: &mut Checker, form: &forms::Form<'_>, known: &[String], what: &str) -> BTreeSet<String> {
     let words = c.words(form);
     for word in words.iter().filter(|w| !known.contains(w)) {
-        c.at(form, format!("there is no {what} {word} here; known: {}", known.join(", ")));
+        c.error_at(form, format!("there is no {what} {word} here; known: {}", known.join(", ")));
     }
     words.into_iter().collect()
 }
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -60,7 +60,7 @@
     // Installed before the gateway listens, so that an early signal does not kill the process.
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
     let executor = Rc::new(LocalExecutor::new());
-    let drain_within = config.host.drain_within;
+    let drain_within = config.host.drain_timeout;
     let (host, address) = start(config, decider, executor.clone())?;
     if let Some(file) = address_file {
         let temporary = file.with_extension("new");
@@ -116,11 +116,11 @@
     if let Some(terms) = host.config.sites.clone() {
         Outage::start(&host, terms)?;
     }
-    if let Some((listen, keys)) = host.config.zone_front.clone() {
+    if let Some((listen, keys)) = host.config.zone_server.clone() {
         ZoneFront::start(host.clone(), membership, Updates::new(keys), listen)?;
     }
     if let Some(path) = host.config.sessions.key_file.clone() {
-        let (key_host, interval) = (host.clone(), host.config.host.list_every);
+        let (key_host, interval) = (host.clone(), host.config.host.list_poll_interval);
         let set_keys = move |text: &str| {
             crate::config::read_keys(text).map(|keys| key_host.with_core(|core, _| core.set_keys(keys)))
         };
@@ -159,7 +159,7 @@
 /// that, clients are served under the restrictions that hold without a lease. Connections wait meanwhile.
 async fn wait_for_lease(host: &Rc<Host>) {
     let Some(terms) = &host.config.agreement else { return };
-    let until = Instant::now() + terms.wait_at_start;
+    let until = Instant::now() + terms.startup_wait;
     let has_lease = || host.agreed.borrow().as_ref().is_none_or(|a| a.has_lease());
     while !has_lease() && Instant::now() < until {
         violetward_net::sleep(CHECK_INTERVAL).await;
--- a/crates/gateway/src/terms.rs
+++ b/crates/gateway/src/terms.rs
@@ -16,7 +16,7 @@
     /// The name of the zone, if that file is a zone's master file; else it holds S-expressions.
     pub origin: Option<violetward_dns::name::Name>,
     /// Where that zone is served and updated by DNS messages, and the keys of updates.
-    pub zone_front: Option<(SocketAddr, Vec<violetward_dns::tsig::Key>)>,
+    pub zone_server: Option<(SocketAddr, Vec<violetward_dns::tsig::Key>)>,
     /// A notebook kernel beside the statement API, if one is wanted.
     pub kernel: Option<KernelConfig>,
     /// The other gateways, where this one is to know of them.
@@ -57,19 +57,19 @@
     /// Where members may be found at the start.
     pub seeds: Vec<SocketAddr>,
     /// Where to send what is for a member, in place of the address that it tells.
-    pub via: std::collections::BTreeMap<String, SocketAddr>,
+    pub address_overrides: std::collections::BTreeMap<String, SocketAddr>,
     /// The keys: the first signs, all are believed.
     pub keys: violetward_membership::Keys,
     /// The file that they came from; it is watched.
     pub key_file: Option<PathBuf>,
     /// Between two probes.
-    pub period: Duration,
+    pub probe_interval: Duration,
     /// Members that are known at once.
-    pub most: usize,
+    pub max_members: usize,
     /// What all shares may add up to at most, and how much of an even share one widens by in a second.
-    pub widest: f64,
+    pub max_total_share: f64,
     /// See `widest`.
-    pub widen: f64,
+    pub share_growth_per_s: f64,
 }
 
 /// Agreement on settings; see `docs/agreement.md`.
@@ -90,11 +90,11 @@
     /// What every version has to allow: classes, and engines that they may go to.
     pub floor: (Vec<String>, Vec<String>),
     /// How long the first lease is waited for before clients are served without one.
-    pub wait_at_start: Duration,
+    pub startup_wait: Duration,
     /// Names and secrets of the keys that sign proposals.
-    pub operators: Vec<(String, String)>,
+    pub operator_keys: Vec<(String, String)>,
     /// A mark of how windows are judged, where they are held.
-    pub windows: Option<u64>,
+    pub windows_fingerprint: Option<u64>,
 }
 
 /// Windows of maintenance; see `docs/windows.md`.
@@ -107,9 +107,9 @@
     /// What a window takes beyond its own span.
     pub margins: violetward_windows::find::Margins,
     /// How old what is known of the fleet may be.
-    pub fresh: Duration,
+    pub max_fleet_age: Duration,
     /// Between two samples of demand, and how profiles learn from them.
-    pub sample: Duration,
+    pub sample_interval: Duration,
     /// See `sample`.
     pub profile: violetward_windows::profile::Terms,
 }
@@ -128,7 +128,7 @@
         classes.sort();
         engines.sort();
         let common = (&self.voters, self.lease, self.drift, self.check, classes, engines);
-        match self.windows {
+        match self.windows_fingerprint {
             None => hash(&format!("{common:?}")),
             Some(windows) => hash(&format!("{common:?} {windows}")),
         }
@@ -155,7 +155,7 @@
     /// Bounds.
     pub limits: violetward_session::table::Limits,
     /// Statements of open transactions that go before new work, for one engine at once; what ends a transaction always does.
-    pub reserve: u32,
+    pub transaction_reserve: u32,
     /// Keys that sign what clients carry; without them sessions end with this process.
     pub keys: Option<violetward_session::token::Keys>,
     /// The file that the keys came from; it is watched.
@@ -179,39 +179,39 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct HostLimits {
     /// How often the list of engines is looked at.
-    pub list_every: Duration,
+    pub list_poll_interval: Duration,
     /// How long before the client's deadline an answer must be fixed.
     pub reply_margin: Duration,
     /// The longest that a poll is held.
-    pub long_poll: Duration,
+    pub max_poll_wait: Duration,
     /// A client that has not polled for so long is let go.
-    pub abandon_after: Duration,
+    pub abandon_timeout: Duration,
     /// How long the end of a statement can still be asked for.
-    pub keep_ended: Duration,
+    pub ended_retention: Duration,
     /// Bytes of rows held for one statement before its engine is no longer asked for more.
-    pub buffer: usize,
+    pub row_buffer_bytes: usize,
     /// Bytes of a statement's text and of an engine's page, at most.
-    pub statement_bytes: usize,
+    pub max_statement_bytes: usize,
     /// See `statement_bytes`.
-    pub page_bytes: usize,
+    pub max_page_bytes: usize,
     /// Statements open at once; further ones are refused.
-    pub most_open: usize,
+    pub max_open_statements: usize,
     /// Client connections at once; further ones are closed with 503 before anything is taken.
-    pub most_connections: usize,
+    pub max_connections: usize,
     /// A request must be whole within this span of its first byte.
-    pub request_within: Duration,
+    pub request_timeout: Duration,
     /// An idle client connection is closed after this span.
-    pub idle_connection: Duration,
+    pub connection_idle_timeout: Duration,
     /// A stream that an engine has begun and does not go on with is broken off after this span.
-    pub stream_idle: Duration,
+    pub stream_idle_timeout: Duration,
     /// How often an engine's load is asked for; zero leaves that to the module's probes.
-    pub status_every: Duration,
+    pub status_poll_interval: Duration,
     /// A probe fails after this span.
-    pub probe_within: Duration,
+    pub probe_timeout: Duration,
     /// A connection to an engine fails after this span.
-    pub connect_within: Duration,
+    pub connect_timeout: Duration,
     /// Longest stay after SIGTERM.
-    pub drain_within: Duration,
+    pub drain_timeout: Duration,
     /// Session properties by which engines hear of memory, priority and the key of repeats; empty: not told.
     pub grant_property: String,
     /// See `grant_property`.
@@ -262,13 +262,13 @@
     /// The longest time from the last look at the tenure to the end of what is done on it.
     pub check: Duration,
     /// Guardians of a statement.
-    pub copies: usize,
+    pub guardians: usize,
     /// Where marks of ended lives are kept.
     pub folder: PathBuf,
     /// For each class, whether its statements are to outlive their gateway.
-    pub protect: Vec<bool>,
+    pub protected_classes: Vec<bool>,
     /// Without a guardian, what is to be protected is refused.
-    pub refuses: bool,
+    pub refuse_unguarded: bool,
     /// Records kept for others, and octets of them.
     pub most: (usize, usize),
 }
@@ -292,29 +292,29 @@
     /// All sites, in the same order at every gateway: summaries name them by place.
     pub sites: Vec<SitePlace>,
     /// This gateway's own, by place.
-    pub own: usize,
+    pub own_site: usize,
     /// What follows from a loss is done; else it is only told.
-    pub acts: bool,
+    pub enforce: bool,
     /// Prefix of the client tag that names a client's site; without the tag it is this gateway's.
-    pub tag: String,
+    pub site_tag: String,
     /// How states are told from evidence.
-    pub watch: violetward_site::state::Terms,
+    pub detection: violetward_site::state::Terms,
     /// How fast summaries go out.
-    pub pace: violetward_digest::GossipConfig,
+    pub gossip: violetward_digest::GossipConfig,
     /// Over how long demand is averaged.
-    pub average: Micros,
+    pub demand_window: Micros,
     /// The part of all work by which limits move at once, and the time between two moves.
-    pub step: f64,
+    pub limit_step: f64,
     /// See `step`.
-    pub every: Micros,
+    pub limit_interval: Micros,
     /// Waits, as parts of the aim, under which limits loosen and over which they tighten.
-    pub low: f64,
+    pub loosen_below: f64,
     /// See `low`.
-    pub high: f64,
+    pub tighten_above: f64,
     /// How long clients that are turned away by a limit should stay away, spread by half.
-    pub stay_away: Micros,
+    pub retry_after: Micros,
     /// Part of the engines' cores that can be filled.
-    pub fill: f64,
+    pub max_utilization: f64,
 }
 
 /// How the notebook front is set up.
@@ -325,7 +325,7 @@
     /// The user that cells run as, for selectors and engines.
     pub user: String,
     /// Rows shown of a result; the rest is counted.
-    pub rows: usize,
+    pub max_rows: usize,
 }
 
 /// FNV-1a, 64 bits: the same at every gateway and in every build.
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -32,7 +32,7 @@
                 }
             }
         }
-        violetward_net::sleep(host.config.host.list_every).await;
+        violetward_net::sleep(host.config.host.list_poll_interval).await;
     }
 }
 
--- a/crates/gateway/src/windows.rs
+++ b/crates/gateway/src/windows.rs
@@ -169,7 +169,7 @@
         let cover = fleet.cover(&settings, terms).map_err(std::io::Error::other)?;
         let outlook = Outlook::owning(cover, &profile, &[], terms.margins, wall());
         let place = agreement.and_then(|a| a.voters.iter().position(|v| *v == a.name));
-        let fresh = micros(terms.fresh);
+        let fresh = micros(terms.max_fleet_age);
         let windows = Rc::new(Windows {
             terms: terms.clone(),
             names: host.config.names.clone(),
@@ -282,7 +282,7 @@
         agreed.iter().for_each(|a| a.refresh(host));
         let now = host.now();
         if now.saturating_sub(self.stepped.replace(now)) > STILL {
-            self.deaf.set(now + micros(self.terms.fresh));
+            self.deaf.set(now + micros(self.terms.max_fleet_age));
         }
         let away = self.away.borrow().clone();
         let (engines, out, classes) = host.read_core(|core| core.fleet(&away));
@@ -347,7 +347,7 @@
     async fn learn(self: Rc<Self>, host: Rc<Host>) {
         let mut quarter = 0;
         loop {
-            violetward_net::sleep(self.terms.sample).await;
+            violetward_net::sleep(self.terms.sample_interval).await;
             // Without a lease this one may be cut off, and by a clock that was set nobody knows which quarter hour it is.
             let lease = host.agreed.borrow().as_ref().is_some_and(|a| a.has_lease());
             let at = {
@@ -473,8 +473,8 @@
             folder,
             cover: CoverTerms { fill: 0.8, spare: Spare::Engine, cold: 0.25, warm: 1_000_000 },
             margins: Margins { slack: 1_000_000, lead: 1_000_000 },
-            fresh: Duration::from_secs(2),
-            sample: Duration::from_secs(5),
+            max_fleet_age: Duration::from_secs(2),
+            sample_interval: Duration::from_secs(5),
             profile: Learning { samples: 1, weeks: 1, of: 1, ..Learning::default() },
         }
     }
--- a/crates/gateway/src/zonefront.rs
+++ b/crates/gateway/src/zonefront.rs
@@ -87,7 +87,7 @@
     /// One connection: messages until it is closed or idle for long.
     async fn serve(&self, mut socket: Async<TcpStream>) {
         let (mut stream, mut chunk) = (Stream::default(), vec![0; 4096]);
-        let idle = self.host.config.host.request_within;
+        let idle = self.host.config.host.request_timeout;
         while let Some(Ok(size)) = timeout(idle, socket.read(&mut chunk)).await {
             if size == 0 {
                 return;
--- a/crates/gateway/tests/config.rs
+++ b/crates/gateway/tests/config.rs
@@ -92,10 +92,10 @@
     let whole = format!("{GOOD}{PEERS}");
     let peers = read(&whole).unwrap().peers.expect("a section");
     assert_eq!(
-        (peers.name.as_str(), peers.site.as_str(), peers.seeds.len(), peers.via.len()),
+        (peers.name.as_str(), peers.site.as_str(), peers.seeds.len(), peers.address_overrides.len()),
         ("g1", "south", 2, 1)
     );
-    assert_eq!((peers.period.as_millis(), peers.widest), (250, 2.0));
+    assert_eq!((peers.probe_interval.as_millis(), peers.max_total_share), (250, 2.0));
     assert_eq!(read(GOOD).unwrap().peers, None, "off without the section");
     let cases = [
         ("(name g1)", "", "9:1: membership needs (name ...)"),
@@ -123,7 +123,7 @@
 fn sites_are_read_and_their_mistakes_are_told_with_their_places() {
     let whole = format!("{GOOD}{PEERS}{SITES}");
     let sites = read(&whole).unwrap().sites.expect("a section");
-    assert_eq!((sites.own, sites.sites.len(), sites.acts, sites.tag.as_str()), (1, 3, false, "at="));
+    assert_eq!((sites.own_site, sites.sites.len(), sites.enforce, sites.site_tag.as_str()), (1, 3, false, "at="));
     assert_eq!(
         sites.sites[0].zones,
         ["north"],
@@ -134,7 +134,7 @@
         (0, &["e7".into(), "e8".into()][..])
     );
     assert_eq!(
-        (sites.watch.back, sites.pace.round_interval, sites.pace.bytes_per_second),
+        (sites.detection.back, sites.gossip.round_interval, sites.gossip.bytes_per_second),
         (4_000_000, 1_000_000, 8_000.0)
     );
     assert_eq!(read(&format!("{GOOD}{PEERS}")).unwrap().sites, None, "off without the section");
--- a/crates/lab/src/cluster/plan.rs
+++ b/crates/lab/src/cluster/plan.rs
@@ -225,10 +225,10 @@
 /// Numbers from a form, each below `of`.
 fn numbers(c: &mut Checker, form: &Form<'_>, of: usize) -> Vec<usize> {
     let mut all = Vec::new();
-    for datum in &form.rest {
+    for datum in &form.args {
         match datum.value().as_u64().filter(|&n| (n as usize) < of) {
             Some(n) => all.push(n as usize),
-            None => c.at(form, format!("{}: expected numbers under {of}", form.name)),
+            None => c.error_at(form, format!("{}: expected numbers under {of}", form.name)),
         }
     }
     all
@@ -237,9 +237,9 @@
 /// Lists of numbers: `(cut (0) (1 2))`.
 fn groups(c: &mut Checker, form: &Form<'_>, of: usize) -> Vec<Vec<usize>> {
     let mut all = Vec::new();
-    for datum in &form.rest {
+    for datum in &form.args {
         let Some(items) = datum.list_iter() else {
-            c.at(form, format!("{}: expected lists such as (0 1)", form.name));
+            c.error_at(form, format!("{}: expected lists such as (0 1)", form.name));
             continue;
         };
         all.push(items.filter_map(|d| d.value().as_u64()).map(|n| n as usize).filter(|&n| n < of).collect());
@@ -251,7 +251,7 @@
     let f = c.fields(form, 0, &["loss", "delay", "copies", "spoilt"]);
     Weather {
         loss: f.number(c, "loss", (0.0, 1.0), 0.0),
-        delay: f.span(c, "delay", Duration::ZERO),
+        delay: f.duration(c, "delay", Duration::ZERO),
         copies: f.number(c, "copies", (0.0, 1.0), 0.0),
         spoilt: f.number(c, "spoilt", (0.0, 1.0), 0.0),
     }
@@ -265,14 +265,14 @@
         "term" => Act::Term(numbers(c, form, gateways)),
         "roll" => Act::Roll(numbers(c, form, gateways)),
         "kills" => {
-            let every = c.span(&form.with(vec![*form.rest.first()?]))?;
-            let count = form.rest.get(1)?.value().as_u64()? as usize;
-            Act::Kills(every, count, numbers(c, &form.with(form.rest.get(2..)?.to_vec()), gateways))
+            let every = c.duration(&form.with_args(vec![*form.args.first()?]))?;
+            let count = form.args.get(1)?.value().as_u64()? as usize;
+            Act::Kills(every, count, numbers(c, &form.with_args(form.args.get(2..)?.to_vec()), gateways))
         }
         "stop" => {
-            let first = form.with(vec![*form.rest.first()?]);
-            let span = c.span(&first)?;
-            Act::Stop(numbers(c, &form.with(form.rest[1..].to_vec()), gateways), span)
+            let first = form.with_args(vec![*form.args.first()?]);
+            let span = c.duration(&first)?;
+            Act::Stop(numbers(c, &form.with_args(form.args[1..].to_vec()), gateways), span)
         }
         "cut" => {
             let [from, to] = <[Vec<usize>; 2]>::try_from(groups(c, form, gateways)).ok()?;
@@ -282,48 +282,48 @@
         "heal" => Act::Heal,
         "weather" => Act::Weather(weather(c, form)),
         "twin" => Act::Twin(*numbers(c, form, gateways).first()?),
-        "flood" => Act::Flood(c.whole(form, 1, 1_000_000)? as usize),
+        "flood" => Act::Flood(c.integer(form, 1, 1_000_000)? as usize),
         "rekey" => Act::Rekey,
         "part-sites" => Act::PartSites,
         "forge" => Act::Forge,
         "cut-clients" => Act::CutClients(numbers(c, form, gateways)),
         "kill-takers" => {
-            let count = form.rest.first()?.value().as_u64()? as usize;
-            Act::KillTakers(count, c.span(&form.with(vec![*form.rest.get(1)?]))?)
+            let count = form.args.first()?.value().as_u64()? as usize;
+            Act::KillTakers(count, c.duration(&form.with_args(vec![*form.args.get(1)?]))?)
         }
         "cut-engines" => Act::CutEngines(numbers(c, form, gateways)),
         "kill-engines" => Act::KillEngines(numbers(c, form, engines)),
         "start-engines" => Act::StartEngines(numbers(c, form, engines)),
         "propose" => {
-            let (number, text) = (form.rest.first()?.value().as_u64()?, form.rest.get(1)?.value().as_str()?);
+            let (number, text) = (form.args.first()?.value().as_u64()?, form.args.get(1)?.value().as_str()?);
             Act::Propose((number as usize).min(gateways - 1), text.to_owned())
         }
         "flips" => {
-            let every = c.span(&form.with(vec![*form.rest.first()?]))?;
-            let count = form.rest.get(1)?.value().as_u64()? as usize;
-            Act::Flips(every, count, numbers(c, &form.with(form.rest.get(2..)?.to_vec()), gateways))
+            let every = c.duration(&form.with_args(vec![*form.args.first()?]))?;
+            let count = form.args.get(1)?.value().as_u64()? as usize;
+            Act::Flips(every, count, numbers(c, &form.with_args(form.args.get(2..)?.to_vec()), gateways))
         }
         "replace" => Act::Replace(*numbers(c, form, gateways).first()?),
         "drain-engines" => Act::DrainEngines(numbers(c, form, engines)),
         "lag" => {
-            let span = c.span(&form.with(vec![*form.rest.first()?]))?;
-            Act::Lag(span, numbers(c, &form.with(form.rest.get(1..)?.to_vec()), gateways))
+            let span = c.duration(&form.with_args(vec![*form.args.first()?]))?;
+            Act::Lag(span, numbers(c, &form.with_args(form.args.get(1..)?.to_vec()), gateways))
         }
         "window" => {
-            let [gateway, name, engines, after, span] = form.rest.as_slice() else {
-                c.at(form, "expected (window GATEWAY NAME (ENGINES) \"after\" \"for\")");
+            let [gateway, name, engines, after, span] = form.args.as_slice() else {
+                c.error_at(form, "expected (window GATEWAY NAME (ENGINES) \"after\" \"for\")");
                 return None;
             };
             let name = name.value().as_symbol()?.to_owned();
             let listed = engines.list_iter()?.filter_map(|d| d.value().as_u64()).map(|n| n as usize);
             let engines = listed.filter(|&n| n < engines_of).collect();
             let gateway = (gateway.value().as_u64()? as usize).min(gateways - 1);
-            let (after, span) = (c.span(&form.with(vec![*after]))?, c.span(&form.with(vec![*span]))?);
+            let (after, span) = (c.duration(&form.with_args(vec![*after]))?, c.duration(&form.with_args(vec![*span]))?);
             Act::Window(Window { gateway, name, engines, after, span })
         }
         "maintain" | "roll-engines" => {
-            let span = c.span(&form.with(vec![*form.rest.first()?]))?;
-            let all = numbers(c, &form.with(form.rest.get(1..)?.to_vec()), engines);
+            let span = c.duration(&form.with_args(vec![*form.args.first()?]))?;
+            let all = numbers(c, &form.with_args(form.args.get(1..)?.to_vec()), engines);
             if form.name == "maintain" {
                 Act::Maintain(span, all)
             } else {
@@ -331,14 +331,14 @@
             }
         }
         "disk" => {
-            let number = form.rest.first()?.value().as_u64()? as usize;
+            let number = form.args.first()?.value().as_u64()? as usize;
             let kinds =
                 [("save", Disk::Save), ("old", Disk::Old), ("lose", Disk::Lose), ("spoil", Disk::Spoil)];
-            let what = c.choice(&form.with(vec![*form.rest.get(1)?]), &kinds)?;
+            let what = c.choice(&form.with_args(vec![*form.args.get(1)?]), &kinds)?;
             Act::Disk(number.min(gateways - 1), what)
         }
         other => {
-            c.at(form, format!("{other} is no act"));
+            c.error_at(form, format!("{other} is no act"));
             return None;
         }
     })
@@ -357,57 +357,57 @@
         "odd", "windows", "acts", "rate", "round", "liar", "at", "expect",
     ];
     for form in all.iter().filter(|f| !known.contains(&f.name.as_str())) {
-        c.at(form, format!("{} is not known; known: {}", form.name, known.join(", ")));
+        c.error_at(form, format!("{} is not known; known: {}", form.name, known.join(", ")));
     }
     let get = |name: &str| all.iter().find(|f| f.name == name);
     let whole = |c: &mut Checker, name: &str, default| {
-        get(name).and_then(|f| c.whole(f, 1, 64)).unwrap_or(default) as usize
+        get(name).and_then(|f| c.integer(f, 1, 64)).unwrap_or(default) as usize
     };
     let (gateways, engines, sites) =
         (whole(&mut c, "gateways", 4), whole(&mut c, "engines", 3), whole(&mut c, "sites", 1));
-    let span = get("span").and_then(|f| c.span(f)).unwrap_or(Duration::from_secs(10));
+    let span = get("span").and_then(|f| c.duration(f)).unwrap_or(Duration::from_secs(10));
     let load = get("load").and_then(|f| c.number(f, 0.0, 10.0)).unwrap_or(0.5);
-    let period = get("period").and_then(|f| c.span(f)).unwrap_or(Duration::from_millis(200));
-    let voters = get("voters").and_then(|f| c.whole(f, 1, gateways as u64)).unwrap_or(0) as usize;
-    let keepers = get("keepers").and_then(|f| c.whole(f, 1, gateways as u64)).unwrap_or(0) as usize;
-    let copies = get("copies").and_then(|f| c.whole(f, 1, 8)).unwrap_or(2) as usize;
-    let lease = get("lease").and_then(|f| c.span(f)).unwrap_or(Duration::from_secs(2));
+    let period = get("period").and_then(|f| c.duration(f)).unwrap_or(Duration::from_millis(200));
+    let voters = get("voters").and_then(|f| c.integer(f, 1, gateways as u64)).unwrap_or(0) as usize;
+    let keepers = get("keepers").and_then(|f| c.integer(f, 1, gateways as u64)).unwrap_or(0) as usize;
+    let copies = get("copies").and_then(|f| c.integer(f, 1, 8)).unwrap_or(2) as usize;
+    let lease = get("lease").and_then(|f| c.duration(f)).unwrap_or(Duration::from_secs(2));
     let odd = get("odd").map(|f| numbers(&mut c, f, gateways)).unwrap_or_default();
     let windows = get("windows").map(|form| {
         let f = c.fields(form, 0, &["lead", "spare", "learned", "swing"]);
         let learned = [("all", Learned::All), ("nothing", Learned::Nothing), ("hole", Learned::Hole)];
         let learned = f.get("learned").cloned().and_then(|v| c.choice(&v, &learned)).unwrap_or(Learned::All);
-        let lead = f.span(&mut c, "lead", Duration::from_secs(2));
+        let lead = f.duration(&mut c, "lead", Duration::from_secs(2));
         let swing = f.number(&mut c, "swing", (0.0, 1.0), 0.3);
         Held { lead, spare: f.word(&mut c, "spare", "engine"), learned, swing }
     });
     let acts_on_loss = get("acts").and_then(|f| c.flag(f)).unwrap_or(false);
-    let round = get("round").and_then(|f| c.span(f));
+    let round = get("round").and_then(|f| c.duration(f));
     let liar = get("liar").and_then(|f| {
-        let number = f.rest.first()?.value().as_u64().filter(|&n| (n as usize) < gateways)?;
-        Some((number as usize, f.rest.get(1)?.value().as_f64()?))
+        let number = f.args.first()?.value().as_u64().filter(|&n| (n as usize) < gateways)?;
+        Some((number as usize, f.args.get(1)?.value().as_f64()?))
     });
     let mut rates = Vec::new();
     for form in all.iter().filter(|f| f.name == "rate") {
-        let at = form.rest.first().map(|d| form.with(vec![*d])).and_then(|f| c.span(&f));
-        let rate = form.rest.get(1).and_then(|d| d.value().as_f64()).filter(|r| (0.0..=100.0).contains(r));
+        let at = form.args.first().map(|d| form.with_args(vec![*d])).and_then(|f| c.duration(&f));
+        let rate = form.args.get(1).and_then(|d| d.value().as_f64()).filter(|r| (0.0..=100.0).contains(r));
         match at.zip(rate) {
             Some(pair) => rates.push(pair),
-            None => c.at(form, "expected (rate \"5s\" 2)"),
+            None => c.error_at(form, "expected (rate \"5s\" 2)"),
         }
     }
     rates.sort_by_key(|r| r.0);
     let mut acts = Vec::new();
     for form in all.iter().filter(|f| f.name == "at") {
-        let [when, what] = form.rest.as_slice() else {
-            c.at(form, "expected (at \"5s\" (act ...))");
+        let [when, what] = form.args.as_slice() else {
+            c.error_at(form, "expected (at \"5s\" (act ...))");
             continue;
         };
-        let at = c.span(&form.with(vec![*when]));
+        let at = c.duration(&form.with_args(vec![*when]));
         let what = c.form(*what).and_then(|f| act(&mut c, &f, gateways, engines));
         match at.zip(what) {
             Some(pair) => acts.push(pair),
-            None => c.at(form, "an act that can't be used"),
+            None => c.error_at(form, "an act that can't be used"),
         }
     }
     acts.sort_by_key(|a| a.0);
@@ -429,55 +429,55 @@
         site: Vec::new(),
         away: Vec::new(),
     };
-    for datum in get("expect").map(|f| f.rest.clone()).unwrap_or_default() {
+    for datum in get("expect").map(|f| f.args.clone()).unwrap_or_default() {
         let Some(f) = c.form(datum) else { continue };
         match f.name.as_str() {
-            "agree" => expect.agree = c.span(&f).unwrap_or(expect.agree),
-            "shares" => expect.shares = c.span(&f),
-            "false-deaths" => expect.false_deaths = c.whole(&f, 0, 1000).unwrap_or(0) as usize,
-            "pauses" => expect.pauses = c.whole(&f, 0, 1000).unwrap_or(0),
-            "refused" => expect.refused = c.whole(&f, 0, 1_000_000).unwrap_or(0),
+            "agree" => expect.agree = c.duration(&f).unwrap_or(expect.agree),
+            "shares" => expect.shares = c.duration(&f),
+            "false-deaths" => expect.false_deaths = c.integer(&f, 0, 1000).unwrap_or(0) as usize,
+            "pauses" => expect.pauses = c.integer(&f, 0, 1000).unwrap_or(0),
+            "refused" => expect.refused = c.integer(&f, 0, 1_000_000).unwrap_or(0),
             "settings" => {
-                let span = f.rest.first().map(|d| f.with(vec![*d])).and_then(|f| c.span(&f));
-                let least = f.rest.get(1).and_then(|d| d.value().as_u64()).unwrap_or(1);
+                let span = f.args.first().map(|d| f.with_args(vec![*d])).and_then(|f| c.duration(&f));
+                let least = f.args.get(1).and_then(|d| d.value().as_u64()).unwrap_or(1);
                 expect.settings = span.map(|span| (span, least));
             }
-            "adopted" => expect.adopted = c.whole(&f, 0, 1_000_000).unwrap_or(0),
-            "lost" => expect.lost = c.whole(&f, 0, 1_000_000).unwrap_or(0) as usize,
+            "adopted" => expect.adopted = c.integer(&f, 0, 1_000_000).unwrap_or(0),
+            "lost" => expect.lost = c.integer(&f, 0, 1_000_000).unwrap_or(0) as usize,
             "opened" => expect.windows.opened = c.words(&f),
             "never" => expect.windows.never = c.words(&f),
             "called-off" => expect.windows.off = c.words(&f),
             "told" => expect.windows.told = c.words(&f),
-            "maintained" => expect.windows.maintained = c.whole(&f, 0, 64).unwrap_or(0) as usize,
+            "maintained" => expect.windows.maintained = c.integer(&f, 0, 64).unwrap_or(0) as usize,
             "away" => expect.away = numbers(&mut c, &f, sites),
             "site" => {
-                let site = f.rest.first().and_then(|d| d.value().as_u64()).filter(|&n| (n as usize) < sites);
-                let word = f.rest.get(1).and_then(|d| d.value().as_symbol()).map(str::to_owned);
-                let span = f.rest.get(2).map(|d| f.with(vec![*d])).and_then(|f| c.span(&f));
+                let site = f.args.first().and_then(|d| d.value().as_u64()).filter(|&n| (n as usize) < sites);
+                let word = f.args.get(1).and_then(|d| d.value().as_symbol()).map(str::to_owned);
+                let span = f.args.get(2).map(|d| f.with_args(vec![*d])).and_then(|f| c.duration(&f));
                 match (site, word, span) {
                     (Some(site), Some(word), Some(span)) => expect.site.push((site as usize, word, span)),
-                    _ => c.at(&f, "expected (site N WORD \"5s\")"),
+                    _ => c.error_at(&f, "expected (site N WORD \"5s\")"),
                 }
             }
-            "rolled" => expect.rolled = c.span(&f),
+            "rolled" => expect.rolled = c.duration(&f),
             "outcomes" => expect.outcomes = c.words(&f),
             "voteless" => expect.voteless = numbers(&mut c, &f, gateways),
             "standing" | "link" => {
                 let ns: Vec<usize> =
-                    f.rest.iter().filter_map(|d| d.value().as_u64()).map(|n| n as usize).collect();
-                let word = f.rest.last().and_then(|d| d.value().as_symbol()).unwrap_or_default().to_owned();
+                    f.args.iter().filter_map(|d| d.value().as_u64()).map(|n| n as usize).collect();
+                let word = f.args.last().and_then(|d| d.value().as_symbol()).unwrap_or_default().to_owned();
                 match ns.as_slice() {
                     [n] if f.name == "standing" => expect.standing.push((*n, word)),
                     [a, b] if f.name == "link" => expect.link.push((*a, *b, word)),
-                    _ => c.at(&f, "expected (standing N WORD) or (link N N WORD)"),
+                    _ => c.error_at(&f, "expected (standing N WORD) or (link N N WORD)"),
                 }
             }
-            other => c.at(&f, format!("{other} can't be expected")),
+            other => c.error_at(&f, format!("{other} can't be expected")),
         }
     }
-    if !c.mistakes.is_empty() {
-        c.mistakes.sort();
-        return Err(c.mistakes.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"));
+    if !c.diagnostics.is_empty() {
+        c.diagnostics.sort();
+        return Err(c.diagnostics.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"));
     }
     Ok(Plan {
         name: name.into(),
--- a/crates/lab/src/siteplan.rs
+++ b/crates/lab/src/siteplan.rs
@@ -27,7 +27,7 @@
     let named = |what: &'static str| all.iter().filter(move |f| f.name == what);
     for form in all.iter().filter(|f| !["fill", "kind", "site", "class", "demand"].contains(&f.name.as_str()))
     {
-        c.at(form, format!("{} is not known; known: fill, kind, site, class, demand", form.name));
+        c.error_at(form, format!("{} is not known; known: fill, kind, site, class, demand", form.name));
     }
     if let Some(fill) = named("fill").next().and_then(|f| c.number(f, 0.01, 1.0)) {
         fleet.fill = fill;
@@ -35,14 +35,14 @@
     for form in named("kind") {
         let Some(name) = c.name(form) else { continue };
         let f = c.fields(form, 1, &["cores", "memory"]);
-        let cores = f.need(&mut c, "cores").cloned().and_then(|f| c.number(&f, 0.1, 4096.0)).unwrap_or(1.0);
+        let cores = f.require(&mut c, "cores").cloned().and_then(|f| c.number(&f, 0.1, 4096.0)).unwrap_or(1.0);
         let memory_mb = f.size(&mut c, "memory", 0) as f64 / f64::from(1 << 20);
         fleet.kinds.push(Kind { name, cores, memory_mb });
     }
     let place = |c: &mut Checker, form: &Form<'_>, names: &[String], word: &str, what: &str| {
         let place = names.iter().position(|n| n == word);
         if place.is_none() {
-            c.at(form, format!("there is no {what} {word}; known: {}", names.join(", ")));
+            c.error_at(form, format!("there is no {what} {word}; known: {}", names.join(", ")));
         }
         place
     };
@@ -50,22 +50,22 @@
     for form in named("site") {
         let Some(name) = c.name(form) else { continue };
         let (site, mut gateways) = (fleet.sites.len(), 1);
-        for datum in form.rest.iter().skip(1) {
+        for datum in form.args.iter().skip(1) {
             let Some(field) = c.form(*datum) else { continue };
             match field.name.as_str() {
-                "gateways" => gateways = c.whole(&field, 1, 100_000).unwrap_or(1) as u32,
+                "gateways" => gateways = c.integer(&field, 1, 100_000).unwrap_or(1) as u32,
                 "engines" => {
-                    let [word, count] = field.rest.as_slice() else {
-                        c.at(&field, "expected (engines KIND N)");
+                    let [word, count] = field.args.as_slice() else {
+                        c.error_at(&field, "expected (engines KIND N)");
                         continue;
                     };
-                    let word = c.word(&field.with(vec![*word]), "a kind").unwrap_or_default();
-                    let engines = c.whole(&field.with(vec![*count]), 0, 100_000).unwrap_or(0) as u32;
+                    let word = c.word(&field.with_args(vec![*word]), "a kind").unwrap_or_default();
+                    let engines = c.integer(&field.with_args(vec![*count]), 0, 100_000).unwrap_or(0) as u32;
                     if let Some(kind) = place(&mut c, &field, &kinds, &word, "kind") {
                         fleet.rooms.push(Room { site, kind, engines });
                     }
                 }
-                other => c.at(&field, format!("{other} is not known in site; known: gateways, engines")),
+                other => c.error_at(&field, format!("{other} is not known in site; known: gateways, engines")),
             }
         }
         fleet.sites.push((name, gateways));
@@ -83,7 +83,7 @@
         fleet.classes.push(Class {
             name,
             worth: f.number(&mut c, "worth", (0.0, 1e9), 1.0),
-            work: f.span(&mut c, "work", Duration::from_millis(100)).as_secs_f64(),
+            work: f.duration(&mut c, "work", Duration::from_millis(100)).as_secs_f64(),
             threads: f.number(&mut c, "threads", (1.0, 4096.0), 1.0),
             memory_mb: f.size(&mut c, "memory", 0) as f64 / f64::from(1 << 20),
             kinds,
@@ -93,28 +93,28 @@
     }
     let classes: Vec<String> = fleet.classes.iter().map(|k| k.name.clone()).collect();
     for form in named("demand") {
-        let [site, class, rate] = form.rest.as_slice() else {
-            c.at(form, "expected (demand SITE CLASS REQUESTS-A-SECOND)");
+        let [site, class, rate] = form.args.as_slice() else {
+            c.error_at(form, "expected (demand SITE CLASS REQUESTS-A-SECOND)");
             continue;
         };
-        let word = |c: &mut Checker, datum| c.word(&form.with(vec![datum]), "a name").unwrap_or_default();
+        let word = |c: &mut Checker, datum| c.word(&form.with_args(vec![datum]), "a name").unwrap_or_default();
         let (site, class) = (word(&mut c, *site), word(&mut c, *class));
         let (site, class) =
             (place(&mut c, form, &sites, &site, "site"), place(&mut c, form, &classes, &class, "class"));
-        let rate = c.number(&form.with(vec![*rate]), 0.0, 1e9);
+        let rate = c.number(&form.with_args(vec![*rate]), 0.0, 1e9);
         if let (Some(site), Some(class), Some(rate)) = (site, class, rate) {
             fleet.demand.push((site, class, rate));
         }
     }
     if fleet.sites.len() < 2 || fleet.kinds.is_empty() || fleet.demand.is_empty() {
-        let form = all.first().cloned().unwrap_or_else(|| Form::made("file"));
-        c.at(&form, "expected at least two sites, a kind, a class and a demand");
+        let form = all.first().cloned().unwrap_or_else(|| Form::empty("file"));
+        c.error_at(&form, "expected at least two sites, a kind, a class and a demand");
     }
-    if c.mistakes.is_empty() {
+    if c.diagnostics.is_empty() {
         return Ok(fleet);
     }
-    c.mistakes.sort();
-    Err(c.mistakes.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
+    c.diagnostics.sort();
+    Err(c.diagnostics.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))
 }
 
 /// The forecasts: for nothing lost, and for each site.
