--- a/crates/gateway/src/agreed.rs
+++ b/crates/gateway/src/agreement.rs
@@ -25,17 +25,20 @@
 use crate::host::Host;
 use crate::list::EngineRecord;
 use crate::rules::{self, Rules};
-pub(crate) use asking::get;
-pub use asking::{ask, ask_since, clock_is_right, propose, AFTER, CODE, KEY, PATH};
-pub use disk::{init, replace};
+pub(crate) use asking::http_get;
+pub use asking::{
+    confirm_clock, fetch_status, fetch_status_since, propose, AFTER_HEADER, CODE_HEADER, KEY_HEADER,
+    SETTINGS_PATH,
+};
+pub use disk::{init_votes, replace_votes};
 use disk::{open, read, unusable};
-pub use report::{Report, Standing, VersionRow};
+pub use report::{ProposalReport, SettingsStatus, VersionRow};
 
 /// Gateways that a drain or a removal is told to at once; each of them passes it on.
 const SOME: usize = 4;
 
 /// The settings on which this gateway agrees with the others.
-pub struct Agreed {
+pub struct SettingsAgreement {
     member: RefCell<Member>,
     terms: AgreementTerms,
     floor: Rules,
@@ -65,12 +68,12 @@
     }
 }
 
-impl Agreed {
+impl SettingsAgreement {
     /// Starts the tasks of agreement; they run as long as the host's executor does.
     ///
     /// # Errors
     /// If another process uses the same folder.
-    pub fn start(host: &Rc<Host>, terms: &AgreementTerms) -> std::io::Result<Rc<Agreed>> {
+    pub fn start(host: &Rc<Host>, terms: &AgreementTerms) -> std::io::Result<Rc<SettingsAgreement>> {
         let names = host.config.names.clone();
         let votes = terms.voters.contains(&terms.name);
         let (mut folder, mut trouble) = (None, None);
@@ -107,14 +110,14 @@
             voters: terms.voters.clone(),
             votes,
             lease: terms.lease.as_micros() as u64,
-            drift: terms.drift,
-            check: terms.check.as_micros() as u64,
-            mark: terms.mark(),
+            drift: terms.drift_ppm,
+            check: terms.lease_check_margin.as_micros() as u64,
+            mark: terms.fingerprint(),
         };
         let bound_ms = member_terms.voter().bound() / 1000;
         tracing::info!(newest = kept.0.history.newest().0, votes, bound_ms, "agreement");
         let now = host.now();
-        let agreed = Rc::new(Agreed {
+        let agreed = Rc::new(SettingsAgreement {
             member: RefCell::new(
                 Member::new(member_terms, kept, rand::random(), now, check).with_fitness(fitness),
             ),
@@ -133,7 +136,7 @@
             away: RefCell::default(),
         });
         *host.agreed.borrow_mut() = Some(agreed.clone());
-        agreed.refresh(host);
+        agreed.refresh_rules(host);
         host.spawn(agreed.clone().pump(host.clone()));
         host.spawn(agreed.clone().wake(host.clone()));
         Ok(agreed)
@@ -141,7 +144,7 @@
 
     fn with<T>(&self, host: &Rc<Host>, act: impl FnOnce(&mut Member, u64) -> T) -> T {
         let result = act(&mut self.member.borrow_mut(), host.now());
-        self.refresh(host);
+        self.refresh_rules(host);
         self.lists(host);
         self.due.notify(1);
         self.alarm.set(Some(self.member.borrow().next_wake()));
@@ -177,7 +180,7 @@
     }
 
     /// This gateway's own list has been read: what it takes away is told to the others.
-    pub fn listed(&self, host: &Rc<Host>, list: &BTreeMap<String, EngineRecord>) {
+    pub fn set_local_list(&self, host: &Rc<Host>, list: &BTreeMap<String, EngineRecord>) {
         let state = |listed| match listed {
             Listed::Up => EngineState::Up,
             Listed::Draining => EngineState::Draining,
@@ -189,13 +192,13 @@
     }
 
     /// Another gateway, known and proved by membership, said something.
-    pub fn heard(&self, host: &Rc<Host>, from: &str, bytes: &[u8]) {
+    pub fn receive(&self, host: &Rc<Host>, from: &str, bytes: &[u8]) {
         self.with(host, |member, now| member.heard(now, from, bytes));
     }
 
     /// Hands the core the rules that hold now. Called whenever something may have changed, and by the host before the core
     /// does anything at or after the time that this leaves behind.
-    pub fn refresh(&self, host: &Rc<Host>) {
+    pub fn refresh_rules(&self, host: &Rc<Host>) {
         let now = host.now();
         let windows = host.windows.borrow().clone();
         let (range, until) = {
@@ -221,7 +224,7 @@
         self.since.set(now);
         let mut rules = self.rules_of(range);
         if !away.is_empty() {
-            rules = rules.meet(&Rules::draining(&away));
+            rules = rules.intersect(&Rules::draining(&away));
         }
         tracing::info!(?range, ?away, at = now, "rules");
         *self.away.borrow_mut() = away;
@@ -246,7 +249,7 @@
             );
             return self.floor.clone();
         };
-        all.iter().fold(Rules::default(), |rules, more| rules.meet(more))
+        all.iter().fold(Rules::default(), |rules, more| rules.intersect(more))
     }
 
     /// The windows of each version of a range; `None` if one of them cannot be used here.
@@ -264,7 +267,7 @@
     }
 
     /// Proposes a version that calls a window off, where the newest does not say so. What comes of it is seen in the versions.
-    pub fn call_off(&self, host: &Rc<Host>, window: &str) {
+    pub fn cancel_window(&self, host: &Rc<Host>, window: &str) {
         let (newest, content) = {
             let member = self.member.borrow();
             let history = member.voter().history();
@@ -272,7 +275,7 @@
             (newest, history.get(newest).map(|v| v.content.clone()))
         };
         let content = content.and_then(|c| String::from_utf8(c).ok());
-        let Some(content) = content.and_then(|text| rules::call_off(&text, window)) else { return };
+        let Some(content) = content.and_then(|text| rules::cancel_window(&text, window)) else { return };
         let begun = self.with(host, |member, now| member.propose(now, content.as_bytes(), Some(newest)));
         tracing::error!(window, newest, ?begun, at = host.now(), "a window is to be called off by a version");
     }
@@ -288,7 +291,7 @@
             let listener = self.due.listen();
             let effect = self.member.borrow_mut().effect(host.now());
             // What the gateway says to itself changes what it may act on.
-            self.refresh(&host);
+            self.refresh_rules(&host);
             self.alarm.set(Some(self.member.borrow().next_wake()));
             let Some(effect) = effect else {
                 listener.await;
@@ -332,7 +335,7 @@
     }
 
     /// Gives the lease back: nothing is taken any more.
-    pub fn leave(&self, host: &Rc<Host>) {
+    pub fn release_lease(&self, host: &Rc<Host>) {
         self.with(host, |member, _| member.give_back());
     }
 }
--- a/crates/gateway/src/agreed/asking.rs
+++ b/crates/gateway/src/agreement/asking.rs
@@ -10,20 +10,20 @@
 use violetward_net::Connection;
 use violetward_statement::http::{Headers, Limits};
 
-use super::report::{shown, Report, Standing};
-use super::{check, Agreed};
+use super::report::{shown, ProposalReport, SettingsStatus};
+use super::{check, SettingsAgreement};
 use crate::host::Host;
 
 /// How long an operator's command waits for its answer.
 const ASK: Duration = Duration::from_secs(10);
 /// Path and headers of the operators' questions.
-pub const PATH: &str = "/v1/settings";
+pub const SETTINGS_PATH: &str = "/v1/settings";
 /// The newest version that the proposal was made for.
-pub const AFTER: &str = "X-Violetward-After";
+pub const AFTER_HEADER: &str = "X-Violetward-After";
 /// The name of the key, and the code of the proposal in hexadecimal digits.
-pub const KEY: &str = "X-Violetward-Key";
+pub const KEY_HEADER: &str = "X-Violetward-Key";
 /// See `KEY`.
-pub const CODE: &str = "X-Violetward-Code";
+pub const CODE_HEADER: &str = "X-Violetward-Code";
 /// What is signed to say that a gateway's wall clock is right.
 const CLOCK: &[u8] = b"the wall clock is right";
 
@@ -36,7 +36,7 @@
     mac
 }
 
-impl Agreed {
+impl SettingsAgreement {
     /// Whether an operator's key signed this.
     fn signed(&self, content: &[u8], after: u64, dry: bool, key: &str, given: &str) -> bool {
         let given = (0..given.len() / 2).map(|i| given.get(2 * i..2 * i + 2));
@@ -47,7 +47,7 @@
     }
 
     /// An operator says that this gateway's wall clock, which was set, is right. The status to answer with, and the words.
-    pub fn clock_is_right(&self, host: &Host, after: u64, key: &str, given: &str) -> (u16, &'static str) {
+    pub fn confirm_clock(&self, host: &Host, after: u64, key: &str, given: &str) -> (u16, &'static str) {
         if !self.signed(CLOCK, after, false, key, given) {
             return (403, "no operator's key signed this");
         }
@@ -63,7 +63,7 @@
     }
 
     /// Takes an operator's proposal, or only tells what it would change. The status to answer with, and the report.
-    pub async fn proposed(
+    pub async fn handle_proposal(
         &self,
         host: &Rc<Host>,
         content: &[u8],
@@ -71,8 +71,8 @@
         dry: bool,
         key: &str,
         given: &str,
-    ) -> (u16, Report) {
-        let report = |outcome: &str, number, text: String, changes| Report {
+    ) -> (u16, ProposalReport) {
+        let report = |outcome: &str, number, text: String, changes| ProposalReport {
             outcome: outcome.to_owned(),
             number,
             text,
@@ -163,7 +163,7 @@
 }
 
 /// What a gateway answers to a question for one of its resources.
-pub(crate) async fn get(address: SocketAddr, path: &str) -> Result<Vec<u8>, String> {
+pub(crate) async fn http_get(address: SocketAddr, path: &str) -> Result<Vec<u8>, String> {
     call(address, "GET", path, Headers::default(), b"").await
 }
 
@@ -171,16 +171,17 @@
 ///
 /// # Errors
 /// What it answers instead, or why it does not.
-pub async fn ask(address: SocketAddr) -> Result<Standing, String> {
-    ask_since(address, 0).await
+pub async fn fetch_status(address: SocketAddr) -> Result<SettingsStatus, String> {
+    fetch_status_since(address, 0).await
 }
 
 /// The same, with the versions from a number on alone.
 ///
 /// # Errors
 /// What it answers instead, or why it does not.
-pub async fn ask_since(address: SocketAddr, since: u64) -> Result<Standing, String> {
-    let body = call(address, "GET", &format!("{PATH}?since={since}"), Headers::default(), b"").await?;
+pub async fn fetch_status_since(address: SocketAddr, since: u64) -> Result<SettingsStatus, String> {
+    let body =
+        call(address, "GET", &format!("{SETTINGS_PATH}?since={since}"), Headers::default(), b"").await?;
     serde_json::from_slice(&body).map_err(|e| e.to_string())
 }
 
@@ -194,9 +195,9 @@
     after: u64,
     dry: bool,
     key: &(String, String),
-) -> Result<Report, String> {
+) -> Result<ProposalReport, String> {
     let headers = signature(content, after, dry, key);
-    let path = if dry { format!("{PATH}?dry") } else { PATH.to_owned() };
+    let path = if dry { format!("{SETTINGS_PATH}?dry") } else { SETTINGS_PATH.to_owned() };
     let body = call(address, "POST", &path, headers, content).await?;
     serde_json::from_slice(&body).map_err(|e| e.to_string())
 }
@@ -205,20 +206,20 @@
 ///
 /// # Errors
 /// Why it does not believe that, or does not answer.
-pub async fn clock_is_right(address: SocketAddr, key: &(String, String)) -> Result<String, String> {
-    let after = ask_since(address, u64::MAX).await?.newest;
+pub async fn confirm_clock(address: SocketAddr, key: &(String, String)) -> Result<String, String> {
+    let after = fetch_status_since(address, u64::MAX).await?.newest;
     let headers = signature(CLOCK, after, false, key);
-    let body = call(address, "POST", &format!("{PATH}?clock"), headers, b"").await?;
+    let body = call(address, "POST", &format!("{SETTINGS_PATH}?clock"), headers, b"").await?;
     Ok(String::from_utf8_lossy(&body).trim().to_owned())
 }
 
 /// The headers of what an operator signs.
 fn signature(content: &[u8], after: u64, dry: bool, key: &(String, String)) -> Headers {
     let mut headers = Headers::default();
-    headers.push(AFTER, after.to_string());
-    headers.push(KEY, key.0.clone());
+    headers.push(AFTER_HEADER, after.to_string());
+    headers.push(KEY_HEADER, key.0.clone());
     let code = code(&key.1, after, dry, content).finalize().into_bytes();
     let digits = code.iter().map(|b| format!("{b:02x}")).collect::<String>();
-    headers.push(CODE, digits);
+    headers.push(CODE_HEADER, digits);
     headers
 }
--- a/crates/gateway/src/agreed/disk.rs
+++ b/crates/gateway/src/agreement/disk.rs
@@ -12,8 +12,8 @@
 use violetward_store::medium::Folder;
 use violetward_store::StoreError;
 
-use super::asking::ask_since;
-use super::Agreed;
+use super::asking::fetch_status_since;
+use super::SettingsAgreement;
 use crate::config::AgreementTerms;
 
 /// The file of what is kept, the one that it becomes when it cannot be used, and the one that a process holds locked.
@@ -39,12 +39,12 @@
 ///
 /// # Errors
 /// If there is one already, or it cannot be written.
-pub fn init(terms: &AgreementTerms) -> Result<PathBuf, String> {
+pub fn init_votes(terms: &AgreementTerms) -> Result<PathBuf, String> {
     let file = terms.folder.join(KEPT);
     if file.exists() {
         return Err(format!("{} is there already; it holds this gateway's votes", file.display()));
     }
-    let bytes = wire::keep(&Kept::default(), terms.mark(), 0);
+    let bytes = wire::keep(&Kept::default(), terms.fingerprint(), 0);
     open(terms).and_then(|mut folder| folder.replace(KEPT, &bytes)).map_err(|e| unusable(terms, e))?;
     Ok(file)
 }
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 /// If too few of them answer, there is a file that can be used, or the new one cannot be written.
-pub async fn replace(terms: &AgreementTerms, others: &[SocketAddr]) -> Result<PathBuf, String> {
+pub async fn replace_votes(terms: &AgreementTerms, others: &[SocketAddr]) -> Result<PathBuf, String> {
     let file = terms.folder.join(KEPT);
     let mut folder = open(terms).map_err(|e| unusable(terms, e))?;
     if read(&mut folder, terms).is_ok() {
@@ -62,7 +62,8 @@
     }
     let mut newest: BTreeMap<String, u64> = BTreeMap::new();
     for &address in others {
-        let standing = ask_since(address, u64::MAX).await.map_err(|why| format!("{address}: {why}"))?;
+        let standing =
+            fetch_status_since(address, u64::MAX).await.map_err(|why| format!("{address}: {why}"))?;
         if standing.votes && standing.voters == terms.voters && standing.name != terms.name {
             newest.insert(standing.name, standing.newest);
         }
@@ -77,7 +78,7 @@
     let writes = violetward_net::Clock::new().now();
     let aside = if file.exists() { folder.set_aside(KEPT, ASIDE) } else { Ok(()) };
     aside
-        .and_then(|()| folder.replace(KEPT, &wire::keep(&kept, terms.mark(), writes)))
+        .and_then(|()| folder.replace(KEPT, &wire::keep(&kept, terms.fingerprint(), writes)))
         .map_err(|e| unusable(terms, e))?;
     Ok(file)
 }
@@ -89,10 +90,10 @@
     let bytes = folder.read(KEPT, LONGEST).map_err(|e| format!("{shown}: {e}"))?.ok_or_else(|| {
         format!("{shown} is not there. A voter that was never started needs `violetward settings init`; one that lost its file, `violetward settings replace`")
     })?;
-    wire::kept(&bytes, terms.mark()).map_err(|why: Spoilt| format!("{shown}: {why}"))
+    wire::kept(&bytes, terms.fingerprint()).map_err(|why: Spoilt| format!("{shown}: {why}"))
 }
 
-impl Agreed {
+impl SettingsAgreement {
     /// Writes what is kept, on a thread of its own: a disk that stalls must not hold up statements. Goes on until it is done.
     pub(super) async fn keep(&self, bytes: Vec<u8>) {
         // A gateway that does not vote has nothing to keep, and one whose file is spoilt must not hide that.
--- a/crates/gateway/src/agreed/report.rs
+++ b/crates/gateway/src/agreement/report.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use violetward_agreement::Version;
 
-use super::{check, Agreed};
+use super::{check, SettingsAgreement};
 use crate::rules::{Difference, Rules};
 
 /// A version, as `/v1/settings` tells it.
@@ -23,7 +23,7 @@
 /// What `/v1/settings` tells.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Standing {
+pub struct SettingsStatus {
     /// This gateway.
     pub name: String,
     /// The newest version that it knows; 0: none.
@@ -57,7 +57,7 @@
 /// What a proposal leads to.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Report {
+pub struct ProposalReport {
     /// `committed`, `would commit`, `conflict`, `stale`, `unfit`, `unknown`, `busy` or `not a voter`.
     pub outcome: String,
     /// The version, where there is one.
@@ -69,12 +69,12 @@
 }
 
 pub(super) fn shown(changes: &[Difference]) -> Vec<String> {
-    changes.iter().map(|c| format!("{} {}", if c.widens { '+' } else { '-' }, c.text)).collect()
+    changes.iter().map(|c| format!("{} {}", if c.widens { '+' } else { '-' }, c.description)).collect()
 }
 
-impl Agreed {
+impl SettingsAgreement {
     /// What is known, with the versions from a number on.
-    pub fn standing(&self, now: u64, since: u64) -> Standing {
+    pub fn status(&self, now: u64, since: u64) -> SettingsStatus {
         let member = self.member.borrow();
         let voter = member.voter();
         let (grants, silent) = voter.granting(now);
@@ -91,7 +91,7 @@
         };
         let (total, from) = self.lapsed.get();
         let open = if self.applied.get().is_none() { now.saturating_sub(from) } else { 0 };
-        Standing {
+        SettingsStatus {
             name: self.terms.name.clone(),
             newest: voter.history().newest().0,
             acts: self.applied.get(),
@@ -103,14 +103,14 @@
             trouble: self.trouble.borrow().clone(),
             grants,
             silent,
-            bound: self.terms.bound(),
+            bound: self.terms.switch_bound_micros(),
             counts: member.counts,
             history: history.all().iter().filter(|v| v.number >= since).map(row).collect(),
         }
     }
 }
 
-impl std::fmt::Display for Standing {
+impl std::fmt::Display for SettingsStatus {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.acts {
             Some((low, top)) if low == top => writeln!(f, "{} acts on version {top}", self.name)?,
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -17,14 +17,14 @@
 use violetward::*;
 
 use crate::custody_terms;
-use crate::forms::{self, Checker, Form, Mistake};
+use crate::forms::{self, Checker, Diagnostic, Form};
 use crate::terms::micros;
 pub use crate::terms::{
     AgreementTerms, Config, CustodyTerms, HostLimits, KernelConfig, Names, PeerTerms, Selection, Selector,
     SessionTerms, WindowTerms,
 };
 use agreement::agreement_terms;
-pub use keys::{read_keys, read_operators, read_ring};
+pub use keys::{read_membership_keys, read_operator_keys, read_session_keys};
 use limits::host_limits;
 use membership::peer_terms;
 use policy::{class, policy};
@@ -55,7 +55,7 @@
 ///
 /// # Errors
 /// Every mistake found, in the order of their places.
-pub fn parse(text: &str, folder: &Path) -> Result<Config, Vec<Mistake>> {
+pub fn parse(text: &str, folder: &Path) -> Result<Config, Vec<Diagnostic>> {
     let data = forms::read(text).map_err(|m| vec![m])?;
     let mut c = Checker::default();
     let forms: Vec<Form<'_>> = data.iter().filter_map(|d| c.form(d.as_ref())).collect();
@@ -74,7 +74,7 @@
         Some(config) if c.diagnostics.is_empty() => Ok(config),
         _ => {
             if c.diagnostics.is_empty() {
-                c.diagnostics.push(Mistake { line: 1, column: 1, message: "the file is empty".into() });
+                c.diagnostics.push(Diagnostic { line: 1, column: 1, message: "the file is empty".into() });
             }
             Err(c.diagnostics)
         }
@@ -89,7 +89,11 @@
 ) -> Option<Config> {
     let missing = |c: &mut Checker, name: &str| {
         if section(name).is_none() {
-            c.diagnostics.push(Mistake { line: 1, column: 1, message: format!("({name} ...) is missing") });
+            c.diagnostics.push(Diagnostic {
+                line: 1,
+                column: 1,
+                message: format!("({name} ...) is missing"),
+            });
         }
     };
     for name in ["gateway", "kinds", "classes"] {
@@ -112,7 +116,10 @@
     let number = g.integer(c, "number", (0, 1 << 20), 0);
     let of = g.integer(c, "of", (1, 1 << 20), 1);
     if number >= of {
-        c.error_at(gateway, format!("gateway: number {number} must be under (of {of}): numbers count from 0"));
+        c.error_at(
+            gateway,
+            format!("gateway: number {number} must be under (of {of}): numbers count from 0"),
+        );
     }
     let zone = g.word(c, "zone", "default");
     let mut names = Names { zones: vec![zone], ..Names::default() };
@@ -121,7 +128,10 @@
     let listen = listen.and_then(|(f, w)| {
         let parsed = w.parse::<SocketAddr>().ok();
         if parsed.is_none() {
-            c.error_at(&f, format!("listen: expected an address and port such as \"127.0.0.1:8080\", found {w}"));
+            c.error_at(
+                &f,
+                format!("listen: expected an address and port such as \"127.0.0.1:8080\", found {w}"),
+            );
         }
         parsed
     });
@@ -165,7 +175,8 @@
             let Some(form) = c.form(*datum) else { continue };
             let Some(name) = named(c, &form, "tenant", &names.tenants) else { continue };
             let f = c.fields(&form, 1, &["per-second"]);
-            let rate = f.require(c, "per-second").cloned().and_then(|f| c.number(&f, 0.0, 1e9)).unwrap_or(0.0);
+            let rate =
+                f.require(c, "per-second").cloned().and_then(|f| c.number(&f, 0.0, 1e9)).unwrap_or(0.0);
             settings.tenants.push(Tenant { quota_per_s: rate });
             names.tenants.push(name);
         }
@@ -195,7 +206,10 @@
     for form in forms.iter().filter(|f| f.name == "select") {
         let Some(name) = c.name(form) else { continue };
         let Some(class) = names.classes.iter().position(|n| *n == name) else {
-            c.error_at(form, format!("select: there is no class {name}; classes: {}", names.classes.join(", ")));
+            c.error_at(
+                form,
+                format!("select: there is no class {name}; classes: {}", names.classes.join(", ")),
+            );
             continue;
         };
         let f = c.fields(form, 1, &["source", "user", "tag", "first-word"]);
--- a/crates/gateway/src/config/agreement.rs
+++ b/crates/gateway/src/config/agreement.rs
@@ -45,7 +45,7 @@
     if let Some(form) = f.require(c, "key-file").cloned() {
         if let Some(path) = c.word(&form, "a path") {
             let read = std::fs::read_to_string(folder.join(&path)).map_err(|e| e.to_string());
-            match read.and_then(|text| read_operators(&text)) {
+            match read.and_then(|text| read_operator_keys(&text)) {
                 Ok(keys) => operators = keys,
                 Err(why) => c.error_at(&form, format!("key-file {path}: {why}")),
             }
@@ -58,8 +58,8 @@
         voters,
         folder,
         lease,
-        drift,
-        check,
+        drift_ppm: drift,
+        lease_check_margin: check,
         floor,
         startup_wait: wait_at_start,
         operator_keys: operators,
--- a/crates/gateway/src/config/keys.rs
+++ b/crates/gateway/src/config/keys.rs
@@ -6,7 +6,7 @@
 ///
 /// # Errors
 /// What is wrong.
-pub fn read_operators(text: &str) -> Result<Vec<(String, String)>, String> {
+pub fn read_operator_keys(text: &str) -> Result<Vec<(String, String)>, String> {
     let keys = named_secrets(text)?;
     if keys.is_empty() || keys.iter().any(|k| k.1.len() < 16) {
         return Err("expected (key NAME \"secret\") with a secret of sixteen octets or more".into());
@@ -18,7 +18,7 @@
 ///
 /// # Errors
 /// What is wrong, with its place.
-pub fn read_ring(text: &str) -> Result<violetward_membership::Keys, String> {
+pub fn read_membership_keys(text: &str) -> Result<violetward_membership::Keys, String> {
     let keys = named_secrets(text)?;
     let key =
         |(name, secret): (String, String)| violetward_membership::Key { name, secret: secret.into_bytes() };
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 /// What is wrong, with its place.
-pub fn read_keys(text: &str) -> Result<violetward_session::token::Keys, String> {
+pub fn read_session_keys(text: &str) -> Result<violetward_session::token::Keys, String> {
     let keys = named_secrets(text)?;
     let key = |(name, secret): (String, String)| violetward_session::token::Key {
         name,
--- a/crates/gateway/src/config/limits.rs
+++ b/crates/gateway/src/config/limits.rs
@@ -54,7 +54,10 @@
         repeat_property: p.word(c, "repeat", "query_repeat_key"),
     };
     if host.max_poll_wait >= host.abandon_timeout {
-        c.error_at(&f.form, "limits: long-poll must be under abandon-after, or clients that wait would be let go");
+        c.error_at(
+            &f.form,
+            "limits: long-poll must be under abandon-after, or clients that wait would be let go",
+        );
     }
     host
 }
--- a/crates/gateway/src/config/membership.rs
+++ b/crates/gateway/src/config/membership.rs
@@ -24,7 +24,10 @@
             "widen",
         ];
         if !known.contains(&field.name.as_str()) {
-            c.error_at(&field, format!("{} is not known in membership; known: {}", field.name, known.join(", ")));
+            c.error_at(
+                &field,
+                format!("{} is not known in membership; known: {}", field.name, known.join(", ")),
+            );
         } else if !several.contains(&field.name.as_str()) && fields.iter().any(|f| f.name == field.name) {
             c.error_at(&field, format!("{} stands twice", field.name));
         }
@@ -90,7 +93,7 @@
             }
             let read = std::fs::read_to_string(folder.join(path))
                 .map_err(|e| e.to_string())
-                .and_then(|t| read_ring(&t));
+                .and_then(|t| read_membership_keys(&t));
             read.map_err(|why| c.error_at(form, format!("key-file {path}: {why}"))).ok()
         }
         None => violetward_membership::Keys::new(keys)
@@ -114,5 +117,18 @@
             "membership: (advertise ADDRESS) must tell where others reach a listener on all addresses",
         );
     }
-    Some(PeerTerms { listen, advertise, name, site, seeds, address_overrides: via, keys, key_file, probe_interval: period, max_members: most, max_total_share: widest, share_growth_per_s: widen })
+    Some(PeerTerms {
+        listen,
+        advertise,
+        name,
+        site,
+        seeds,
+        address_overrides: via,
+        keys,
+        key_file,
+        probe_interval: period,
+        max_members: most,
+        max_total_share: widest,
+        share_growth_per_s: widen,
+    })
 }
--- a/crates/gateway/src/config/policy.rs
+++ b/crates/gateway/src/config/policy.rs
@@ -28,7 +28,8 @@
     let span = |c: &mut Checker, name: &str, ms: u64| micros(f.duration(c, name, Duration::from_millis(ms)));
     let budget = f.get("budget").cloned().map(|b| {
         let f = c.fields(&b, 0, &["free", "share", "window"]);
-        let window = f.require(c, "window").cloned().and_then(|w| c.duration(&w)).unwrap_or(Duration::from_secs(5));
+        let window =
+            f.require(c, "window").cloned().and_then(|w| c.duration(&w)).unwrap_or(Duration::from_secs(5));
         AttemptBudget {
             free: f.number(c, "free", (0.0, 1e6), 5.0),
             per_request: f.number(c, "share", (0.0, 1.0), 0.1),
@@ -111,13 +112,19 @@
         c.error_at(form, "class: give-up must be over aim: nothing could be late and still be answered");
     }
     if give_up <= host.reply_margin * 2 {
-        c.error_at(form, "class: give-up must be over twice limits/reply-margin: no time to run would be left");
+        c.error_at(
+            form,
+            "class: give-up must be over twice limits/reply-margin: no time to run would be left",
+        );
     }
     let effect = f.require(c, "effect").cloned().and_then(|e| effect(c, &e));
     let effect = effect.unwrap_or(Effect::Repeatable);
     let in_order = f.flag(c, "in-order", false);
     if in_order && settings.key_cooldown == 0 {
-        c.error_at(form, "class: in-order needs policy/key-rest over 0: work whose end is not known may go on");
+        c.error_at(
+            form,
+            "class: in-order needs policy/key-rest over 0: work whose end is not known may go on",
+        );
     }
     if let Effect::Keyed { window, .. } = effect {
         if window <= 2 * settings.quantum {
--- a/crates/gateway/src/config/sessions.rs
+++ b/crates/gateway/src/config/sessions.rs
@@ -24,7 +24,8 @@
         finish_within: f.duration(c, "finish-within", usual.finish_within),
         most: f.integer(c, "most", (0, 100_000_000), usual.most as u64) as usize,
         most_a_user: f.integer(c, "most-a-user", (0, 100_000_000), usual.most_a_user as u64) as usize,
-        most_an_engine: f.integer(c, "most-an-engine", (0, 100_000_000), usual.most_an_engine as u64) as usize,
+        most_an_engine: f.integer(c, "most-an-engine", (0, 100_000_000), usual.most_an_engine as u64)
+            as usize,
     };
     if limits.idle > limits.absolute || limits.locks_idle > limits.idle {
         c.error_at(&f.form, "sessions: expected locks-idle <= idle <= absolute");
@@ -32,7 +33,8 @@
     let file = f.get("key-file").cloned().and_then(|form| Some((c.word(&form, "a path")?, form)));
     let key_file = file.map(|(file, form)| (folder.join(file), form));
     let keys = key_file.as_ref().and_then(|(path, form)| {
-        let read = std::fs::read_to_string(path).map_err(|e| e.to_string()).and_then(|t| read_keys(&t));
+        let read =
+            std::fs::read_to_string(path).map_err(|e| e.to_string()).and_then(|t| read_session_keys(&t));
         read.map_err(|why| c.error_at(form, format!("key-file {}: {why}", path.display()))).ok()
     });
     let reserve = f.integer(c, "reserve", (0, 1_000_000), 4) as u32;
--- a/crates/gateway/src/config/sites.rs
+++ b/crates/gateway/src/config/sites.rs
@@ -3,7 +3,7 @@
 use violetward_digest::GossipConfig;
 
 use super::*;
-use crate::terms::{SitePlace, SiteTerms};
+use crate::terms::{SiteConfig, SiteTerms};
 
 /// `(site-loss (site NAME (gateways N) (zones ZONE ...) (engines NAME ...)) ...)`: all sites, in the same order at every
 /// gateway, and how they are watched.
@@ -15,7 +15,7 @@
         );
         return None;
     };
-    let (mut sites, mut rest): (Vec<SitePlace>, Vec<_>) = (Vec::new(), Vec::new());
+    let (mut sites, mut rest): (Vec<SiteConfig>, Vec<_>) = (Vec::new(), Vec::new());
     for datum in &form.args {
         let Some(f) = c.form(*datum).filter(|f| f.name == "site") else {
             rest.push(*datum);
@@ -32,7 +32,7 @@
         let (zones, engines) = (list("zones"), list("engines").unwrap_or_default());
         // Where neither is told, a site's engines are those of the zone of its name.
         let zones = zones.unwrap_or_else(|| if engines.is_empty() { vec![name.clone()] } else { Vec::new() });
-        sites.push(SitePlace { name, gateways, zones, engines });
+        sites.push(SiteConfig { name, gateways, zones, engines });
     }
     let fields = form.with_args(rest);
     let known = [
@@ -57,7 +57,10 @@
     let f = c.fields(&fields, 0, &known);
     let own = sites.iter().position(|s| s.name == peers.site);
     if own.is_none() {
-        c.error_at(form, format!("site-loss: membership's site {} is none of the sites told here", peers.site));
+        c.error_at(
+            form,
+            format!("site-loss: membership's site {} is none of the sites told here", peers.site),
+        );
     }
     if !(2..=64).contains(&sites.len()) {
         c.error_at(form, "site-loss: expected two to 64 (site NAME ...)");
--- a/crates/gateway/src/config/windows.rs
+++ b/crates/gateway/src/config/windows.rs
@@ -46,7 +46,14 @@
     let weeks = f.integer(c, "weeks", (1, 12), 3) as u32;
     // At most one of the last weeks may be missing.
     let profile = profile::Terms { weeks, of: weeks + 1, ..profile::Terms::default() };
-    let terms = WindowTerms { folder: folder.join(path?), cover, margins, max_fleet_age: fresh, sample_interval: sample, profile };
-    agreement.windows_fingerprint = Some(terms.mark());
+    let terms = WindowTerms {
+        folder: folder.join(path?),
+        cover,
+        margins,
+        max_fleet_age: fresh,
+        sample_interval: sample,
+        profile,
+    };
+    agreement.windows_fingerprint = Some(terms.fingerprint());
     Some(terms)
 }
--- a/crates/gateway/src/config/zone.rs
+++ b/crates/gateway/src/config/zone.rs
@@ -20,7 +20,9 @@
         match (field.name.as_str(), words.as_slice()) {
             ("listen", [address]) => match address.parse() {
                 Ok(address) => listen = Some(address),
-                Err(_) => c.error_at(&field, "listen: expected an address and port such as \"127.0.0.1:5300\""),
+                Err(_) => {
+                    c.error_at(&field, "listen: expected an address and port such as \"127.0.0.1:5300\"")
+                }
             },
             ("key", [name, secret]) => match Name::parse(name, &Name::root()) {
                 Ok(name) if secret.len() >= 16 => {
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -24,7 +24,7 @@
 use violetward_statement::session::Context;
 use violetward_statement::text;
 
-use crate::record::{hash, EngineRecord};
+use crate::record::{fnv1a, EngineRecord};
 use crate::rules::{self, Rules};
 use crate::sessions::{self, Admit, SessionUse, Sessions};
 use crate::terms::{Config, HostLimits, Names, Selection};
--- a/crates/gateway/src/core/attempts.rs
+++ b/crates/gateway/src/core/attempts.rs
@@ -164,7 +164,9 @@
     /// Lets the connection fetch the next page if the client's buffer has room.
     pub(super) fn fetch_page(&mut self, id: StatementId) {
         let Some(s) = self.statements.get(&id) else { return };
-        let (Some(number), true) = (s.current_attempt, s.pages.held() < self.limits.row_buffer_bytes) else { return };
+        let (Some(number), true) = (s.current_attempt, s.pages.held() < self.limits.row_buffer_bytes) else {
+            return;
+        };
         // Pages read ahead would be lost with this gateway.
         if s.protection.is_some() && !s.pages.may_advance() {
             return;
--- a/crates/gateway/src/core/fronts.rs
+++ b/crates/gateway/src/core/fronts.rs
@@ -237,7 +237,7 @@
             tenant: TenantId(tenant),
             cost: cost.unwrap_or(0),
             memory_mb: s.context.estimated_memory.map_or(0.0, |b| b as f64 / f64::from(1 << 20)),
-            group: GroupId(hash(&group)),
+            group: GroupId(fnv1a(&group)),
             key: key.map(|k| OrderKey(k.to_owned())),
             is_retry: false,
             has_dedup_key: s.context.tagged(&self.selection.repeat_tag).is_some(),
--- a/crates/gateway/src/core/listing.rs
+++ b/crates/gateway/src/core/listing.rs
@@ -11,7 +11,7 @@
         }
         let state = |r: &EngineRecord| self.effective_state(r);
         let entry = |r: &EngineRecord| {
-            let listed = rules::worse(state(r), self.rules.engine(&r.name));
+            let listed = rules::more_restrictive(state(r), self.rules.engine_state(&r.name));
             violetward::EngineEntry { listed, ..r.entry.clone() }
         };
         let entries = records.values().map(entry).collect();
@@ -25,7 +25,10 @@
             lost.extend(self.sessions.engine_listed(self.now, engine, None));
         }
         for record in records.values() {
-            let draining = match rules::worse(self.effective_state(record), self.rules.told(&record.name)) {
+            let draining = match rules::more_restrictive(
+                self.effective_state(record),
+                self.rules.named_state(&record.name),
+            ) {
                 violetward::Listed::Up => Some(false),
                 violetward::Listed::Draining => Some(true),
                 violetward::Listed::Removed => None,
@@ -42,14 +45,14 @@
     /// process.
     pub(super) fn effective_state(&self, record: &EngineRecord) -> violetward::Listed {
         let remote = self.remote_states.get(&record.name).filter(|c| c.0 >= record.entry.came_up);
-        remote.map_or(record.entry.listed, |c| rules::worse(record.entry.listed, c.1))
+        remote.map_or(record.entry.listed, |c| rules::more_restrictive(record.entry.listed, c.1))
     }
 
     /// All listed engines, the names of those that get no new statements for reasons other than a maintenance
     /// window (`away`), and the classes as narrowed by the rules.
     pub fn fleet(&self, away: &BTreeSet<String>) -> (Vec<EngineRecord>, BTreeSet<String>, Vec<Class>) {
         let up = violetward::Listed::Up;
-        let restricted = |name: &String| self.rules.told(name) != up && !away.contains(name);
+        let restricted = |name: &String| self.rules.named_state(name) != up && !away.contains(name);
         let excluded = |r: &&EngineRecord| self.effective_state(r) != up || restricted(&r.name);
         let excluded = self.engine_list.values().filter(excluded).map(|r| r.name.clone()).collect();
         (self.engine_list.values().cloned().collect(), excluded, self.classes.clone())
@@ -71,7 +74,7 @@
     /// new rules.
     pub fn set_rules(&mut self, now: Micros, rules: Rules) {
         self.advance_to(now);
-        let (classes, tenants, attempts_cap, budget) = rules.narrow(&self.configured, &self.names);
+        let (classes, tenants, attempts_cap, budget) = rules.restrict(&self.configured, &self.names);
         self.classes.clone_from(&classes);
         self.rules = rules;
         self.events.push_back(Event::Rules { classes, tenants, attempts_cap, budget });
@@ -88,7 +91,11 @@
         let kind_allowed = class.kinds.as_ref().is_none_or(|k| k.contains(&r.entry.kind));
         let zone_allowed = class.zones.as_ref().is_none_or(|z| z.contains(&r.entry.zone));
         // Statements of a session may finish on the engine that holds it.
-        let state = if s.session_use.is_some() { self.rules.told(engine) } else { self.rules.engine(engine) };
+        let state = if s.session_use.is_some() {
+            self.rules.named_state(engine)
+        } else {
+            self.rules.engine_state(engine)
+        };
         let engine_allowed = state == violetward::Listed::Up
             || s.session_use.is_some() && state != violetward::Listed::Removed;
         kind_allowed && zone_allowed && engine_allowed
--- a/crates/gateway/src/custody_terms.rs
+++ b/crates/gateway/src/custody_terms.rs
@@ -70,8 +70,8 @@
     Some(CustodyTerms {
         voters,
         lease,
-        drift,
-        check,
+        drift_ppm: drift,
+        lease_check_margin: check,
         guardians: copies,
         folder,
         protected_classes: protect,
--- a/crates/gateway/src/forms.rs
+++ b/crates/gateway/src/forms.rs
@@ -9,7 +9,7 @@
 
 /// Something in a file that cannot be used, and where it stands.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Mistake {
+pub struct Diagnostic {
     /// Line, from 1.
     pub line: usize,
     /// Column, from 1.
@@ -18,7 +18,7 @@
     pub message: String,
 }
 
-impl fmt::Display for Mistake {
+impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}: {}", self.line, self.column, self.message)
     }
@@ -52,14 +52,14 @@
 #[derive(Debug, Default)]
 pub struct Checker {
     /// What has been found so far.
-    pub diagnostics: Vec<Mistake>,
+    pub diagnostics: Vec<Diagnostic>,
 }
 
 /// The top-level data of a text.
 ///
 /// # Errors
 /// The place where the text stops being S-expressions.
-pub fn read(text: &str) -> Result<Vec<Datum>, Mistake> {
+pub fn read(text: &str) -> Result<Vec<Datum>, Diagnostic> {
     let mut parser = Parser::from_str(text);
     let mut all = Vec::new();
     loop {
@@ -68,7 +68,7 @@
             Ok(None) => return Ok(all),
             Err(e) => {
                 let (line, column) = e.location().map_or((1, 1), |l| (l.line(), l.column()));
-                return Err(Mistake {
+                return Err(Diagnostic {
                     line,
                     column: column.max(1),
                     message: format!("not an S-expression: {e}"),
@@ -100,7 +100,7 @@
     }
 
     fn push_error(&mut self, (line, column): (usize, usize), text: String) {
-        self.diagnostics.push(Mistake { line, column, message: text });
+        self.diagnostics.push(Diagnostic { line, column, message: text });
     }
 
     /// Reads a form; notes what is none.
@@ -149,11 +149,19 @@
         }
     }
 
-    fn parse_arg<T>(&mut self, form: &Form<'_>, what: &str, read: impl Fn(&Ref<'_>) -> Option<T>) -> Option<T> {
+    fn parse_arg<T>(
+        &mut self,
+        form: &Form<'_>,
+        what: &str,
+        read: impl Fn(&Ref<'_>) -> Option<T>,
+    ) -> Option<T> {
         let datum = self.single_arg(form, what)?;
         let value = read(&datum);
         if value.is_none() {
-            self.push_error(place(&datum), format!("{}: expected {what}, found {}", form.name, shown(&datum)));
+            self.push_error(
+                place(&datum),
+                format!("{}: expected {what}, found {}", form.name, shown(&datum)),
+            );
         }
         value
     }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -17,7 +17,7 @@
 use violetward_statement::results::{NodeStatus, PageRef, STATEMENT};
 use violetward_statement::session::Context;
 
-use crate::agreed;
+use crate::agreement;
 use crate::core::{StatementId, Submission};
 use crate::custody::{self, Asked, Custody, Passed, Takes, Token, Told};
 use crate::host::Host;
@@ -158,7 +158,7 @@
         match self.answer_if_held(&custody, &token, &request, None).await {
             HeldAnswer::Reply(reply) => {
                 let headers = reply.headers.iter().map(|(n, v)| (n.to_owned(), v.to_owned())).collect();
-                let whole = (reply.body.len(), crate::list::hash(&String::from_utf8_lossy(&reply.body)));
+                let whole = (reply.body.len(), crate::list::fnv1a(&String::from_utf8_lossy(&reply.body)));
                 (Told { status: reply.status, headers, whole, at: None }, reply.body)
             }
             HeldAnswer::Elsewhere(at) => (Told { at, ..Told::default() }, Vec::new()),
@@ -343,8 +343,8 @@
             ("GET", "/v1/status") => Some(self.status()),
             ("GET", "/metrics") => Some(self.metrics()),
             ("GET", "/v1/members") => Some(self.members()),
-            ("GET", agreed::PATH) => Some(self.settings(query)),
-            ("POST", agreed::PATH) => Some(self.propose(message, query).await),
+            ("GET", agreement::SETTINGS_PATH) => Some(self.settings(query)),
+            ("POST", agreement::SETTINGS_PATH) => Some(self.propose(message, query).await),
             ("GET", "/v1/custody") => Some(self.custody()),
             ("GET", crate::windows::PATH) => Some(self.windows()),
             ("GET", "/v1/sites") => Some(self.sites()),
@@ -575,7 +575,7 @@
     fn settings(&self, query: &str) -> Reply {
         let since = query.split('&').find_map(|p| p.strip_prefix("since=")).and_then(|n| n.parse().ok());
         match &*self.host.agreed.borrow() {
-            Some(agreed) => Reply::json(&agreed.standing(self.host.now(), since.unwrap_or(0))),
+            Some(agreed) => Reply::json(&agreed.status(self.host.now(), since.unwrap_or(0))),
             None => no_agreement_reply(),
         }
     }
@@ -583,16 +583,17 @@
     async fn propose(&self, message: &Message, query: &str) -> Reply {
         let Some(agreed) = self.host.agreed.borrow().clone() else { return no_agreement_reply() };
         let header = |name: &str| message.headers.get(name).unwrap_or_default().to_owned();
-        let Ok(after) = header(agreed::AFTER).parse() else {
+        let Ok(after) = header(agreement::AFTER_HEADER).parse() else {
             return Reply::text(400, "the header that names the version before is missing");
         };
-        let (key, code) = (header(agreed::KEY), header(agreed::CODE));
+        let (key, code) = (header(agreement::KEY_HEADER), header(agreement::CODE_HEADER));
         if query == "clock" {
-            let (status, text) = agreed.clock_is_right(&self.host, after, &key, &code);
+            let (status, text) = agreed.confirm_clock(&self.host, after, &key, &code);
             return Reply::text(status, text);
         }
         let dry_run = query == "dry";
-        let (status, report) = agreed.proposed(&self.host, &message.body, after, dry_run, &key, &code).await;
+        let (status, report) =
+            agreed.handle_proposal(&self.host, &message.body, after, dry_run, &key, &code).await;
         Reply { status, ..Reply::json(&report) }
     }
 
@@ -625,7 +626,7 @@
             });
         }
         if let Some(agreed) = &*self.host.agreed.borrow() {
-            let standing = agreed.standing(self.host.now(), u64::MAX);
+            let standing = agreed.status(self.host.now(), u64::MAX);
             value["agreement"] = serde_json::json!({
                 "newest": standing.newest, "acts": standing.acts, "votes": standing.votes,
                 "withoutLease": standing.without_lease,
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -14,7 +14,7 @@
 use violetward_net::{Alarm, Clock, Pool};
 use violetward_statement::http::Limits;
 
-use crate::agreed::Agreed;
+use crate::agreement::SettingsAgreement;
 use crate::core::{AttemptId, Core, Effect, Launch, StatementId};
 use crate::custody::Custody;
 use crate::engine;
@@ -55,7 +55,7 @@
     /// Membership of the fleet, if configured.
     pub(crate) peers: RefCell<Option<Rc<Peers>>>,
     /// Agreement on settings, if configured.
-    pub(crate) agreed: RefCell<Option<Rc<Agreed>>>,
+    pub(crate) agreed: RefCell<Option<Rc<SettingsAgreement>>>,
     /// Until when the core's rules are known to hold without another check.
     pub(crate) rules_valid_until: Cell<Micros>,
     /// Maintenance windows, if configured.
@@ -178,7 +178,7 @@
             return now;
         }
         let agreed = self.agreed.borrow().clone();
-        agreed.iter().for_each(|agreed| agreed.refresh(self));
+        agreed.iter().for_each(|agreed| agreed.refresh_rules(self));
         // Setting new rules has advanced the core's time, which never goes back.
         self.clock.now()
     }
@@ -222,7 +222,7 @@
     ) {
         self.with_core(|core, now| core.update_engines(now, list));
         let agreed = self.agreed.borrow().clone();
-        agreed.iter().for_each(|agreed| agreed.listed(self, list));
+        agreed.iter().for_each(|agreed| agreed.set_local_list(self, list));
     }
 
     /// Membership of the fleet, if configured.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -9,7 +9,7 @@
 //! [`front`] (the statement API), [`notebook`] (a notebook kernel), [`watch`] (the file of the engine list)
 //! and [`peers`] (datagrams between gateways). [`service`] starts and stops them.
 
-pub mod agreed;
+pub mod agreement;
 pub mod config;
 pub mod core;
 pub mod custody;
@@ -31,7 +31,7 @@
 pub mod sessions;
 pub mod terms;
 pub mod timestamp;
-pub mod updates;
 pub mod watch;
 pub mod windows;
-pub mod zonefront;
+pub mod zone_server;
+pub mod zone_updates;
--- a/crates/gateway/src/list.rs
+++ b/crates/gateway/src/list.rs
@@ -4,8 +4,8 @@
 
 use violetward::*;
 
-use crate::forms::{self, Checker, Form, Mistake};
-pub use crate::record::{engine_id, hash, zone_id, EngineRecord};
+use crate::forms::{self, Checker, Diagnostic, Form};
+pub use crate::record::{engine_id, fnv1a, zone_id, EngineRecord};
 use crate::terms::Names;
 
 /// The result of parsing the file.
@@ -16,7 +16,7 @@
     /// Names of damaged records, whose previous state is kept.
     pub damaged: Vec<String>,
     /// All mistakes found.
-    pub mistakes: Vec<Mistake>,
+    pub mistakes: Vec<Diagnostic>,
 }
 
 /// Parses `(engine NAME (address A) (kind K) (zone Z) (cell N) (state up|draining) (came-up MILLISECONDS))`
@@ -26,7 +26,7 @@
 ///
 /// If the text is not a sequence of S-expressions. Nothing of it is used then, and the previous list stays in
 /// force.
-pub fn parse(text: &str, names: &Names) -> Result<ParsedList, Mistake> {
+pub fn parse(text: &str, names: &Names) -> Result<ParsedList, Diagnostic> {
     let data = forms::read(text)?;
     let mut checker = Checker::default();
     let mut parsed = ParsedList::default();
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -8,7 +8,7 @@
 use violetward_dns::master;
 use violetward_dns::name::Name;
 use violetward_dns::zone::{Change, Zone};
-use violetward_gateway::{agreed, config, peers, service, watch};
+use violetward_gateway::{agreement, config, peers, service, watch};
 
 /// A workload manager for analytic engines. It admits statements, routes each to an engine that can answer it
 /// in time, and refuses at once those that none could answer. Clients connect with the statement protocol of
@@ -158,7 +158,7 @@
 }
 
 /// The rules of a version kept by a gateway; version 0 is the configuration alone.
-fn content(standing: &agreed::Standing, number: u64) -> Result<String, String> {
+fn content(standing: &agreement::SettingsStatus, number: u64) -> Result<String, String> {
     if number == 0 {
         return Ok(String::new());
     }
@@ -169,7 +169,7 @@
 /// Reads the first key of a file of operator keys.
 fn operator_key(file: &std::path::Path) -> Result<(String, String), String> {
     let text = std::fs::read_to_string(file).map_err(|e| format!("{}: {e}", file.display()))?;
-    let keys = config::read_operators(&text).map_err(|e| format!("{}: {e}", file.display()))?;
+    let keys = config::read_operator_keys(&text).map_err(|e| format!("{}: {e}", file.display()))?;
     keys.into_iter().next().ok_or_else(|| format!("{}: contains no key", file.display()))
 }
 
@@ -182,7 +182,8 @@
     dry_run: bool,
     key_file: &std::path::Path,
 ) -> Result<bool, String> {
-    let report = agreed::propose(address, rules.as_bytes(), after, dry_run, &operator_key(key_file)?).await?;
+    let report =
+        agreement::propose(address, rules.as_bytes(), after, dry_run, &operator_key(key_file)?).await?;
     report.changes.iter().for_each(|change| println!("{change}"));
     let number = report.number.map_or(String::new(), |n| format!(" as version {n}"));
     println!("{}{number}{}{}", report.outcome, if report.text.is_empty() { "" } else { ": " }, report.text);
@@ -198,26 +199,26 @@
             if !terms.voters.contains(&terms.name) {
                 return Err(format!("{} does not vote and needs no vote file", terms.name));
             }
-            println!("{}: created", agreed::init(&terms)?.display());
+            println!("{}: created", agreement::init_votes(&terms)?.display());
         }
         SettingsCommand::Replace { file, others } => {
             let config = config::load(&file).map_err(|mistakes| mistakes.join("\n"))?;
             let terms = config.agreement.ok_or("the configuration has no (agreement ...)")?;
-            println!("{}: created", agreed::replace(&terms, &others).await?.display());
+            println!("{}: created", agreement::replace_votes(&terms, &others).await?.display());
         }
         SettingsCommand::Propose { address, file, key_file, dry_run } => {
             let rules = std::fs::read_to_string(&file).map_err(|e| format!("{}: {e}", file.display()))?;
-            let newest = agreed::ask(address).await?.newest;
+            let newest = agreement::fetch_status(address).await?.newest;
             return propose(address, &rules, newest, dry_run, &key_file).await;
         }
         SettingsCommand::Undo { address, to, key_file } => {
-            let standing = agreed::ask(address).await?;
+            let standing = agreement::fetch_status(address).await?;
             let before = standing.newest.checked_sub(1).ok_or("there is no version to undo")?;
             let rules = content(&standing, to.unwrap_or(before))?;
             return propose(address, &rules, standing.newest, false, &key_file).await;
         }
         SettingsCommand::Show { address, json } => {
-            let standing = agreed::ask(address).await?;
+            let standing = agreement::fetch_status(address).await?;
             if json {
                 println!("{}", serde_json::to_string_pretty(&standing).map_err(|e| e.to_string())?);
             } else {
@@ -225,16 +226,16 @@
             }
         }
         SettingsCommand::History { address } => {
-            for version in agreed::ask(address).await?.history {
+            for version in agreement::fetch_status(address).await?.history {
                 println!("{} {}", version.number, version.hash);
                 version.changes.iter().for_each(|change| println!("  {change}"));
             }
         }
         SettingsCommand::Clock { address, key_file } => {
-            println!("{}", agreed::clock_is_right(address, &operator_key(&key_file)?).await?);
+            println!("{}", agreement::confirm_clock(address, &operator_key(&key_file)?).await?);
         }
         SettingsCommand::Diff { address, from, to } => {
-            let standing = agreed::ask(address).await?;
+            let standing = agreement::fetch_status(address).await?;
             let (old, new) = (content(&standing, from)?, content(&standing, to)?);
             let lines = |text: &str| -> Vec<String> { text.lines().map(|l| l.trim().to_owned()).collect() };
             let (old, new) = (lines(&old), lines(&new));
@@ -287,7 +288,7 @@
         }
     };
     let text = std::fs::read_to_string(file).map_err(|e| report(format!(" {e}"))).ok()?;
-    let parsed = master::read(&text, &origin, &mut |name| watch::include(file, name));
+    let parsed = master::read(&text, &origin, &mut |name| watch::read_include(file, name));
     let (zone, inconsistencies) = master::zone(&origin, &parsed);
     let mut valid = parsed.mistakes.is_empty() && inconsistencies.is_empty();
     parsed.mistakes.iter().for_each(|m| report(m.to_string()));
@@ -419,7 +420,7 @@
             println!("Classes whose statements other gateways can take over: {}.", protected.join(", "));
         }
         if let Some(terms) = &config.agreement {
-            let bound = std::time::Duration::from_micros(terms.bound());
+            let bound = std::time::Duration::from_micros(terms.switch_bound_micros());
             println!(
                 "Bound T: {bound:.1?} after a version is committed, no gateway acts on an earlier one alone."
             );
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -85,7 +85,7 @@
             ]);
         }
         if let Some(agreed) = &*host.agreed.borrow() {
-            let standing = agreed.standing(host.now(), u64::MAX);
+            let standing = agreed.status(host.now(), u64::MAX);
             let seconds = standing.without_lease as f64 / 1e6;
             gauges.extend([
                 (
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -28,7 +28,7 @@
 use crate::core::observations::{Cost, Observations};
 use crate::host::Host;
 use crate::peers::Peers;
-use crate::record::{hash, zone_id, EngineRecord};
+use crate::record::{fnv1a, zone_id, EngineRecord};
 use crate::terms::SiteTerms;
 
 mod known;
@@ -229,7 +229,7 @@
         let Some(site) = self.site_of_member(from) else { return false };
         for of in 0..self.terms.sites.len() {
             let reaches = word[of / 8] >> (of % 8) & 1 == 1;
-            inner.watch.take(now, Evidence::Witness { from: site, member: hash(from), of, reaches });
+            inner.watch.take(now, Evidence::Witness { from: site, member: fnv1a(from), of, reaches });
         }
         true
     }
@@ -403,7 +403,7 @@
                 Lives::Dead => MemberSign::Dead,
                 Lives::Left => MemberSign::Left,
             };
-            let member = hash(&seen.record.name);
+            let member = fnv1a(&seen.record.name);
             inner.watch.take(now, Evidence::Member { site, member, sign });
         }
         let stands = match self.peers.standing().0 {
@@ -551,7 +551,8 @@
         if parts.iter().flatten().all(|&part| part >= 1.0 - 1e-9) {
             parts = Default::default();
         }
-        if std::mem::replace(&mut self.inner.borrow_mut().keep, parts.clone()) != parts && self.terms.enforce {
+        if std::mem::replace(&mut self.inner.borrow_mut().keep, parts.clone()) != parts && self.terms.enforce
+        {
             let back = if parts[0].is_empty() { 0 } else { self.terms.retry_after };
             host.with_core(|core, now| core.set_admission_shares(now, parts, back));
         }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -16,7 +16,7 @@
 
 use violetward_custody::Life;
 
-use crate::config::{read_ring, PeerTerms};
+use crate::config::{read_membership_keys, PeerTerms};
 use crate::custody;
 use crate::host::Host;
 use crate::outage;
@@ -153,12 +153,12 @@
         if let Some(file) = terms.key_file.clone() {
             let (of, to) = (peers.clone(), host.clone());
             let take = move |text: &str| {
-                let keys = read_ring(text)?;
+                let keys = read_membership_keys(text)?;
                 to.custody().iter().for_each(|custody| custody.set_keys(keys.clone()));
                 of.membership.borrow_mut().keys(keys);
                 Ok(())
             };
-            host.spawn(watch::keys(file, host.config.host.list_poll_interval, take));
+            host.spawn(watch::watch_key_file(file, host.config.host.list_poll_interval, take));
         }
         Ok(peers)
     }
@@ -198,7 +198,7 @@
             }
             Effect::Heard(from, bytes) => {
                 let agreed = host.agreed.borrow().clone();
-                agreed.iter().for_each(|agreed| agreed.heard(host, &from, &bytes));
+                agreed.iter().for_each(|agreed| agreed.receive(host, &from, &bytes));
             }
             Effect::Told(change) => {
                 let at = host.now();
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -4,7 +4,7 @@
 
 use violetward::{EngineEntry, EngineId, ZoneId};
 
-pub use crate::terms::hash;
+pub use crate::terms::fnv1a;
 use crate::terms::Names;
 
 /// An engine according to the list.
@@ -20,12 +20,12 @@
 
 /// The id of an engine: the 64-bit FNV-1a hash of its name.
 pub fn engine_id(name: &str) -> EngineId {
-    EngineId(hash(name))
+    EngineId(fnv1a(name))
 }
 
 /// The id of a zone. A zone that is missing from the configuration gets an id of its own, which matches no
 /// class bound to a zone.
 pub fn zone_id(zone: &str, names: &Names) -> ZoneId {
     let index = names.zones.iter().position(|z| z == zone);
-    ZoneId(index.unwrap_or_else(|| names.zones.len() + hash(zone) as usize % 65_536))
+    ZoneId(index.unwrap_or_else(|| names.zones.len() + fnv1a(zone) as usize % 65_536))
 }
--- a/crates/gateway/src/rules.rs
+++ b/crates/gateway/src/rules.rs
@@ -9,12 +9,12 @@
 //! ```
 //!
 //! What a version does not name stays as configured, and nothing that it names goes beyond that. So any two versions have a
-//! narrower of both ([`Rules::meet`]), which allows just what each of them allows. Windows are no part of that: they permit to
+//! narrower of both ([`Rules::intersect`]), which allows just what each of them allows. Windows are no part of that: they permit to
 //! leave engines out, and `violetward-windows` says when.
 
 mod syntax;
 
-pub use syntax::call_off;
+pub use syntax::cancel_window;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -41,7 +41,7 @@
 
 /// Bounds on further attempts.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Attempts {
+pub struct AttemptLimits {
     /// Attempts of one request at most.
     pub cap: u32,
     /// Attempts that need no requests to earn them, at most.
@@ -51,14 +51,15 @@
 }
 
 /// No bound.
-const UNBOUND: Attempts = Attempts { cap: u32::MAX, free: f64::INFINITY, per_request: f64::INFINITY };
+const UNBOUND: AttemptLimits =
+    AttemptLimits { cap: u32::MAX, free: f64::INFINITY, per_request: f64::INFINITY };
 
 /// The rules of a version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rules {
     classes: BTreeMap<String, ClassRules>,
     tenants: BTreeMap<String, f64>,
-    attempts: Attempts,
+    attempts: AttemptLimits,
     engines: BTreeMap<String, Listed>,
     /// Only these engines are sent anything new; `None`: all.
     only: Option<BTreeSet<String>>,
@@ -77,13 +78,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Difference {
     /// What it is about and how it changes.
-    pub text: String,
+    pub description: String,
     /// The newer one allows something that the older one does not.
     pub widens: bool,
 }
 
 /// The state that forbids more.
-pub fn worse(a: Listed, b: Listed) -> Listed {
+pub fn more_restrictive(a: Listed, b: Listed) -> Listed {
     match (a, b) {
         (Listed::Removed, _) | (_, Listed::Removed) => Listed::Removed,
         (Listed::Draining, _) | (_, Listed::Draining) => Listed::Draining,
@@ -91,7 +92,7 @@
     }
 }
 
-fn both(a: &Option<BTreeSet<String>>, b: &Option<BTreeSet<String>>) -> Option<BTreeSet<String>> {
+fn intersect_sets(a: &Option<BTreeSet<String>>, b: &Option<BTreeSet<String>>) -> Option<BTreeSet<String>> {
     match (a, b) {
         (Some(a), Some(b)) => Some(a.intersection(b).cloned().collect()),
         (some, None) | (None, some) => some.clone(),
@@ -107,7 +108,7 @@
         Rules {
             classes: others.map(closed).collect(),
             tenants: names.tenants.iter().map(|t| (t.clone(), 0.0)).collect(),
-            attempts: Attempts { cap: 1, free: 0.0, per_request: 0.0 },
+            attempts: AttemptLimits { cap: 1, free: 0.0, per_request: 0.0 },
             engines: BTreeMap::new(),
             only: Some(engines.iter().cloned().collect()),
             windows: Vec::new(),
@@ -126,7 +127,7 @@
     }
 
     /// The same rules without what says nothing, so that rules that allow the same are equal.
-    fn plain(mut self) -> Rules {
+    fn normalized(mut self) -> Rules {
         for class in self.classes.values_mut().filter(|c| c.closed) {
             *class = ClassRules { closed: true, ..ClassRules::default() };
         }
@@ -142,14 +143,14 @@
     }
 
     /// The narrower of both: allows what each of them allows.
-    pub fn meet(&self, other: &Rules) -> Rules {
+    pub fn intersect(&self, other: &Rules) -> Rules {
         let mut rules = self.clone();
         for (name, theirs) in &other.classes {
             let own = rules.classes.entry(name.clone()).or_default();
             own.closed |= theirs.closed;
             own.once |= theirs.once;
-            own.kinds = both(&own.kinds, &theirs.kinds);
-            own.zones = both(&own.zones, &theirs.zones);
+            own.kinds = intersect_sets(&own.kinds, &theirs.kinds);
+            own.zones = intersect_sets(&own.zones, &theirs.zones);
         }
         for (name, &rate) in &other.tenants {
             let own = rules.tenants.entry(name.clone()).or_insert(rate);
@@ -161,61 +162,61 @@
         a.per_request = a.per_request.min(b.per_request);
         for (name, &state) in &other.engines {
             let own = rules.engines.entry(name.clone()).or_insert(state);
-            *own = worse(*own, state);
+            *own = more_restrictive(*own, state);
         }
-        rules.only = both(&rules.only, &other.only);
+        rules.only = intersect_sets(&rules.only, &other.only);
         rules.windows.clear();
-        rules.plain()
+        rules.normalized()
     }
 
     /// Whether all that this allows, the other one allows as well.
     pub fn is_within(&self, other: &Rules) -> bool {
         // Removal ends what runs on an engine, and these rules say nothing of it: what is sent anew is what counts.
         let sent = |rules: Rules| {
-            let mut rules = rules.plain();
+            let mut rules = rules.normalized();
             rules.windows.clear();
             if rules.only.is_some() {
                 rules.engines.clear();
             }
             rules
         };
-        sent(self.meet(other)) == sent(self.clone())
+        sent(self.intersect(other)) == sent(self.clone())
     }
 
     /// What a class may do.
-    pub fn class(&self, name: &str) -> ClassRules {
+    pub fn class_rules(&self, name: &str) -> ClassRules {
         self.classes.get(name).cloned().unwrap_or_default()
     }
 
     /// The state of an engine at best.
-    pub fn engine(&self, name: &str) -> Listed {
+    pub fn engine_state(&self, name: &str) -> Listed {
         let told = self.engines.get(name).copied().unwrap_or(Listed::Up);
         let kept = self.only.as_ref().is_none_or(|only| only.contains(name));
-        worse(told, if kept { Listed::Up } else { Listed::Draining })
+        more_restrictive(told, if kept { Listed::Up } else { Listed::Draining })
     }
 
     /// What the rules say of an engine by its name, the floor's choice apart: sessions that live there heed it.
-    pub fn told(&self, name: &str) -> Listed {
+    pub fn named_state(&self, name: &str) -> Listed {
         self.engines.get(name).copied().unwrap_or(Listed::Up)
     }
 
     /// Whether a request of a class may be sent to an engine of that kind and zone.
     pub fn allows(&self, class: &str, engine: &str, kind: &str, zone: &str) -> bool {
-        let rules = self.class(class);
+        let rules = self.class_rules(class);
         let within =
             |set: &Option<BTreeSet<String>>, name: &str| set.as_ref().is_none_or(|s| s.contains(name));
-        let up = self.engine(engine) == Listed::Up;
+        let up = self.engine_state(engine) == Listed::Up;
         up && !rules.closed && within(&rules.kinds, kind) && within(&rules.zones, zone)
     }
 
     /// Classes, tenants, the cap of attempts and the budget of a configuration as these rules leave them.
-    pub fn narrow(
+    pub fn restrict(
         &self,
         settings: &Settings,
         names: &Names,
     ) -> (Vec<Class>, Vec<Tenant>, u32, Option<AttemptBudget>) {
         let class = |(class, name): (&Class, &String)| {
-            let rules = self.class(name);
+            let rules = self.class_rules(name);
             let mut class = class.clone();
             let kinds = |kept: &BTreeSet<String>, old: &Option<Vec<KindId>>| {
                 let all = || (0..names.kinds.len()).map(KindId).collect::<Vec<_>>();
@@ -267,10 +268,10 @@
     /// What changes from these rules to newer ones.
     pub fn differences(&self, newer: &Rules) -> Vec<Difference> {
         let mut found = Vec::new();
-        let mut say = |text: String, widens: bool| found.push(Difference { text, widens });
+        let mut say = |text: String, widens: bool| found.push(Difference { description: text, widens });
         let names: BTreeSet<&String> = self.classes.keys().chain(newer.classes.keys()).collect();
         for name in names {
-            let (old, new) = (self.class(name), newer.class(name));
+            let (old, new) = (self.class_rules(name), newer.class_rules(name));
             if old.closed != new.closed {
                 let word = |closed| if closed { "refused" } else { "admitted" };
                 say(format!("class {name}: {} -> {}", word(old.closed), word(new.closed)), old.closed);
@@ -281,7 +282,7 @@
             };
             for (what, a, b) in [("kinds", &old.kinds, &new.kinds), ("zones", &old.zones, &new.zones)] {
                 if a != b {
-                    let narrows = both(a, b) == *b;
+                    let narrows = intersect_sets(a, b) == *b;
                     say(format!("class {name}: {what} {} -> {}", shown(a), shown(b)), !narrows);
                 }
             }
@@ -309,11 +310,11 @@
         }
         let engines: BTreeSet<&String> = self.engines.keys().chain(newer.engines.keys()).collect();
         for name in engines {
-            let (old, new) = (self.told(name), newer.told(name));
+            let (old, new) = (self.named_state(name), newer.named_state(name));
             if old != new {
                 let mut text = format!("engine {name}: ");
                 write!(text, "{old:?} -> {new:?}").ok();
-                say(text, worse(old, new) != new);
+                say(text, more_restrictive(old, new) != new);
             }
         }
         let find = |all: &[Grant], name: &str| all.iter().find(|g| g.name == name).cloned();
@@ -373,10 +374,10 @@
         let floor = Rules::floor(&["light".into()], &["e2".into(), "e3".into()], &names);
         let all: Vec<Rules> = SOME.iter().map(|t| rules(t)).chain([floor]).collect();
         for a in &all {
-            assert_eq!(a.meet(a), *a);
+            assert_eq!(a.intersect(a), *a);
             for b in &all {
-                let both = a.meet(b);
-                assert_eq!(both, b.meet(a));
+                let both = a.intersect(b);
+                assert_eq!(both, b.intersect(a));
                 assert!(both.is_within(a) && both.is_within(b));
                 for class in &names.classes {
                     for engine in ["e1", "e2", "e3"] {
@@ -389,7 +390,7 @@
                 }
                 // Within means: whatever the one allows, the other does.
                 if a.is_within(b) {
-                    assert_eq!(a.meet(b).differences(a), [], "{a:?} within {b:?}");
+                    assert_eq!(a.intersect(b).differences(a), [], "{a:?} within {b:?}");
                 }
             }
         }
@@ -438,17 +439,20 @@
         assert_eq!((grant.until - grant.from, grant.engines.len(), grant.off), (3_600_000_000, 2, false));
         // A permission: what is left out is said when it is.
         assert!(one.is_within(&rules("")) && rules("").is_within(&one));
-        assert_eq!(one.meet(&one).windows(), []);
+        assert_eq!(one.intersect(&one).windows(), []);
         let text = format!("(class heavy (admit no)) ; why\n{WINDOW}");
-        let off = call_off(&text, "w").expect("it is there");
+        let off = cancel_window(&text, "w").expect("it is there");
         let called = rules(&off);
-        assert!(called.windows()[0].off && called.windows()[0].same(grant) && called.class("heavy").closed);
-        assert_eq!((call_off(&off, "w"), call_off(&text, "v")), (None, None));
-        let told = |a: &Rules, b: &Rules| a.differences(b).into_iter().map(|d| (d.text, d.widens)).collect();
+        assert!(
+            called.windows()[0].off && called.windows()[0].same(grant) && called.class_rules("heavy").closed
+        );
+        assert_eq!((cancel_window(&off, "w"), cancel_window(&text, "v")), (None, None));
+        let told =
+            |a: &Rules, b: &Rules| a.differences(b).into_iter().map(|d| (d.description, d.widens)).collect();
         let new: Vec<(String, bool)> = told(&rules(""), &one);
         let text = "window w: e1 e2 from 2026-12-02T03:00:00Z to 2026-12-02T04:00:00Z";
         assert_eq!(new, [(text.to_owned(), false)]);
-        let gone: Vec<(String, bool)> = told(&one, &rules(&call_off(WINDOW, "w").expect("it is there")));
+        let gone: Vec<(String, bool)> = told(&one, &rules(&cancel_window(WINDOW, "w").expect("it is there")));
         assert_eq!(gone, [("window w: called off".to_owned(), true)]);
         for bad in [
             "(window w (engines e1))",
--- a/crates/gateway/src/rules/syntax.rs
+++ b/crates/gateway/src/rules/syntax.rs
@@ -5,8 +5,8 @@
 use violetward::Listed;
 use violetward_windows::held::Grant;
 
-use super::{Attempts, ClassRules, Rules};
-use crate::forms::{self, Checker, Mistake};
+use super::{AttemptLimits, ClassRules, Rules};
+use crate::forms::{self, Checker, Diagnostic};
 use crate::terms::Names;
 use crate::timestamp;
 
@@ -15,7 +15,7 @@
     ///
     /// # Errors
     /// Every mistake, with its place: a name that this gateway does not know is one.
-    pub fn parse(text: &str, names: &Names) -> Result<Rules, Vec<Mistake>> {
+    pub fn parse(text: &str, names: &Names) -> Result<Rules, Vec<Diagnostic>> {
         let data = forms::read(text).map_err(|m| vec![m])?;
         let mut c = Checker::default();
         let mut rules = Rules::default();
@@ -52,7 +52,7 @@
                 }
                 "attempts" => {
                     let f = c.fields(&form, 0, &["cap", "free", "per-request"]);
-                    rules.attempts = Attempts {
+                    rules.attempts = AttemptLimits {
                         cap: f.integer(&mut c, "cap", (1, 1_000), u64::from(u32::MAX)) as u32,
                         free: f.number(&mut c, "free", (0.0, 1e9), f64::INFINITY),
                         per_request: f.number(&mut c, "per-request", (0.0, 1e3), f64::INFINITY),
@@ -81,7 +81,7 @@
         }
         c.diagnostics.sort();
         if c.diagnostics.is_empty() {
-            Ok(rules.plain())
+            Ok(rules.normalized())
         } else {
             Err(c.diagnostics)
         }
@@ -98,7 +98,10 @@
         let word = c.word(&field, "a time such as \"2026-12-02T03:00:00Z\"")?;
         let at = timestamp::parse(&word);
         if at.is_none() {
-            c.error_at(&field, format!("{name}: expected a time such as \"2026-12-02T03:00:00Z\", found {word}"));
+            c.error_at(
+                &field,
+                format!("{name}: expected a time such as \"2026-12-02T03:00:00Z\", found {word}"),
+            );
         }
         at
     };
@@ -109,7 +112,7 @@
 
 /// A version's text with one of its windows called off, on its own lines and without comments; `None` if it is not there, or
 /// off already.
-pub fn call_off(text: &str, name: &str) -> Option<String> {
+pub fn cancel_window(text: &str, name: &str) -> Option<String> {
     let data = forms::read(text).ok()?;
     let (mut found, mut out) = (false, String::new());
     for datum in &data {
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -15,7 +15,7 @@
 use violetward_transport::session::{Me, Patience};
 use violetward_transport::sockets::Station;
 
-use crate::agreed::Agreed;
+use crate::agreement::SettingsAgreement;
 use crate::config::Config;
 use crate::core::{Core, Decide};
 use crate::custody::Custody;
@@ -26,10 +26,10 @@
 use crate::notebook::Notebook;
 use crate::outage::Outage;
 use crate::peers::Peers;
-use crate::updates::Updates;
 use crate::watch;
 use crate::windows::Windows;
-use crate::zonefront::ZoneFront;
+use crate::zone_server::ZoneServer;
+use crate::zone_updates::ZoneUpdates;
 
 /// Interval at which conditions are checked while the gateway starts or stops.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
@@ -100,7 +100,7 @@
     executor.spawn(host.clone().run_status()).detach();
     executor.spawn(host.clone().run_releases()).detach();
     let membership = Rc::new(RefCell::new(Membership::default()));
-    executor.spawn(watch::run(host.clone(), membership.clone())).detach();
+    executor.spawn(watch::watch_engine_list(host.clone(), membership.clone())).detach();
     if let Some(terms) = host.config.peers.clone() {
         *host.peers.borrow_mut() = Some(Peers::start(&host, &terms)?);
     }
@@ -108,7 +108,7 @@
         Windows::start(&host, &terms)?;
     }
     if let Some(terms) = host.config.agreement.clone() {
-        Agreed::start(&host, &terms)?;
+        SettingsAgreement::start(&host, &terms)?;
     }
     if let Some(terms) = host.config.custody.clone() {
         start_custody(&host, &terms, executor.clone())?;
@@ -117,14 +117,15 @@
         Outage::start(&host, terms)?;
     }
     if let Some((listen, keys)) = host.config.zone_server.clone() {
-        ZoneFront::start(host.clone(), membership, Updates::new(keys), listen)?;
+        ZoneServer::start(host.clone(), membership, ZoneUpdates::new(keys), listen)?;
     }
     if let Some(path) = host.config.sessions.key_file.clone() {
         let (key_host, interval) = (host.clone(), host.config.host.list_poll_interval);
         let set_keys = move |text: &str| {
-            crate::config::read_keys(text).map(|keys| key_host.with_core(|core, _| core.set_keys(keys)))
+            crate::config::read_session_keys(text)
+                .map(|keys| key_host.with_core(|core, _| core.set_keys(keys)))
         };
-        executor.spawn(watch::keys(path, interval, set_keys)).detach();
+        executor.spawn(watch::watch_key_file(path, interval, set_keys)).detach();
     }
     if let Some(kernel) = host.config.kernel.clone() {
         Notebook::start(host.clone(), address.ip(), kernel)?;
@@ -187,7 +188,7 @@
     }
     custody.iter().for_each(|_| leave());
     let agreed = host.agreed.borrow().clone();
-    agreed.iter().for_each(|agreed| agreed.leave(host));
+    agreed.iter().for_each(|agreed| agreed.release_lease(host));
     // Gives the last answers time to be sent.
     violetward_net::sleep(FINAL_SEND_DELAY).await;
 }
--- a/crates/gateway/src/terms.rs
+++ b/crates/gateway/src/terms.rs
@@ -84,9 +84,9 @@
     /// How long a lease lasts.
     pub lease: Duration,
     /// Parts of a million by which any clock may run too fast or too slow.
-    pub drift: u64,
+    pub drift_ppm: u64,
     /// The longest time from the last look at the lease to the end of what is sent on it.
-    pub check: Duration,
+    pub lease_check_margin: Duration,
     /// What every version has to allow: classes, and engines that they may go to.
     pub floor: (Vec<String>, Vec<String>),
     /// How long the first lease is waited for before clients are served without one.
@@ -116,33 +116,33 @@
 
 impl WindowTerms {
     /// A mark of what gateways must have in common.
-    pub fn mark(&self) -> u64 {
-        hash(&format!("{:?}", (self.cover, self.margins)))
+    pub fn fingerprint(&self) -> u64 {
+        fnv1a(&format!("{:?}", (self.cover, self.margins)))
     }
 }
 
 impl AgreementTerms {
     /// A mark of all that gateways must have in common.
-    pub fn mark(&self) -> u64 {
+    pub fn fingerprint(&self) -> u64 {
         let (mut classes, mut engines) = self.floor.clone();
         classes.sort();
         engines.sort();
-        let common = (&self.voters, self.lease, self.drift, self.check, classes, engines);
+        let common = (&self.voters, self.lease, self.drift_ppm, self.lease_check_margin, classes, engines);
         match self.windows_fingerprint {
-            None => hash(&format!("{common:?}")),
-            Some(windows) => hash(&format!("{common:?} {windows}")),
+            None => fnv1a(&format!("{common:?}")),
+            Some(windows) => fnv1a(&format!("{common:?} {windows}")),
         }
     }
 
     /// The bound *T* in microseconds.
-    pub fn bound(&self) -> u64 {
+    pub fn switch_bound_micros(&self) -> u64 {
         let terms = violetward_agreement::Terms {
             me: 0,
             voters: self.voters.len() as u16,
             votes: false,
             lease: micros(self.lease),
-            drift: self.drift,
-            check: micros(self.check),
+            drift: self.drift_ppm,
+            check: micros(self.lease_check_margin),
             plant: violetward_agreement::Plant::None,
         };
         terms.bound()
@@ -258,9 +258,9 @@
     /// How long a tenure lasts.
     pub lease: Duration,
     /// Parts of a million by which any clock may run too fast or too slow.
-    pub drift: u64,
+    pub drift_ppm: u64,
     /// The longest time from the last look at the tenure to the end of what is done on it.
-    pub check: Duration,
+    pub lease_check_margin: Duration,
     /// Guardians of a statement.
     pub guardians: usize,
     /// Where marks of ended lives are kept.
@@ -275,7 +275,7 @@
 
 /// A site: its gateways and which engines are there.
 #[derive(Debug, Clone, PartialEq)]
-pub struct SitePlace {
+pub struct SiteConfig {
     /// Its name, as membership has it.
     pub name: String,
     /// Gateways that stand there.
@@ -290,7 +290,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct SiteTerms {
     /// All sites, in the same order at every gateway: summaries name them by place.
-    pub sites: Vec<SitePlace>,
+    pub sites: Vec<SiteConfig>,
     /// This gateway's own, by place.
     pub own_site: usize,
     /// What follows from a loss is done; else it is only told.
@@ -329,7 +329,7 @@
 }
 
 /// FNV-1a, 64 bits: the same at every gateway and in every build.
-pub fn hash(text: &str) -> u64 {
+pub fn fnv1a(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -8,7 +8,7 @@
 use crate::membership::{Membership, Verdict};
 
 /// Reads the list whenever it changes, and says when it learned what. Never ends.
-pub async fn run(host: Rc<Host>, membership: Rc<RefCell<Membership>>) {
+pub async fn watch_engine_list(host: Rc<Host>, membership: Rc<RefCell<Membership>>) {
     let path = host.config.engines.clone();
     let mut seen: Option<(SystemTime, u64)> = None;
     let mut changed = Instant::now();
@@ -38,7 +38,7 @@
 
 /// Passes on the text of a file of keys whenever it changes. A file that cannot be read or is wrong leaves the old keys.
 /// Never ends.
-pub async fn keys(
+pub async fn watch_key_file(
     path: std::path::PathBuf,
     every: std::time::Duration,
     take: impl Fn(&str) -> Result<(), String>,
@@ -62,7 +62,9 @@
     let (file, names) = (host.config.engines.display().to_string(), &host.config.names);
     let known = membership.list().clone();
     let (verdict, told) = match &host.config.origin {
-        Some(origin) => membership.zone(text, origin, names, &mut |name| include(&host.config.engines, name)),
+        Some(origin) => {
+            membership.zone(text, origin, names, &mut |name| read_include(&host.config.engines, name))
+        }
         None => membership.forms(text, names),
     };
     told.iter().for_each(|mistake| tracing::warn!("{file}:{mistake}"));
@@ -85,7 +87,7 @@
 }
 
 /// Reads a file that a zone includes: only from the folder of the zone's own file, and below.
-pub fn include(zone: &std::path::Path, name: &str) -> Result<String, String> {
+pub fn read_include(zone: &std::path::Path, name: &str) -> Result<String, String> {
     let path = std::path::Path::new(name);
     let plain = path.components().all(|c| matches!(c, std::path::Component::Normal(_)));
     if !plain {
--- a/crates/gateway/src/windows.rs
+++ b/crates/gateway/src/windows.rs
@@ -160,7 +160,7 @@
     /// If another process uses the folder of profiles.
     pub fn start(host: &Rc<Host>, terms: &WindowTerms) -> std::io::Result<Rc<Windows>> {
         let agreement = host.config.agreement.as_ref();
-        let drift = agreement.map_or(1_000, |a| a.drift);
+        let drift = agreement.map_or(1_000, |a| a.drift_ppm);
         let mut store = Files::open(&terms.folder)
             .map_err(|e| std::io::Error::other(format!("{}: {e}", terms.folder.display())))?;
         let (profile, trouble) = kept(&mut store, terms);
@@ -226,8 +226,8 @@
         };
         // As the fleet is under that version.
         let mut fleet = self.fleet.borrow().clone();
-        fleet.classes = asked.narrow(&self.settings, &self.names).0;
-        fleet.engines.retain(|r| !fleet.out.contains(&r.name) && asked.told(&r.name) == Listed::Up);
+        fleet.classes = asked.restrict(&self.settings, &self.names).0;
+        fleet.engines.retain(|r| !fleet.out.contains(&r.name) && asked.named_state(&r.name) == Listed::Up);
         let outlook = self.outlook_of(&fleet, now)?;
         held::admissible(before.windows(), asked.windows(), &outlook, now, Plant::None)
             .map_err(|e| self.named(&e.to_string()))
@@ -279,7 +279,7 @@
     fn step(&self, host: &Rc<Host>) {
         let agreed = host.agreed.borrow().clone();
         // A lease that has run out meanwhile, first.
-        agreed.iter().for_each(|a| a.refresh(host));
+        agreed.iter().for_each(|a| a.refresh_rules(host));
         let now = host.now();
         if now.saturating_sub(self.stepped.replace(now)) > STILL {
             self.deaf.set(now + micros(self.terms.max_fleet_age));
@@ -308,7 +308,7 @@
         }
         self.carry_out(host, now);
         // What is left out may be other engines now.
-        agreed.iter().for_each(|a| a.refresh(host));
+        agreed.iter().for_each(|a| a.refresh_rules(host));
         *self.away.borrow_mut() = self.away();
     }
 
@@ -339,7 +339,7 @@
         };
         let agreed = host.agreed.borrow().clone();
         for (agreed, window) in agreed.iter().flat_map(|a| due.iter().map(move |w| (a, w))) {
-            agreed.call_off(host, window);
+            agreed.cancel_window(host, window);
         }
     }
 
@@ -455,7 +455,7 @@
 /// # Errors
 /// What it answers instead, or why it does not.
 pub async fn ask(address: SocketAddr) -> Result<Standing, String> {
-    let body = crate::agreed::get(address, PATH).await?;
+    let body = crate::agreement::http_get(address, PATH).await?;
     serde_json::from_slice(&body).map_err(|e| e.to_string())
 }
 
--- a/crates/gateway/src/zonefront.rs
+++ b/crates/gateway/src/zone_server.rs
@@ -12,16 +12,16 @@
 
 use crate::host::Host;
 use crate::membership::Membership;
-use crate::updates::Updates;
+use crate::zone_updates::ZoneUpdates;
 
 /// The front: one zone, shared with the watcher of its file.
-pub struct ZoneFront {
+pub struct ZoneServer {
     host: Rc<Host>,
     membership: Rc<RefCell<Membership>>,
-    updates: RefCell<Updates>,
+    updates: RefCell<ZoneUpdates>,
 }
 
-impl ZoneFront {
+impl ZoneServer {
     /// Binds both sockets and starts to answer; gives the port.
     ///
     /// # Errors
@@ -29,13 +29,13 @@
     pub fn start(
         host: Rc<Host>,
         membership: Rc<RefCell<Membership>>,
-        updates: Updates,
+        updates: ZoneUpdates,
         listen: std::net::SocketAddr,
     ) -> std::io::Result<std::net::SocketAddr> {
         let tcp = Async::<TcpListener>::bind(listen)?;
         let address = tcp.get_ref().local_addr()?;
         let udp = Async::<UdpSocket>::bind(address)?;
-        let front = Rc::new(ZoneFront { host: host.clone(), membership, updates: RefCell::new(updates) });
+        let front = Rc::new(ZoneServer { host: host.clone(), membership, updates: RefCell::new(updates) });
         host.spawn(front.clone().datagrams(udp));
         host.spawn(front.streams(tcp));
         tracing::info!(%address, "serving the zone");
@@ -46,8 +46,8 @@
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
         let names = &self.host.config.names;
         let mut membership = self.membership.borrow_mut();
-        let outcome = self.updates.borrow_mut().handle(now, bytes, stream, &mut membership, names);
-        if let Some(said) = &outcome.said {
+        let outcome = self.updates.borrow_mut().handle_message(now, bytes, stream, &mut membership, names);
+        if let Some(said) = &outcome.log_line {
             tracing::info!("{said}");
         }
         if outcome.changed {
--- a/crates/gateway/src/updates.rs
+++ b/crates/gateway/src/zone_updates.rs
@@ -23,24 +23,24 @@
     /// The zone has changed: the list is to be told to the core.
     pub changed: bool,
     /// For the log.
-    pub said: Option<String>,
+    pub log_line: Option<String>,
 }
 
 /// Answers for one zone.
 #[derive(Debug, Default)]
-pub struct Updates {
+pub struct ZoneUpdates {
     keys: Vec<Key>,
     seen: VecDeque<(Seconds, Vec<u8>)>,
 }
 
-impl Updates {
+impl ZoneUpdates {
     /// Believes updates signed with one of these keys; without any, none.
     pub fn new(keys: Vec<Key>) -> Self {
-        Updates { keys, seen: VecDeque::new() }
+        ZoneUpdates { keys, seen: VecDeque::new() }
     }
 
     /// Takes a message. `stream` says that it came over TCP, where transfers are answered.
-    pub fn handle(
+    pub fn handle_message(
         &mut self,
         now: Seconds,
         bytes: &[u8],
@@ -99,7 +99,11 @@
             Err(why) => {
                 let code = if why == tsig::TsigError::Unsigned { Rcode::REFUSED } else { Rcode::NOTAUTH };
                 let said = Some(format!("an update is not believed: {why}"));
-                return Outcome { answers: vec![message.answer(code).write()], changed: false, said };
+                return Outcome {
+                    answers: vec![message.answer(code).write()],
+                    changed: false,
+                    log_line: said,
+                };
             }
         };
         while self.seen.front().is_some_and(|(at, _)| at + BELIEVED_FOR < now)
@@ -128,7 +132,7 @@
         let key = self.keys.iter().find(|k| k.name == verified.key);
         let answer = answer.write();
         let answer = key.map_or(answer.clone(), |key| tsig::sign(&answer, key, now, Some(&verified.mac)).0);
-        Outcome { answers: vec![answer], changed: result.is_ok(), said: Some(said) }
+        Outcome { answers: vec![answer], changed: result.is_ok(), log_line: Some(said) }
     }
 }
 
--- a/crates/gateway/tests/config.rs
+++ b/crates/gateway/tests/config.rs
@@ -123,7 +123,10 @@
 fn sites_are_read_and_their_mistakes_are_told_with_their_places() {
     let whole = format!("{GOOD}{PEERS}{SITES}");
     let sites = read(&whole).unwrap().sites.expect("a section");
-    assert_eq!((sites.own_site, sites.sites.len(), sites.enforce, sites.site_tag.as_str()), (1, 3, false, "at="));
+    assert_eq!(
+        (sites.own_site, sites.sites.len(), sites.enforce, sites.site_tag.as_str()),
+        (1, 3, false, "at=")
+    );
     assert_eq!(
         sites.sites[0].zones,
         ["north"],
--- a/crates/gateway/tests/zone.rs
+++ b/crates/gateway/tests/zone.rs
@@ -6,7 +6,7 @@
 use violetward_dns::tsig::{sign, verify, Key};
 use violetward_gateway::config::Names;
 use violetward_gateway::membership::Membership;
-use violetward_gateway::updates::Updates;
+use violetward_gateway::zone_updates::ZoneUpdates;
 
 const NOW: u64 = 1_796_000_000;
 
@@ -22,7 +22,7 @@
     Key { name: name("ops."), secret: b"sixteen bytes and more".to_vec() }
 }
 
-fn bed() -> (Updates, Membership) {
+fn bed() -> (ZoneUpdates, Membership) {
     let mut membership = Membership::default();
     let mut text = "$TTL 5\n@ SOA ns h 5 1 1 1 1\nhost A 127.0.0.1\n".to_owned();
     for n in 0..150 {
@@ -30,7 +30,7 @@
     }
     membership.zone(&text, &name("fleet.example."), &names(), &mut |_| Err("none".into()));
     assert_eq!(membership.list().len(), 150);
-    (Updates::new(vec![key()]), membership)
+    (ZoneUpdates::new(vec![key()]), membership)
 }
 
 fn removal(id: u16, engines: &[&str]) -> Vec<u8> {
@@ -66,12 +66,12 @@
         (sign(&plain, &key(), NOW - 301, None).0, Rcode::NOTAUTH),
         (sign(&plain, &Key { name: name("else."), ..key() }, NOW, None).0, Rcode::NOTAUTH),
     ] {
-        let outcome = updates.handle(NOW, &bytes, false, &mut m, &names());
-        assert!(!outcome.changed && outcome.said.is_some() && m.list().len() == 150);
+        let outcome = updates.handle_message(NOW, &bytes, false, &mut m, &names());
+        assert!(!outcome.changed && outcome.log_line.is_some() && m.list().len() == 150);
         assert_eq!(rcode(&outcome.answers), code);
     }
     let (signed, mac) = sign(&plain, &key(), NOW, None);
-    let outcome = updates.handle(NOW, &signed, false, &mut m, &names());
+    let outcome = updates.handle_message(NOW, &signed, false, &mut m, &names());
     assert!(outcome.changed && m.list().len() == 148);
     assert!(
         verify(&outcome.answers[0], &[key()], NOW, Some(&mac)).is_ok(),
@@ -82,7 +82,7 @@
     let mut replayed = signed.clone();
     replayed[1] ^= 1;
     for bytes in [&signed, &replayed] {
-        let outcome = updates.handle(NOW + 5, bytes, false, &mut m, &names());
+        let outcome = updates.handle_message(NOW + 5, bytes, false, &mut m, &names());
         assert!(!outcome.changed && rcode(&outcome.answers) == Rcode::REFUSED);
     }
     // The file that the zone was read from is older now.
@@ -96,7 +96,7 @@
     let (mut updates, mut m) = bed();
     let mut ask = |kind: Type, owner: &str, stream: bool| {
         let bytes = Message::query(3, name(owner), kind).write();
-        updates.handle(NOW, &bytes, stream, &mut m, &names()).answers
+        updates.handle_message(NOW, &bytes, stream, &mut m, &names()).answers
     };
     let found = Message::read(&ask(Type::SRV, "E7.fleet.example.", false)[0]).unwrap();
     assert!(found.authoritative && found.answers.len() == 1);
@@ -113,7 +113,7 @@
 #[test]
 fn what_is_no_message_gets_an_error_or_nothing() {
     let (mut updates, mut m) = bed();
-    let mut answers = |bytes: &[u8]| updates.handle(NOW, bytes, true, &mut m, &names()).answers;
+    let mut answers = |bytes: &[u8]| updates.handle_message(NOW, bytes, true, &mut m, &names()).answers;
     assert!(answers(b"short").is_empty());
     assert_eq!(rcode(&answers(&[0, 1, 0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 1])), Rcode::FORMERR);
     let mut response = Message::query(1, name("fleet.example."), Type::SOA);
--- a/crates/lab/src/cluster/check.rs
+++ b/crates/lab/src/cluster/check.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use violetward_gateway::agreed::Standing;
+use violetward_gateway::agreement::SettingsStatus;
 use violetward_gateway::peers::View;
 
 use super::custody;
@@ -26,7 +26,7 @@
     /// What it said.
     pub view: View,
     /// How it stood with the settings, where there is agreement on them.
-    pub settings: Option<Standing>,
+    pub settings: Option<SettingsStatus>,
     /// How custody stood, where there is any.
     pub custody: Option<violetward_gateway::custody::Standing>,
     /// How windows stood, where they are held.
--- a/crates/lab/src/cluster/mod.rs
+++ b/crates/lab/src/cluster/mod.rs
@@ -26,7 +26,7 @@
 
 use async_executor::LocalExecutor;
 use rustix::process::Signal;
-use violetward_gateway::{agreed, config, custody as held, outage, peers, windows as gateway_windows};
+use violetward_gateway::{agreement, config, custody as held, outage, peers, windows as gateway_windows};
 use violetward_membership::wire::{Datagram, Kind};
 use violetward_membership::{Key, Keys};
 use violetward_net::{sleep, Pool};
@@ -490,7 +490,7 @@
         if number < self.plan.voters && !known {
             let config = config::load(&file).map_err(|m| std::io::Error::other(m.join("\n")))?;
             let terms = config.agreement.ok_or_else(|| std::io::Error::other("no agreement"))?;
-            agreed::init(&terms).map_err(std::io::Error::other)?;
+            agreement::init_votes(&terms).map_err(std::io::Error::other)?;
         }
         let ready = self.folder.join(format!("{stem}.address"));
         std::fs::remove_file(&ready).ok();
@@ -551,7 +551,7 @@
                     let mut settings = None;
                     if self.plan.voters > 0 {
                         let known = self.versions.borrow().keys().next_back().copied().unwrap_or(0);
-                        settings = agreed::ask_since(address, known).await.ok();
+                        settings = agreement::fetch_status_since(address, known).await.ok();
                     }
                     if let Some(standing) = &mut settings {
                         for version in standing.history.drain(..) {
@@ -669,7 +669,7 @@
                     (0..self.plan.voters).filter(|&o| o != n).map(|o| gateways[o]).collect();
                 let terms = config::load(&file).ok().and_then(|c| c.agreement);
                 let done = match terms {
-                    Some(terms) => agreed::replace(&terms, &others).await.map(|_| ()),
+                    Some(terms) => agreement::replace_votes(&terms, &others).await.map(|_| ()),
                     None => Err("no agreement".into()),
                 };
                 done.unwrap_or_else(|why| eprintln!("g{n}: {why}"));
@@ -815,7 +815,7 @@
     async fn ask_for(&self, ask: &plan::Window) -> bool {
         let address = self.gateways.borrow()[ask.gateway].address;
         let now = clock();
-        let content = match agreed::ask(address).await {
+        let content = match agreement::fetch_status(address).await {
             Ok(standing) => standing.history.last().map(|v| v.content.clone()).unwrap_or_default(),
             Err(_) => String::new(),
         };
@@ -921,8 +921,8 @@
         let key = (OPERATOR.0.to_owned(), OPERATOR.1.to_owned());
         let at = clock();
         let asked = async {
-            let newest = agreed::ask_since(address, u64::MAX).await?.newest;
-            agreed::propose(address, content.as_bytes(), newest, false, &key).await
+            let newest = agreement::fetch_status_since(address, u64::MAX).await?.newest;
+            agreement::propose(address, content.as_bytes(), newest, false, &key).await
         };
         let (outcome, number, text) = match asked.await {
             Ok(report) => {
--- a/crates/lab/src/cluster/plan.rs
+++ b/crates/lab/src/cluster/plan.rs
@@ -318,7 +318,8 @@
             let listed = engines.list_iter()?.filter_map(|d| d.value().as_u64()).map(|n| n as usize);
             let engines = listed.filter(|&n| n < engines_of).collect();
             let gateway = (gateway.value().as_u64()? as usize).min(gateways - 1);
-            let (after, span) = (c.duration(&form.with_args(vec![*after]))?, c.duration(&form.with_args(vec![*span]))?);
+            let (after, span) =
+                (c.duration(&form.with_args(vec![*after]))?, c.duration(&form.with_args(vec![*span]))?);
             Act::Window(Window { gateway, name, engines, after, span })
         }
         "maintain" | "roll-engines" => {
--- a/crates/lab/src/siteplan.rs
+++ b/crates/lab/src/siteplan.rs
@@ -35,7 +35,8 @@
     for form in named("kind") {
         let Some(name) = c.name(form) else { continue };
         let f = c.fields(form, 1, &["cores", "memory"]);
-        let cores = f.require(&mut c, "cores").cloned().and_then(|f| c.number(&f, 0.1, 4096.0)).unwrap_or(1.0);
+        let cores =
+            f.require(&mut c, "cores").cloned().and_then(|f| c.number(&f, 0.1, 4096.0)).unwrap_or(1.0);
         let memory_mb = f.size(&mut c, "memory", 0) as f64 / f64::from(1 << 20);
         fleet.kinds.push(Kind { name, cores, memory_mb });
     }
@@ -65,7 +66,9 @@
                         fleet.rooms.push(Room { site, kind, engines });
                     }
                 }
-                other => c.error_at(&field, format!("{other} is not known in site; known: gateways, engines")),
+                other => {
+                    c.error_at(&field, format!("{other} is not known in site; known: gateways, engines"))
+                }
             }
         }
         fleet.sites.push((name, gateways));
@@ -97,7 +100,8 @@
             c.error_at(form, "expected (demand SITE CLASS REQUESTS-A-SECOND)");
             continue;
         };
-        let word = |c: &mut Checker, datum| c.word(&form.with_args(vec![datum]), "a name").unwrap_or_default();
+        let word =
+            |c: &mut Checker, datum| c.word(&form.with_args(vec![datum]), "a name").unwrap_or_default();
         let (site, class) = (word(&mut c, *site), word(&mut c, *class));
         let (site, class) =
             (place(&mut c, form, &sites, &site, "site"), place(&mut c, form, &classes, &class, "class"));
