--- a/crates/gateway/src/custody.rs
+++ b/crates/gateway/src/custody.rs
@@ -255,8 +255,8 @@
             drift_ppm: terms.drift_ppm,
             action_margin: micros(terms.lease_check_margin),
             replicas: terms.guardians,
-            max_replica_records: terms.most.0,
-            max_replica_bytes: terms.most.1,
+            max_replica_records: terms.max_records,
+            max_replica_bytes: terms.max_record_bytes,
         };
         let machine = TakeoverNode::new(known, ends.as_deref(), host.now()).map_err(|why| unusable(&why))?;
         tracing::info!(name = me.name, life = format!("{:016x}", me.life), "custody");
--- a/crates/gateway/src/custody_terms.rs
+++ b/crates/gateway/src/custody_terms.rs
@@ -64,8 +64,8 @@
     }
     let choices = [("go", false), ("refuse", true)];
     let refuses = f.get("unguarded").cloned().and_then(|f| c.choice(&f, &choices)).unwrap_or(false);
-    let records = f.integer(c, "records", (1, 10_000_000), 50_000) as usize;
-    let octets = f.size(c, "octets", 256 << 20) as usize;
+    let max_records = f.integer(c, "records", (1, 10_000_000), 50_000) as usize;
+    let max_record_bytes = f.size(c, "octets", 256 << 20) as usize;
     let (voters, folder) = (voters?.0, folder.join(path?));
     Some(CustodyTerms {
         voters,
@@ -76,6 +76,7 @@
         folder,
         protected_classes: protect,
         refuse_unguarded: refuses,
-        most: (records, octets),
+        max_records,
+        max_record_bytes,
     })
 }
--- a/crates/gateway/src/terms.rs
+++ b/crates/gateway/src/terms.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told, as plain data: no syntax, no I/O. The configuration is read into it ([`crate::config`]).
+//! The gateway's configuration as plain data, without syntax and I/O. [`crate::config`] reads it from text.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,123 +6,123 @@
 
 use violetward::{Micros, Settings};
 
-/// All that `violetward serve` needs to know.
+/// The whole configuration of `violetward serve`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// Where statements are taken.
+    /// Address of the statement API.
     pub listen: SocketAddr,
     /// The file that lists the engines.
     pub engines: PathBuf,
-    /// The name of the zone, if that file is a zone's master file; else it holds S-expressions.
+    /// Name of the zone if that file is a DNS master file; `None` if the file holds S-expressions.
     pub origin: Option<violetward_dns::name::Name>,
-    /// Where that zone is served and updated by DNS messages, and the keys of updates.
+    /// Address at which that zone is served and updated by DNS messages, and the keys that sign updates.
     pub zone_server: Option<(SocketAddr, Vec<violetward_dns::tsig::Key>)>,
-    /// A notebook kernel beside the statement API, if one is wanted.
+    /// Notebook kernel that runs beside the statement API.
     pub kernel: Option<KernelConfig>,
-    /// The other gateways, where this one is to know of them.
+    /// Membership among the gateways.
     pub peers: Option<PeerTerms>,
-    /// Settings on which the gateways agree, where they are to.
+    /// Agreement among the gateways on settings.
     pub agreement: Option<AgreementTerms>,
-    /// Windows of maintenance, where they are held.
+    /// Windows of maintenance.
     pub windows: Option<WindowTerms>,
-    /// Statements that outlive their gateway, where some are to.
+    /// Custody of statements that outlive their gateway.
     pub custody: Option<CustodyTerms>,
-    /// The sites and how their loss is met, where that is wanted.
+    /// The sites and the response to the loss of one.
     pub sites: Option<SiteTerms>,
-    /// How the host carries things out.
+    /// Limits and time-outs of the host.
     pub host: HostLimits,
-    /// Sessions that live on one engine.
+    /// Sessions that are bound to one engine.
     pub sessions: SessionTerms,
-    /// How a statement's class and estimates are read.
+    /// How a statement's class, key, group and tenant are determined.
     pub selection: Selection,
-    /// What the decision module is told.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// Names of classes, kinds, tenants and zones, in the order of their numbers.
+    /// Names of classes, kinds, tenants and zones, indexed by their numbers.
     pub names: Names,
-    /// Rule 3: nothing new to an engine later than this after it was told gone.
+    /// Time after an engine is listed as draining or removed by which no new work may go to it (rule 3).
     pub drain_grace: Duration,
 }
 
 /// Membership among gateways; see `docs/membership.md`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerTerms {
-    /// Where datagrams are taken.
+    /// Address at which this gateway receives datagrams.
     pub listen: SocketAddr,
-    /// Where others reach that, if not there.
+    /// Address at which other members reach this gateway, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// This gateway's name, the same after a restart.
+    /// This gateway's name; it stays the same across restarts.
     pub name: String,
-    /// Its site.
+    /// This gateway's site.
     pub site: String,
-    /// Where members may be found at the start.
+    /// Addresses of members to contact at the start.
     pub seeds: Vec<SocketAddr>,
-    /// Where to send what is for a member, in place of the address that it tells.
+    /// Addresses by member name that replace the ones the members advertise.
     pub address_overrides: std::collections::BTreeMap<String, SocketAddr>,
-    /// The keys: the first signs, all are believed.
+    /// The keys: the first one signs, all of them verify.
     pub keys: violetward_membership::Keys,
-    /// The file that they came from; it is watched.
+    /// File that the keys came from; it is watched for changes.
     pub key_file: Option<PathBuf>,
-    /// Between two probes.
+    /// Time between two probes.
     pub probe_interval: Duration,
-    /// Members that are known at once.
+    /// Maximum number of members known at once.
     pub max_members: usize,
-    /// What all shares may add up to at most, and how much of an even share one widens by in a second.
+    /// Maximum sum of all gateways' shares.
     pub max_total_share: f64,
-    /// See `widest`.
+    /// Part of an even share by which a gateway's share may grow per second.
     pub share_growth_per_s: f64,
 }
 
 /// Agreement on settings; see `docs/agreement.md`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AgreementTerms {
-    /// This gateway's name, as membership has it.
+    /// This gateway's name in membership.
     pub name: String,
-    /// The names of the gateways that vote.
+    /// Names of the gateways that vote.
     pub voters: Vec<String>,
-    /// Where votes are kept.
+    /// Folder of the file that holds this gateway's votes.
     pub folder: PathBuf,
-    /// How long a lease lasts.
+    /// Duration of a lease.
     pub lease: Duration,
-    /// Parts of a million by which any clock may run too fast or too slow.
+    /// Maximum rate error of any gateway's clock, in parts per million.
     pub drift_ppm: u64,
-    /// The longest time from the last look at the lease to the end of what is sent on it.
+    /// Maximum time from the last check of the lease to the end of the sending that relies on it.
     pub lease_check_margin: Duration,
-    /// What every version has to allow: classes, and engines that they may go to.
+    /// Classes, and engines for them, that every version of the settings must allow.
     pub floor: (Vec<String>, Vec<String>),
-    /// How long the first lease is waited for before clients are served without one.
+    /// How long to wait at the start for the first lease before clients are served without one.
     pub startup_wait: Duration,
     /// Names and secrets of the keys that sign proposals.
     pub operator_keys: Vec<(String, String)>,
-    /// A mark of how windows are judged, where they are held.
+    /// Fingerprint of the terms of maintenance windows, if windows are configured.
     pub windows_fingerprint: Option<u64>,
 }
 
 /// Windows of maintenance; see `docs/windows.md`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WindowTerms {
-    /// Where profiles of demand are kept.
+    /// Folder of the stored demand profiles.
     pub folder: PathBuf,
-    /// How what remains is judged.
+    /// When the engines that remain are sufficient.
     pub cover: violetward_windows::cover::Terms,
-    /// What a window takes beyond its own span.
+    /// Time that a window takes before and after its own span.
     pub margins: violetward_windows::find::Margins,
-    /// How old what is known of the fleet may be.
+    /// Maximum age of the information on the fleet.
     pub max_fleet_age: Duration,
-    /// Between two samples of demand, and how profiles learn from them.
+    /// Time between two samples of demand.
     pub sample_interval: Duration,
-    /// See `sample`.
+    /// How profiles learn from the samples.
     pub profile: violetward_windows::profile::Terms,
 }
 
 impl WindowTerms {
-    /// A mark of what gateways must have in common.
+    /// Hash of the terms that must be equal at all gateways.
     pub fn fingerprint(&self) -> u64 {
         fnv1a(&format!("{:?}", (self.cover, self.margins)))
     }
 }
 
 impl AgreementTerms {
-    /// A mark of all that gateways must have in common.
+    /// Hash of the terms that must be equal at all gateways.
     pub fn fingerprint(&self) -> u64 {
         let (mut classes, mut engines) = self.floor.clone();
         classes.sort();
@@ -134,7 +134,8 @@
         }
     }
 
-    /// The bound *T* in microseconds.
+    /// The bound *T*: time after a quorum has learned of a version until no gateway acts on an earlier one
+    /// alone.
     pub fn switch_bound_micros(&self) -> u64 {
         let terms = violetward_agreement::Terms {
             me: 0,
@@ -149,20 +150,21 @@
     }
 }
 
-/// Sessions that live on one engine.
+/// Sessions that are bound to one engine.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct SessionTerms {
-    /// Bounds.
+    /// Time-outs and maximum counts of sessions.
     pub limits: violetward_session::table::Limits,
-    /// Statements of open transactions that go before new work, for one engine at once; what ends a transaction always does.
+    /// Maximum number of statements of open transactions that go before new work at one engine at once.
+    /// Statements that end a transaction always go before new work.
     pub transaction_reserve: u32,
-    /// Keys that sign what clients carry; without them sessions end with this process.
+    /// Keys that sign the session tokens of clients; without keys sessions end with this process.
     pub keys: Option<violetward_session::token::Keys>,
-    /// The file that the keys came from; it is watched.
+    /// File that the keys came from; it is watched for changes.
     pub key_file: Option<PathBuf>,
 }
 
-/// Names behind the module's numbers.
+/// Names of what the decision module knows by numbers.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Names {
     /// Classes.
@@ -171,74 +173,75 @@
     pub kinds: Vec<String>,
     /// Tenants.
     pub tenants: Vec<String>,
-    /// Zones, this gateway's first.
+    /// Zones, this gateway's own first.
     pub zones: Vec<String>,
 }
 
-/// Bounds and spans of the host.
+/// Limits and time-outs of the host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HostLimits {
-    /// How often the list of engines is looked at.
+    /// Time between two checks of the engine list's file.
     pub list_poll_interval: Duration,
-    /// How long before the client's deadline an answer must be fixed.
+    /// How long before the client's deadline the answer must be decided.
     pub reply_margin: Duration,
-    /// The longest that a poll is held.
+    /// Maximum time for which a client's poll is held open.
     pub max_poll_wait: Duration,
-    /// A client that has not polled for so long is let go.
+    /// A statement whose client has not polled for this long is abandoned.
     pub abandon_timeout: Duration,
-    /// How long the end of a statement can still be asked for.
+    /// How long the outcome of an ended statement stays available.
     pub ended_retention: Duration,
-    /// Bytes of rows held for one statement before its engine is no longer asked for more.
+    /// Bytes of rows buffered for one statement above which no further pages are requested from its engine.
     pub row_buffer_bytes: usize,
-    /// Bytes of a statement's text and of an engine's page, at most.
+    /// Maximum size of a statement's text.
     pub max_statement_bytes: usize,
-    /// See `statement_bytes`.
+    /// Maximum size of an engine's page.
     pub max_page_bytes: usize,
-    /// Statements open at once; further ones are refused.
+    /// Maximum number of open statements; further ones are refused.
     pub max_open_statements: usize,
-    /// Client connections at once; further ones are closed with 503 before anything is taken.
+    /// Maximum number of client connections; further ones are closed with 503 before a request is read.
     pub max_connections: usize,
-    /// A request must be whole within this span of its first byte.
+    /// Maximum time from the first byte of a request to its last.
     pub request_timeout: Duration,
-    /// An idle client connection is closed after this span.
+    /// Time after which an idle client connection is closed.
     pub connection_idle_timeout: Duration,
-    /// A stream that an engine has begun and does not go on with is broken off after this span.
+    /// Time without data after which a response stream of an engine is aborted.
     pub stream_idle_timeout: Duration,
-    /// How often an engine's load is asked for; zero leaves that to the module's probes.
+    /// Time between two queries of an engine's load; zero leaves them to the decision module's probes.
     pub status_poll_interval: Duration,
-    /// A probe fails after this span.
+    /// Time after which a probe has failed.
     pub probe_timeout: Duration,
-    /// A connection to an engine fails after this span.
+    /// Time after which an attempt to connect to an engine has failed.
     pub connect_timeout: Duration,
-    /// Longest stay after SIGTERM.
+    /// Maximum time from SIGTERM to the end of the process.
     pub drain_timeout: Duration,
-    /// Session properties by which engines hear of memory, priority and the key of repeats; empty: not told.
+    /// Session property that passes the memory grant to engines; empty: it is not passed.
     pub grant_property: String,
-    /// See `grant_property`.
+    /// Session property that passes the priority; empty: it is not passed.
     pub priority_property: String,
-    /// See `grant_property`.
+    /// Session property that passes the key by which engines recognize repeats; empty: it is not passed.
     pub repeat_property: String,
 }
 
-/// How a statement's class, key, group and tenant are read.
+/// How a statement's class, key, group and tenant are determined.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Selection {
-    /// The first that fits decides.
+    /// The first selector that matches determines the class.
     pub selectors: Vec<Selector>,
-    /// Prefixes of client tags that name the order key, the group of tables and the tenant.
+    /// Prefix of the client tag that names the order key.
     pub key_tag: String,
-    /// See `key_tag`.
+    /// Prefix of the client tag that names the group of tables.
     pub group_tag: String,
-    /// See `key_tag`.
+    /// Prefix of the client tag that names the tenant.
     pub tenant_tag: String,
-    /// Prefix of the client tag that marks a statement: a further try with the same mark is a repeat to the engines.
+    /// Prefix of the client tag that identifies a statement: a later statement with the same identifier is a
+    /// repeat to the engines.
     pub repeat_tag: String,
 }
 
-/// Conditions that must all hold; an empty list holds always.
+/// Selects a class if all of its conditions hold. A condition with an empty list always holds.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Selector {
-    /// The class chosen.
+    /// The selected class.
     pub class: usize,
     /// Any of these sources.
     pub sources: Vec<String>,
@@ -253,84 +256,88 @@
 /// Custody of statements among gateways; see `docs/custody.md`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct CustodyTerms {
-    /// The names of the gateways that grant tenures.
+    /// Names of the gateways that grant tenures.
     pub voters: Vec<String>,
-    /// How long a tenure lasts.
+    /// Duration of a tenure.
     pub lease: Duration,
-    /// Parts of a million by which any clock may run too fast or too slow.
+    /// Maximum rate error of any gateway's clock, in parts per million.
     pub drift_ppm: u64,
-    /// The longest time from the last look at the tenure to the end of what is done on it.
+    /// Maximum time from the last check of the tenure to the end of the action that relies on it.
     pub lease_check_margin: Duration,
-    /// Guardians of a statement.
+    /// Number of guardians of a statement.
     pub guardians: usize,
-    /// Where marks of ended lives are kept.
+    /// Folder of the stored records of ended gateway processes.
     pub folder: PathBuf,
-    /// For each class, whether its statements are to outlive their gateway.
+    /// For each class, whether its statements outlive their gateway.
     pub protected_classes: Vec<bool>,
-    /// Without a guardian, what is to be protected is refused.
+    /// Whether statements of protected classes are refused while there is no guardian.
     pub refuse_unguarded: bool,
-    /// Records kept for others, and octets of them.
-    pub most: (usize, usize),
+    /// Maximum number of records kept for other gateways.
+    pub max_records: usize,
+    /// Maximum size of these records together.
+    pub max_record_bytes: usize,
 }
 
-/// A site: its gateways and which engines are there.
+/// A site with its gateways and engines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SiteConfig {
-    /// Its name, as membership has it.
+    /// Name of the site in membership.
     pub name: String,
-    /// Gateways that stand there.
+    /// Number of gateways at the site.
     pub gateways: u32,
-    /// Zones whose engines are there.
+    /// Zones whose engines belong to the site.
     pub zones: Vec<String>,
-    /// Engines that are there, whatever their zone.
+    /// Engines that belong to the site regardless of their zone.
     pub engines: Vec<String>,
 }
 
 /// The loss of a site; see `docs/site-loss.md`. Times are in microseconds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SiteTerms {
-    /// All sites, in the same order at every gateway: summaries name them by place.
+    /// All sites, in the same order at every gateway: summaries refer to a site by its index.
     pub sites: Vec<SiteConfig>,
-    /// This gateway's own, by place.
+    /// Index of this gateway's own site.
     pub own_site: usize,
-    /// What follows from a loss is done; else it is only told.
+    /// Whether the limits that follow from a loss are enforced; otherwise they are only reported.
     pub enforce: bool,
-    /// Prefix of the client tag that names a client's site; without the tag it is this gateway's.
+    /// Prefix of the client tag that names a client's site; without the tag it is this gateway's site.
     pub site_tag: String,
-    /// How states are told from evidence.
+    /// How the states of sites are derived from evidence.
     pub detection: violetward_site::state::Terms,
-    /// How fast summaries go out.
+    /// Rate and size of the summaries that are sent.
     pub gossip: violetward_digest::GossipConfig,
-    /// Over how long demand is averaged.
+    /// Span over which demand is averaged.
     pub demand_window: Micros,
-    /// The part of all work by which limits move at once, and the time between two moves.
+    /// Part of all work by which the limits change in one step.
     pub limit_step: f64,
-    /// See `step`.
+    /// Time between two changes of the limits.
     pub limit_interval: Micros,
-    /// Waits, as parts of the aim, under which limits loosen and over which they tighten.
+    /// Waiting time, as a part of the class's aim, below which the limits are loosened.
     pub loosen_below: f64,
-    /// See `low`.
+    /// Waiting time, as a part of the class's aim, above which the limits are tightened.
     pub tighten_above: f64,
-    /// How long clients that are turned away by a limit should stay away, spread by half.
+    /// Retry delay for clients refused by a limit, spread randomly by half.
     pub retry_after: Micros,
-    /// Part of the engines' cores that can be filled.
+    /// Part of the engines' cores that can be used.
     pub max_utilization: f64,
 }
 
-/// How the notebook front is set up.
+/// Configuration of the notebook kernel.
 #[derive(Debug, Clone, PartialEq)]
 pub struct KernelConfig {
-    /// Where the connection file is written.
+    /// Path at which the connection file is written.
     pub connection_file: PathBuf,
-    /// The user that cells run as, for selectors and engines.
+    /// User name under which notebook cells run, for selectors and engines.
     pub user: String,
-    /// Rows shown of a result; the rest is counted.
+    /// Maximum number of rows shown of a result; further rows are only counted.
     pub max_rows: usize,
 }
 
-/// FNV-1a, 64 bits: the same at every gateway and in every build.
+/// 64-bit FNV-1a hash, equal at every gateway and in every build.
 pub fn fnv1a(text: &str) -> u64 {
-    text.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    text.bytes().fold(OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(PRIME))
 }
 
 pub(crate) fn micros(span: Duration) -> Micros {
