--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -24,7 +24,7 @@
 use violetward_statement::session::Context;
 use violetward_statement::text;
 
-use crate::record::{hash, EngineRecord};
+use crate::record::{fnv1a, EngineRecord};
 use crate::rules::{self, Rules};
 use crate::sessions::{self, Admit, SessionUse, Sessions};
 use crate::terms::{Config, HostLimits, Names, Selection};
@@ -351,7 +351,7 @@
                 .expect("the key has a name and at least sixteen bytes")
         });
         Core {
-            sessions: Sessions::new(terms.limits.clone(), terms.reserve, keys, instance, 0),
+            sessions: Sessions::new(terms.limits.clone(), terms.transaction_reserve, keys, instance, 0),
             offered_work: vec![0.0; settings.classes.len()],
             classes: settings.classes.clone(),
             observations: None,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -16,7 +16,7 @@
 
 use violetward_custody::Life;
 
-use crate::config::{read_ring, PeerTerms};
+use crate::config::{read_membership_keys, PeerTerms};
 use crate::custody;
 use crate::host::Host;
 use crate::outage;
@@ -129,20 +129,20 @@
             site: terms.site.clone(),
             address,
             seeds: terms.seeds.clone(),
-            via: terms.via.clone(),
+            via: terms.address_overrides.clone(),
             keys: terms.keys.clone(),
-            period: terms.period.as_micros() as u64,
-            most: terms.most,
+            period: terms.probe_interval.as_micros() as u64,
+            most: terms.max_members,
             fleet: host.config.settings.gateways,
-            widest: terms.widest,
-            widen: terms.widen,
+            widest: terms.max_total_share,
+            widen: terms.share_growth_per_s,
             plain: false,
         };
         tracing::info!(name = terms.name, site = terms.site, %address, "membership");
         let membership = RefCell::new(Membership::new(known, rand::random(), host.now()));
         let peers = Rc::new(Peers {
             membership,
-            via: terms.via.clone(),
+            via: terms.address_overrides.clone(),
             streams: RefCell::new(streams),
             datagrams,
             alarm: Alarm::default(),
@@ -153,12 +153,12 @@
         if let Some(file) = terms.key_file.clone() {
             let (of, to) = (peers.clone(), host.clone());
             let take = move |text: &str| {
-                let keys = read_ring(text)?;
+                let keys = read_membership_keys(text)?;
                 to.custody().iter().for_each(|custody| custody.set_keys(keys.clone()));
                 of.membership.borrow_mut().keys(keys);
                 Ok(())
             };
-            host.spawn(watch::keys(file, host.config.host.list_every, take));
+            host.spawn(watch::watch_key_file(file, host.config.host.list_poll_interval, take));
         }
         Ok(peers)
     }
@@ -198,7 +198,7 @@
             }
             Effect::Heard(from, bytes) => {
                 let agreed = host.agreed.borrow().clone();
-                agreed.iter().for_each(|agreed| agreed.heard(host, &from, &bytes));
+                agreed.iter().for_each(|agreed| agreed.receive(host, &from, &bytes));
             }
             Effect::Told(change) => {
                 let at = host.now();
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -15,7 +15,7 @@
 use violetward_transport::session::{Me, Patience};
 use violetward_transport::sockets::Station;
 
-use crate::agreed::Agreed;
+use crate::agreement::SettingsAgreement;
 use crate::config::Config;
 use crate::core::{Core, Decide};
 use crate::custody::Custody;
@@ -26,10 +26,10 @@
 use crate::notebook::Notebook;
 use crate::outage::Outage;
 use crate::peers::Peers;
-use crate::updates::Updates;
 use crate::watch;
 use crate::windows::Windows;
-use crate::zonefront::ZoneFront;
+use crate::zone_server::ZoneServer;
+use crate::zone_updates::ZoneUpdates;
 
 /// Interval at which conditions are checked while the gateway starts or stops.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
@@ -60,7 +60,7 @@
     // Installed before the gateway listens, so that an early signal does not kill the process.
     let mut signals = Signals::new([Signal::Term, Signal::Int])?;
     let executor = Rc::new(LocalExecutor::new());
-    let drain_within = config.host.drain_within;
+    let drain_within = config.host.drain_timeout;
     let (host, address) = start(config, decider, executor.clone())?;
     if let Some(file) = address_file {
         let temporary = file.with_extension("new");
@@ -100,7 +100,7 @@
     executor.spawn(host.clone().run_status()).detach();
     executor.spawn(host.clone().run_releases()).detach();
     let membership = Rc::new(RefCell::new(Membership::default()));
-    executor.spawn(watch::run(host.clone(), membership.clone())).detach();
+    executor.spawn(watch::watch_engine_list(host.clone(), membership.clone())).detach();
     if let Some(terms) = host.config.peers.clone() {
         *host.peers.borrow_mut() = Some(Peers::start(&host, &terms)?);
     }
@@ -108,7 +108,7 @@
         Windows::start(&host, &terms)?;
     }
     if let Some(terms) = host.config.agreement.clone() {
-        Agreed::start(&host, &terms)?;
+        SettingsAgreement::start(&host, &terms)?;
     }
     if let Some(terms) = host.config.custody.clone() {
         start_custody(&host, &terms, executor.clone())?;
@@ -116,15 +116,16 @@
     if let Some(terms) = host.config.sites.clone() {
         Outage::start(&host, terms)?;
     }
-    if let Some((listen, keys)) = host.config.zone_front.clone() {
-        ZoneFront::start(host.clone(), membership, Updates::new(keys), listen)?;
+    if let Some((listen, keys)) = host.config.zone_server.clone() {
+        ZoneServer::start(host.clone(), membership, ZoneUpdates::new(keys), listen)?;
     }
     if let Some(path) = host.config.sessions.key_file.clone() {
-        let (key_host, interval) = (host.clone(), host.config.host.list_every);
+        let (key_host, interval) = (host.clone(), host.config.host.list_poll_interval);
         let set_keys = move |text: &str| {
-            crate::config::read_keys(text).map(|keys| key_host.with_core(|core, _| core.set_keys(keys)))
+            crate::config::read_session_keys(text)
+                .map(|keys| key_host.with_core(|core, _| core.set_keys(keys)))
         };
-        executor.spawn(watch::keys(path, interval, set_keys)).detach();
+        executor.spawn(watch::watch_key_file(path, interval, set_keys)).detach();
     }
     if let Some(kernel) = host.config.kernel.clone() {
         Notebook::start(host.clone(), address.ip(), kernel)?;
@@ -159,7 +160,7 @@
 /// that, clients are served under the restrictions that hold without a lease. Connections wait meanwhile.
 async fn wait_for_lease(host: &Rc<Host>) {
     let Some(terms) = &host.config.agreement else { return };
-    let until = Instant::now() + terms.wait_at_start;
+    let until = Instant::now() + terms.startup_wait;
     let has_lease = || host.agreed.borrow().as_ref().is_none_or(|a| a.has_lease());
     while !has_lease() && Instant::now() < until {
         violetward_net::sleep(CHECK_INTERVAL).await;
@@ -187,7 +188,7 @@
     }
     custody.iter().for_each(|_| leave());
     let agreed = host.agreed.borrow().clone();
-    agreed.iter().for_each(|agreed| agreed.leave(host));
+    agreed.iter().for_each(|agreed| agreed.release_lease(host));
     // Gives the last answers time to be sent.
     violetward_net::sleep(FINAL_SEND_DELAY).await;
 }
--- a/crates/gateway/src/windows.rs
+++ b/crates/gateway/src/windows.rs
@@ -160,7 +160,7 @@
     /// If another process uses the folder of profiles.
     pub fn start(host: &Rc<Host>, terms: &WindowTerms) -> std::io::Result<Rc<Windows>> {
         let agreement = host.config.agreement.as_ref();
-        let drift = agreement.map_or(1_000, |a| a.drift);
+        let drift = agreement.map_or(1_000, |a| a.drift_ppm);
         let mut store = Files::open(&terms.folder)
             .map_err(|e| std::io::Error::other(format!("{}: {e}", terms.folder.display())))?;
         let (profile, trouble) = kept(&mut store, terms);
@@ -169,7 +169,7 @@
         let cover = fleet.cover(&settings, terms).map_err(std::io::Error::other)?;
         let outlook = Outlook::owning(cover, &profile, &[], terms.margins, wall());
         let place = agreement.and_then(|a| a.voters.iter().position(|v| *v == a.name));
-        let fresh = micros(terms.fresh);
+        let fresh = micros(terms.max_fleet_age);
         let windows = Rc::new(Windows {
             terms: terms.clone(),
             names: host.config.names.clone(),
@@ -226,8 +226,8 @@
         };
         // As the fleet is under that version.
         let mut fleet = self.fleet.borrow().clone();
-        fleet.classes = asked.narrow(&self.settings, &self.names).0;
-        fleet.engines.retain(|r| !fleet.out.contains(&r.name) && asked.told(&r.name) == Listed::Up);
+        fleet.classes = asked.restrict(&self.settings, &self.names).0;
+        fleet.engines.retain(|r| !fleet.out.contains(&r.name) && asked.named_state(&r.name) == Listed::Up);
         let outlook = self.outlook_of(&fleet, now)?;
         held::admissible(before.windows(), asked.windows(), &outlook, now, Plant::None)
             .map_err(|e| self.named(&e.to_string()))
@@ -279,10 +279,10 @@
     fn step(&self, host: &Rc<Host>) {
         let agreed = host.agreed.borrow().clone();
         // A lease that has run out meanwhile, first.
-        agreed.iter().for_each(|a| a.refresh(host));
+        agreed.iter().for_each(|a| a.refresh_rules(host));
         let now = host.now();
         if now.saturating_sub(self.stepped.replace(now)) > STILL {
-            self.deaf.set(now + micros(self.terms.fresh));
+            self.deaf.set(now + micros(self.terms.max_fleet_age));
         }
         let away = self.away.borrow().clone();
         let (engines, out, classes) = host.read_core(|core| core.fleet(&away));
@@ -308,7 +308,7 @@
         }
         self.carry_out(host, now);
         // What is left out may be other engines now.
-        agreed.iter().for_each(|a| a.refresh(host));
+        agreed.iter().for_each(|a| a.refresh_rules(host));
         *self.away.borrow_mut() = self.away();
     }
 
@@ -339,7 +339,7 @@
         };
         let agreed = host.agreed.borrow().clone();
         for (agreed, window) in agreed.iter().flat_map(|a| due.iter().map(move |w| (a, w))) {
-            agreed.call_off(host, window);
+            agreed.cancel_window(host, window);
         }
     }
 
@@ -347,7 +347,7 @@
     async fn learn(self: Rc<Self>, host: Rc<Host>) {
         let mut quarter = 0;
         loop {
-            violetward_net::sleep(self.terms.sample).await;
+            violetward_net::sleep(self.terms.sample_interval).await;
             // Without a lease this one may be cut off, and by a clock that was set nobody knows which quarter hour it is.
             let lease = host.agreed.borrow().as_ref().is_some_and(|a| a.has_lease());
             let at = {
@@ -455,7 +455,7 @@
 /// # Errors
 /// What it answers instead, or why it does not.
 pub async fn ask(address: SocketAddr) -> Result<Standing, String> {
-    let body = crate::agreed::get(address, PATH).await?;
+    let body = crate::agreement::http_get(address, PATH).await?;
     serde_json::from_slice(&body).map_err(|e| e.to_string())
 }
 
@@ -473,8 +473,8 @@
             folder,
             cover: CoverTerms { fill: 0.8, spare: Spare::Engine, cold: 0.25, warm: 1_000_000 },
             margins: Margins { slack: 1_000_000, lead: 1_000_000 },
-            fresh: Duration::from_secs(2),
-            sample: Duration::from_secs(5),
+            max_fleet_age: Duration::from_secs(2),
+            sample_interval: Duration::from_secs(5),
             profile: Learning { samples: 1, weeks: 1, of: 1, ..Learning::default() },
         }
     }
