--- a/crates/platform/tests/bed/mod.rs
+++ b/crates/platform/tests/bed/mod.rs
@@ -1,29 +1,44 @@
-//! What the tests share: settings on the interface's own example, and a configuration around them.
+//! Shared by the platform's tests: the settings of the interface's example and a configuration that contains
+//! them.
 #![allow(dead_code)]
 
 pub mod scripted;
 
-/// Settings as a gateway is told them, with three classes: look-ups, reports, loads in the order of their keys.
+/// Settings in the format of the configuration file, with three classes: `look`, `report`, and `load`, whose
+/// requests run in the order of their order keys.
 pub const SETTINGS: &str = r#"{
  "Classes": [
-  {"AimStretch": 2.0, "AimUs": 600000, "Effect": "repeatable", "Group": "all", "HardLimitUs": 3000000, "LateWorth": 0.0, "Name": "look", "Worth": 1.0},
-  {"AimStretch": 2.5, "AimUs": 800000, "Effect": "repeatable", "Group": "all", "HardLimitUs": 6000000, "LateWorth": 0.4, "Name": "report", "Worth": 6.0},
-  {"AimStretch": 3.0, "AimUs": 1600000, "Effect": "by_key", "FifoByKey": true, "Group": "all", "HardLimitUs": 9000000, "LateWorth": 0.6, "Name": "load", "WindowUs": 9000000, "Worth": 6.0}],
- "Contract": {"ColdFrom": 0.31, "ColdUs": 5000000, "ExtraFree": 5.0, "ExtraPerRequest": 0.1, "FallMultiple": 4.0, "GraceToAnswerUs": 20000, "LookBackUs": 5000000, "StopSendingWithinUs": 250000, "TipAfterUs": 1500000, "TurnGapUs": 0},
- "FamilyInfo": {"GrantCap": 0.4, "GrantsCount": true, "LanesCount": true, "Loads": [false, false, true], "MemoryByKindMb": [16384.0], "NotePeriodUs": 0, "SizeCores": [8], "TellsCost": true, "WaitsForLoads": [false, false, false], "WhenShort": "line_up", "WidthByClass": [1, 4, 2]},
- "Limits": {"AttemptsCap": 3, "ConnIdleUs": 15000000, "ConnectTimeoutUs": 250000, "MayCancel": true, "MayDuplicate": false, "OpenCap": 20000, "PeerMessages": false, "Probes": true, "RetryAfter": false, "StreamsPerConn": 32},
+  {"AimStretch": 2.0, "AimUs": 600000, "Effect": "repeatable", "Group": "all", "HardLimitUs": 3000000,
+   "LateWorth": 0.0, "Name": "look", "Worth": 1.0},
+  {"AimStretch": 2.5, "AimUs": 800000, "Effect": "repeatable", "Group": "all", "HardLimitUs": 6000000,
+   "LateWorth": 0.4, "Name": "report", "Worth": 6.0},
+  {"AimStretch": 3.0, "AimUs": 1600000, "Effect": "by_key", "FifoByKey": true, "Group": "all",
+   "HardLimitUs": 9000000, "LateWorth": 0.6, "Name": "load", "WindowUs": 9000000, "Worth": 6.0}],
+ "Contract": {"ColdFrom": 0.31, "ColdUs": 5000000, "ExtraFree": 5.0, "ExtraPerRequest": 0.1,
+   "FallMultiple": 4.0, "GraceToAnswerUs": 20000, "LookBackUs": 5000000, "StopSendingWithinUs": 250000,
+   "TipAfterUs": 1500000, "TurnGapUs": 0},
+ "FamilyInfo": {"GrantCap": 0.4, "GrantsCount": true, "LanesCount": true, "Loads": [false, false, true],
+   "MemoryByKindMb": [16384.0], "NotePeriodUs": 0, "SizeCores": [8], "TellsCost": true,
+   "WaitsForLoads": [false, false, false], "WhenShort": "line_up", "WidthByClass": [1, 4, 2]},
+ "Limits": {"AttemptsCap": 3, "ConnIdleUs": 15000000, "ConnectTimeoutUs": 250000, "MayCancel": true,
+   "MayDuplicate": false, "OpenCap": 20000, "PeerMessages": false, "Probes": true, "RetryAfter": false,
+   "StreamsPerConn": 32},
  "MachineTypes": ["std"], "Me": 0, "NInstances": 1, "QuantumUs": 5000,
  "Prices": {"LateFail": 0.08, "Probe": 0.01, "Waste": 0.08},
  "Report": {"How": "answers", "Names": ["load_share"]}, "Zone": 0, "Zones": ["east"]}"#;
 
-/// How long a connection to an engine may take by [`SETTINGS`].
-pub const CONNECT_TIMEOUT: &str = "\"ConnectTimeoutUs\": 250000";
+/// The connect timeout as it is written in [`SETTINGS`], for tests that replace it.
+pub const CONNECT_TIMEOUT_SETTING: &str = "\"ConnectTimeoutUs\": 250000";
 
-/// A configuration that listens on a free port of loopback and knows these engines.
+/// Replaces the connect timeout by 20 s, so that no connection attempt times out during a test.
+pub const LONG_CONNECT_TIMEOUT: (&str, &str) = (CONNECT_TIMEOUT_SETTING, "\"ConnectTimeoutUs\": 20000000");
+
+/// A configuration that listens on a free loopback port and lists `engines` by id and address.
 pub fn config(resolver: &str, engines: &[(&str, String)]) -> String {
     let servers = engines.iter().map(|(id, address)| {
         format!(
-            r#"{{"id":"{id}","addr":"{address}","zone":"east","kind":"std","cell":0,"state":"ready","weight":1,"started_ms":0}}"#
+            r#"{{"id":"{id}","addr":"{address}","zone":"east","kind":"std","cell":0,
+            "state":"ready","weight":1,"started_ms":0}}"#
         )
     });
     let servers = servers.collect::<Vec<_>>().join(",");
--- a/crates/platform/tests/bed/scripted.rs
+++ b/crates/platform/tests/bed/scripted.rs
@@ -1,4 +1,5 @@
-//! A gateway in this process, a client of it, and engines and a resolver whose every byte the test writes.
+//! A gateway in this process, a client of it, and scripted peers: engines and a resolver that send only what
+//! the test tells them to send.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -20,55 +21,55 @@
 use violetward_standin::platform::{hold_listener, page, release_listener, reset, Listed, PlatformResolver};
 use violetward_thrift::{Cursor, FrameDecoder, MessageType, Writer};
 
-/// How long anything may take that has to happen; nothing that goes right waits for it.
-pub const SOON: Duration = Duration::from_secs(20);
+/// Bound for an event that must happen; a passing test never waits this long.
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long nothing has to happen for it to count as over.
-pub const QUIET: Duration = Duration::from_millis(300);
+/// Without an event for this long, no further one is expected.
+pub const QUIET_PERIOD: Duration = Duration::from_millis(300);
 
-/// The fields of a good end with one page.
-pub const GOOD: &str = "batches=1,cpu=20.5,used=64.0,l=util:0.25";
+/// The fields of a successful `ok` answer whose result has one page.
+pub const SUCCESS_FIELDS: &str = "batches=1,cpu=20.5,used=64.0,l=util:0.25";
 
-/// How often a connection's reader looks whether it is to stop.
-const LOOK: Duration = Duration::from_millis(2);
+/// How often the reader of a connection checks its state.
+const READER_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-/// What a connection's reader is to do.
-const READS: u8 = 0;
-const STOPPED: u8 = 1;
-const RESETS: u8 = 2;
+/// States of a connection's reader: it reads, it pauses, or it ends so that the connection can be reset.
+const READER_RUNNING: u8 = 0;
+const READER_PAUSED: u8 = 1;
+const READER_RESETTING: u8 = 2;
 
-/// What happens at an engine, with the number of the connection, counted from 0.
+/// An event at an engine, with the number of its connection, counted from 0.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Seen {
-    /// It was taken.
+pub enum ConnectionEvent {
+    /// The engine accepted the connection.
     Opened(usize),
-    /// A whole command came.
+    /// A complete command arrived.
     Command(usize, Vec<String>),
-    /// It has ended from the gateway's side.
+    /// The gateway closed the connection.
     Closed(usize),
 }
 
-/// An engine that says what the test tells it to say.
+/// An engine that sends only what the test tells it to send.
 pub struct ScriptedEngine {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    seen: Receiver<Seen>,
+    events: Receiver<ConnectionEvent>,
     connections: Arc<Mutex<HashMap<usize, Arc<Connection>>>>,
-    open: Arc<AtomicUsize>,
-    held: Mutex<Option<Held>>,
+    open_count: Arc<AtomicUsize>,
+    held: Mutex<Option<HeldListener>>,
 }
 
-/// What an engine needs that accepts nothing yet.
-struct Held {
+/// The listener of an engine that does not accept connections yet.
+struct HeldListener {
     listener: TcpListener,
-    /// Connections that fill the listener's queue.
-    fill: Vec<TcpStream>,
-    tell: Sender<Seen>,
+    /// Connections that fill the accept queue, so that further ones are not established.
+    queue_fillers: Vec<TcpStream>,
+    event_sender: Sender<ConnectionEvent>,
 }
 
 struct Connection {
     socket: TcpStream,
-    reader: AtomicU8,
+    reader_state: AtomicU8,
 }
 
 impl ScriptedEngine {
@@ -78,77 +79,81 @@
         engine
     }
 
-    /// One to which no connection comes up until it is released.
-    pub fn held() -> ScriptedEngine {
+    /// Starts an engine to which no connection is established until [`ScriptedEngine::release`].
+    pub fn start_held() -> ScriptedEngine {
         ScriptedEngine::new(|listener| hold_listener(listener).unwrap())
     }
 
     fn new(hold: impl FnOnce(&TcpListener) -> Vec<TcpStream>) -> ScriptedEngine {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
         let address = listener.local_addr().unwrap();
-        let fill = hold(&listener);
-        let (tell, seen) = channel();
+        let queue_fillers = hold(&listener);
+        let (event_sender, events) = channel();
         ScriptedEngine {
             address,
-            seen,
+            events,
             connections: Arc::default(),
-            open: Arc::default(),
-            held: Mutex::new(Some(Held { listener, fill, tell })),
+            open_count: Arc::default(),
+            held: Mutex::new(Some(HeldListener { listener, queue_fillers, event_sender })),
         }
     }
 
-    /// Connections come up from now on.
+    /// Accepts connections from now on.
     pub fn release(&self) {
-        let Held { listener, fill, tell } = self.held.lock().unwrap().take().expect("a held engine");
-        // Those that filled the queue are not counted.
-        fill.iter().for_each(|_| drop(listener.accept().unwrap()));
+        let HeldListener { listener, queue_fillers, event_sender } =
+            self.held.lock().unwrap().take().expect("a held engine");
+        // The connections that filled the accept queue are not counted.
+        queue_fillers.iter().for_each(|_| drop(listener.accept().unwrap()));
         release_listener(&listener).unwrap();
-        let (taken, counted) = (self.connections.clone(), self.open.clone());
+        let (connections, open_count) = (self.connections.clone(), self.open_count.clone());
         std::thread::spawn(move || {
             for (number, socket) in listener.incoming().flatten().enumerate() {
-                socket.set_read_timeout(Some(LOOK)).unwrap();
-                let connection = Arc::new(Connection { socket, reader: AtomicU8::new(READS) });
-                taken.lock().unwrap().insert(number, connection.clone());
-                let (tell, counted) = (tell.clone(), counted.clone());
-                counted.fetch_add(1, Ordering::Relaxed);
-                tell.send(Seen::Opened(number)).ok();
+                socket.set_read_timeout(Some(READER_POLL_INTERVAL)).unwrap();
+                let reader_state = AtomicU8::new(READER_RUNNING);
+                let connection = Arc::new(Connection { socket, reader_state });
+                connections.lock().unwrap().insert(number, connection.clone());
+                let (event_sender, open_count) = (event_sender.clone(), open_count.clone());
+                open_count.fetch_add(1, Ordering::Relaxed);
+                event_sender.send(ConnectionEvent::Opened(number)).ok();
                 std::thread::spawn(move || {
-                    read_commands(number, &connection, &tell);
-                    counted.fetch_sub(1, Ordering::Relaxed);
+                    read_commands(number, &connection, &event_sender);
+                    open_count.fetch_sub(1, Ordering::Relaxed);
                 });
             }
         });
     }
 
-    /// What happens next.
-    pub fn next(&self) -> Seen {
-        self.seen.recv_timeout(SOON).expect("something that happens at the engine")
+    /// Waits for the next event.
+    pub fn next_event(&self) -> ConnectionEvent {
+        self.events.recv_timeout(TIMEOUT).expect("an event at the engine")
     }
 
-    /// The next command with that word, its connection and its words; what comes before is passed over.
-    pub fn command(&self, word: &str) -> (usize, Vec<String>) {
+    /// Waits for the next command whose first word is `word` and returns its connection and words. Earlier
+    /// events are discarded.
+    pub fn wait_for_command(&self, word: &str) -> (usize, Vec<String>) {
         loop {
-            match self.next() {
-                Seen::Command(number, words) if words[0] == word => return (number, words),
+            match self.next_event() {
+                ConnectionEvent::Command(number, words) if words[0] == word => return (number, words),
                 _ => {}
             }
         }
     }
 
-    /// The ids of the requests that have been sent up to now and were not looked at yet.
-    pub fn fetches(&self) -> Vec<String> {
-        // What the gateway wrote before its client was answered may still be on its way to the reader.
-        let seen = std::iter::from_fn(|| self.seen.recv_timeout(QUIET).ok());
-        let fetch = |seen| match seen {
-            Seen::Command(_, words) if words[0] == "fetch" => Some(words[1].clone()),
+    /// Consumes the pending events, until none comes for [`QUIET_PERIOD`], and returns the request ids of the
+    /// `fetch` commands among them.
+    pub fn collect_fetches(&self) -> Vec<String> {
+        // Commands that the gateway wrote before it answered its client may not have reached the reader yet.
+        let events = std::iter::from_fn(|| self.events.recv_timeout(QUIET_PERIOD).ok());
+        let fetched_id = |event| match event {
+            ConnectionEvent::Command(_, words) if words[0] == "fetch" => Some(words[1].clone()),
             _ => None,
         };
-        seen.filter_map(fetch).collect()
+        events.filter_map(fetched_id).collect()
     }
 
-    /// Waits until the gateway has ended a connection.
-    pub fn closed(&self, number: usize) {
-        while self.next() != Seen::Closed(number) {}
+    /// Waits until the gateway has closed a connection.
+    pub fn wait_until_closed(&self, number: usize) {
+        while self.next_event() != ConnectionEvent::Closed(number) {}
     }
 
     /// Writes bytes on a connection.
@@ -158,58 +163,59 @@
     }
 
     /// Writes an answer on a connection.
-    pub fn say(&self, number: usize, words: [&str; 4]) {
-        self.write(number, &answer(words));
+    pub fn send_answer(&self, number: usize, words: [&str; 4]) {
+        self.write(number, &encode_answer(words));
     }
 
-    /// Writes a whole result of one page.
+    /// Writes a complete result of one page.
     pub fn serve(&self, number: usize, id: &str) {
-        self.say(number, [id, "ok", GOOD, &page(id, 0)]);
+        self.send_answer(number, [id, "ok", SUCCESS_FIELDS, &page(id, 0)]);
     }
 
-    /// Connections that neither side has ended, as far as its readers have seen.
-    pub fn open(&self) -> usize {
-        self.open.load(Ordering::Relaxed)
+    /// The number of connections that neither side has closed, as far as their readers have noticed.
+    pub fn open_connections(&self) -> usize {
+        self.open_count.load(Ordering::Relaxed)
     }
 
-    /// Resets a connection; the reset is on its way when this returns.
+    /// Resets a connection; the reset has been sent when this returns.
     pub fn reset(&self, number: usize) {
         let mut connection = self.connections.lock().unwrap().remove(&number).unwrap();
-        connection.reader.store(RESETS, Ordering::Relaxed);
-        // The reader holds the same socket: what it lets go of last is closed.
+        connection.reader_state.store(READER_RESETTING, Ordering::Relaxed);
+        // The reader shares the socket, which can be reset only after the reader has dropped its reference.
         let connection = loop {
             match Arc::try_unwrap(connection) {
                 Ok(connection) => break connection,
                 Err(shared) => connection = shared,
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(READER_POLL_INTERVAL);
         };
         reset(connection.socket);
     }
 
-    /// Reads nothing more of a connection, or goes on.
-    pub fn reads(&self, number: usize, reads: bool) {
-        let connections = self.connections.lock().unwrap();
-        connections[&number].reader.store(if reads { READS } else { STOPPED }, Ordering::Relaxed);
+    /// Pauses or resumes reading from a connection.
+    pub fn set_reading(&self, number: usize, reading: bool) {
+        let state = if reading { READER_RUNNING } else { READER_PAUSED };
+        self.connections.lock().unwrap()[&number].reader_state.store(state, Ordering::Relaxed);
     }
 }
 
-/// An answer's bytes.
-pub fn answer(words: [&str; 4]) -> Vec<u8> {
+/// Encodes an engine's answer.
+pub fn encode_answer(words: [&str; 4]) -> Vec<u8> {
     let mut bytes = Vec::new();
     write_array(&mut bytes, &words.map(str::as_bytes));
     bytes
 }
 
-fn read_commands(number: usize, connection: &Connection, tell: &Sender<Seen>) {
+/// Reports the commands of a connection until it is closed or its reader is told to end.
+fn read_commands(number: usize, connection: &Connection, event_sender: &Sender<ConnectionEvent>) {
     let mut reader =
         Reader::new(Limits { max_string_bytes: 1 << 20, max_total_bytes: 1 << 21, max_strings: 16 });
     let mut bytes = [0; 16 << 10];
     loop {
-        match connection.reader.load(Ordering::Relaxed) {
-            READS => {}
-            STOPPED => {
-                std::thread::sleep(LOOK);
+        match connection.reader_state.load(Ordering::Relaxed) {
+            READER_RUNNING => {}
+            READER_PAUSED => {
+                std::thread::sleep(READER_POLL_INTERVAL);
                 continue;
             }
             _ => return,
@@ -221,99 +227,110 @@
         }
         while let Some(command) = reader.next_array().unwrap() {
             let words = command.iter().map(|w| String::from_utf8_lossy(w).into_owned()).collect();
-            tell.send(Seen::Command(number, words)).ok();
+            event_sender.send(ConnectionEvent::Command(number, words)).ok();
         }
     }
-    tell.send(Seen::Closed(number)).ok();
+    event_sender.send(ConnectionEvent::Closed(number)).ok();
 }
 
-/// A gateway on a thread of its own; it ends with the process.
+/// A gateway on a thread of its own, which runs until the process ends.
 pub struct Gateway {
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub address: SocketAddr,
-    moves: async_channel::Sender<SocketAddr>,
-    orders: async_channel::Sender<Order>,
-    moved: Receiver<()>,
+    resolver_addresses: async_channel::Sender<SocketAddr>,
+    thread_actions: async_channel::Sender<ThreadAction>,
+    resolver_moved: Receiver<()>,
 }
 
-/// Something that is done on a gateway's own thread, between two turns of its tasks.
-type Order = Box<dyn FnOnce(&Rc<Host>) + Send>;
+/// An action that runs on a gateway's thread while none of the gateway's tasks runs.
+type ThreadAction = Box<dyn FnOnce(&Rc<Host>) + Send>;
 
 impl Gateway {
-    /// Starts a gateway that knows these engines as `e-0`, `e-1` and so on, with changes made to its configuration.
+    /// Starts a gateway whose configuration lists `engines` as `e-0`, `e-1` and so on. Each change replaces a
+    /// text of the configuration by another.
     pub fn start(resolver: SocketAddr, engines: &[SocketAddr], changes: &[(&str, &str)]) -> Gateway {
         let names: Vec<String> = (0..engines.len()).map(|n| format!("e-{n}")).collect();
-        let known: Vec<_> = names.iter().zip(engines).map(|(n, a)| (n.as_str(), a.to_string())).collect();
-        let mut text = super::config(&resolver.to_string(), &known);
+        let listed: Vec<_> = names.iter().zip(engines).map(|(n, a)| (n.as_str(), a.to_string())).collect();
+        let mut text = super::config(&resolver.to_string(), &listed);
         for (from, to) in changes {
             assert!(text.contains(from), "{from} is not in the configuration");
             text = text.replace(from, to);
         }
-        let (tell, told) = channel();
-        let (moves, moving) = async_channel::unbounded();
-        let (tell_moved, moved) = channel();
-        let (orders, ordered) = async_channel::unbounded::<Order>();
+        let (address_sender, address_receiver) = channel();
+        let (resolver_addresses, new_resolver_addresses) = async_channel::unbounded();
+        let (moved_sender, resolver_moved) = channel();
+        let (thread_actions, received_actions) = async_channel::unbounded::<ThreadAction>();
         std::thread::spawn(move || {
             let config = config::parse(&text).unwrap();
             let executor = Rc::new(LocalExecutor::new());
-            let follow = Resolver::new(config.resolver);
-            let (host, address) = service::start(config, &executor, &follow).unwrap();
-            tell.send(address).unwrap();
-            let carry_out = async {
-                while let Ok(order) = ordered.recv().await {
-                    order(&host);
+            let resolver = Resolver::new(config.resolver);
+            let (host, address) = service::start(config, &executor, &resolver).unwrap();
+            address_sender.send(address).unwrap();
+            let run_actions = async {
+                while let Ok(action) = received_actions.recv().await {
+                    action(&host);
                 }
             };
-            let follow_moves = async {
-                while let Ok(address) = moving.recv().await {
-                    follow.set_address(address);
-                    tell_moved.send(()).ok();
+            let move_resolver = async {
+                while let Ok(address) = new_resolver_addresses.recv().await {
+                    resolver.set_address(address);
+                    moved_sender.send(()).ok();
                 }
             };
-            async_io::block_on(executor.run(future::zip(carry_out, follow_moves)));
+            async_io::block_on(executor.run(future::zip(run_actions, move_resolver)));
         });
-        Gateway { address: told.recv().unwrap(), moves, moved, orders }
+        Gateway {
+            address: address_receiver.recv().unwrap(),
+            resolver_addresses,
+            resolver_moved,
+            thread_actions,
+        }
     }
 
-    /// Does something on the gateway's thread: none of its tasks gets a turn meanwhile.
-    pub fn on_its_thread<T: Send + 'static>(&self, act: impl FnOnce(&Rc<Host>) -> T + Send + 'static) -> T {
-        let (tell, told) = channel();
-        let order: Order = Box::new(move |host| tell.send(act(host)).unwrap());
-        self.orders.try_send(order).unwrap();
-        told.recv_timeout(SOON).unwrap()
+    /// Runs an action on the gateway's thread and returns its result. None of the gateway's tasks runs
+    /// meanwhile.
+    pub fn run_on_thread<T: Send + 'static>(
+        &self,
+        action: impl FnOnce(&Rc<Host>) -> T + Send + 'static,
+    ) -> T {
+        let (result_sender, result_receiver) = channel();
+        let action: ThreadAction = Box::new(move |host| result_sender.send(action(host)).unwrap());
+        self.thread_actions.try_send(action).unwrap();
+        result_receiver.recv_timeout(TIMEOUT).unwrap()
     }
 
-    /// Tells it to end, as SIGTERM does; what is received tells that it has.
+    /// Starts a shutdown, as SIGTERM does. The returned channel receives a message once the gateway has
+    /// stopped.
     pub fn stop(&self) -> Receiver<()> {
-        let (tell, told) = channel();
-        self.on_its_thread(move |host| {
-            let stopped = host.clone();
+        let (stopped_sender, stopped) = channel();
+        self.run_on_thread(move |host| {
+            let stopping_host = host.clone();
             host.spawn(async move {
-                shutdown::stop(&stopped).await;
-                tell.send(()).ok();
+                shutdown::stop(&stopping_host).await;
+                stopped_sender.send(()).ok();
             });
         });
-        told
+        stopped
     }
 
-    /// The resolver is elsewhere from now on; the gateway knows it when this returns.
-    pub fn resolver_moved(&self, address: SocketAddr) {
-        self.moves.try_send(address).unwrap();
-        self.moved.recv_timeout(SOON).unwrap();
+    /// Changes the resolver's address; the gateway uses the new one when this returns.
+    pub fn move_resolver(&self, address: SocketAddr) {
+        self.resolver_addresses.try_send(address).unwrap();
+        self.resolver_moved.recv_timeout(TIMEOUT).unwrap();
     }
 }
 
-/// A resolver that answers what the test tells it to answer.
+/// A resolver that sends only the answers that the test tells it to send.
 pub struct ScriptedResolver {
-    /// Where it is asked.
+    /// The address to which queries are sent.
     pub address: SocketAddr,
     socket: UdpSocket,
-    /// Words the answers; nobody asks it.
-    writer: PlatformResolver,
+    /// Encodes the answers; no query is sent to it.
+    encoder: PlatformResolver,
 }
 
-/// A question for the list.
-pub struct Question {
+/// A query for the list of engines.
+pub struct Query {
     bytes: Vec<u8>,
     from: SocketAddr,
 }
@@ -321,30 +338,31 @@
 impl ScriptedResolver {
     pub fn start() -> ScriptedResolver {
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
-        socket.set_read_timeout(Some(SOON)).unwrap();
+        socket.set_read_timeout(Some(TIMEOUT)).unwrap();
         let address = socket.local_addr().unwrap();
-        ScriptedResolver { address, socket, writer: PlatformResolver::start("east", "std").unwrap() }
+        ScriptedResolver { address, socket, encoder: PlatformResolver::start("east", "std").unwrap() }
     }
 
-    /// The next question.
-    pub fn question(&self) -> Question {
+    /// Waits for the next query.
+    pub fn next_query(&self) -> Query {
         let mut bytes = vec![0; 1 << 10];
-        let (size, from) = self.socket.recv_from(&mut bytes).expect("a question for the list");
+        let (size, from) = self.socket.recv_from(&mut bytes).expect("a query for the list");
         bytes.truncate(size);
-        Question { bytes, from }
+        Query { bytes, from }
     }
 
-    /// The answer to a question: engines with their address and whether they drain, as `e-0`, `e-1` and so on.
-    pub fn list(&self, question: &Question, serial: u32, engines: &[(SocketAddr, bool)]) -> Vec<u8> {
+    /// Encodes an answer to a query. Engines are given by their address and whether they drain; they are
+    /// named `e-0`, `e-1` and so on.
+    pub fn encode_list(&self, query: &Query, serial: u32, engines: &[(SocketAddr, bool)]) -> Vec<u8> {
         let names: Vec<String> = (0..engines.len()).map(|n| format!("e-{n}")).collect();
         let named: Vec<_> = names.iter().zip(engines).map(|(n, &(a, d))| (n.as_str(), a, d)).collect();
-        self.list_named(question, serial, &named)
+        self.encode_named_list(query, serial, &named)
     }
 
-    /// The same with names of the engines' own.
-    pub fn list_named(
+    /// Like [`ScriptedResolver::encode_list`], with the names of the engines given.
+    pub fn encode_named_list(
         &self,
-        question: &Question,
+        query: &Query,
         serial: u32,
         engines: &[(&str, SocketAddr, bool)],
     ) -> Vec<u8> {
@@ -352,43 +370,43 @@
             let SocketAddr::V4(address) = address else { panic!("{address} is not IPv4") };
             Listed { id: id.to_owned(), address, draining, started_ms: 0 }
         });
-        self.answer(question, serial, listed.collect())
+        self.encode_engines(query, serial, listed.collect())
     }
 
-    /// The answer to a question with a list.
-    pub fn answer(&self, question: &Question, serial: u32, engines: Vec<Listed>) -> Vec<u8> {
-        self.writer.tell(serial, engines);
-        self.writer.answer_to(&question.bytes, "east", "std").unwrap()
+    /// Encodes an answer to a query from entries of the list.
+    pub fn encode_engines(&self, query: &Query, serial: u32, engines: Vec<Listed>) -> Vec<u8> {
+        self.encoder.tell(serial, engines);
+        self.encoder.answer_to(&query.bytes, "east", "std").unwrap()
     }
 
-    /// Has a list taken by the gateway.
+    /// Sends a list until the gateway has accepted it.
     pub fn publish(&self, serial: u32, engines: &[(SocketAddr, bool)]) {
-        self.publish_as(|question| self.list(question, serial, engines));
+        self.publish_with(|query| self.encode_list(query, serial, engines));
     }
 
-    /// Has an answer taken by the gateway. One that it took is followed by a question from the same socket; one that came
-    /// too late, by a question from a new one.
-    pub fn publish_as(&self, answer: impl Fn(&Question) -> Vec<u8>) {
-        let mut asked = self.question();
+    /// Sends an answer until the gateway has accepted it. After an accepted answer the gateway queries from
+    /// the same socket; after an answer that came too late, from a new one.
+    pub fn publish_with(&self, answer: impl Fn(&Query) -> Vec<u8>) {
+        let mut query = self.next_query();
         loop {
-            self.send(&asked, &answer(&asked));
-            let next = self.question();
-            if next.from == asked.from {
+            self.send(&query, &answer(&query));
+            let next = self.next_query();
+            if next.from == query.from {
                 return;
             }
-            asked = next;
+            query = next;
         }
     }
 
-    /// Sends bytes to who asked.
-    pub fn send(&self, question: &Question, bytes: &[u8]) {
-        self.socket.send_to(bytes, question.from).unwrap();
+    /// Sends bytes to the sender of a query.
+    pub fn send(&self, query: &Query, bytes: &[u8]) {
+        self.socket.send_to(bytes, query.from).unwrap();
     }
 }
 
-/// How a request ended for its client.
+/// What a client received: a response to a request, or the end of the connection.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Got {
+pub enum Response {
     Served(String),
     Refused,
     Failed,
@@ -405,32 +423,32 @@
 
 impl Client {
     pub fn connect(gateway: &Gateway) -> Client {
-        Client::over(TcpStream::connect(gateway.address).unwrap())
+        Client::from_socket(TcpStream::connect(gateway.address).unwrap())
     }
 
-    /// A client on a connection that is there.
-    pub fn over(socket: TcpStream) -> Client {
-        socket.set_read_timeout(Some(SOON)).unwrap();
+    /// A client on an established connection.
+    pub fn from_socket(socket: TcpStream) -> Client {
+        socket.set_read_timeout(Some(TIMEOUT)).unwrap();
         Client { socket, frames: FrameDecoder::new(1 << 20), seqid: 0 }
     }
 
-    /// Sends a request and does not wait; its number.
-    pub fn send(&mut self, id: &str, class: &str, wait: u32) -> i32 {
-        let bytes = self.request(id, class, wait);
+    /// Sends a request, does not wait for the response, and returns the request's sequence id.
+    pub fn send(&mut self, id: &str, class: &str, wait_ms: u32) -> i32 {
+        let bytes = self.encode_request(id, class, wait_ms);
         self.socket.write_all(&bytes).unwrap();
         self.seqid
     }
 
-    /// Sends requests in one write and does not wait.
-    pub fn send_burst(&mut self, ids: impl Iterator<Item = String>, class: &str, wait: u32) {
-        let bytes: Vec<u8> = ids.flat_map(|id| self.request(&id, class, wait)).collect();
+    /// Sends requests in one write and does not wait for the responses.
+    pub fn send_burst(&mut self, ids: impl Iterator<Item = String>, class: &str, wait_ms: u32) {
+        let bytes: Vec<u8> = ids.flat_map(|id| self.encode_request(&id, class, wait_ms)).collect();
         self.socket.write_all(&bytes).unwrap();
     }
 
-    /// The bytes of the next request; they are not sent.
-    pub fn request(&mut self, id: &str, class: &str, wait: u32) -> Vec<u8> {
+    /// Encodes the next request without sending it.
+    pub fn encode_request(&mut self, id: &str, class: &str, wait_ms: u32) -> Vec<u8> {
         self.seqid += 1;
-        let wait = wait.to_string();
+        let wait = wait_ms.to_string();
         let fields = [("id", id), ("class", class), ("wait", &wait), ("cost", "20.0"), ("heap_mb", "64")];
         let mut writer = Writer::message("dispatch", MessageType::Call, self.seqid);
         writer.string_map(1, fields.into_iter());
@@ -439,27 +457,27 @@
         writer.into_frame()
     }
 
-    /// A call of a method that does not exist; it is answered by an exception.
-    pub fn unknown_method(&mut self) -> Vec<u8> {
+    /// Encodes a call of a method that does not exist, which the gateway answers with an exception.
+    pub fn encode_unknown_method(&mut self) -> Vec<u8> {
         self.seqid += 1;
         let mut writer = Writer::message("drop", MessageType::Call, self.seqid);
         writer.end_struct();
         writer.into_frame()
     }
 
-    /// Its socket, for bytes that a client would not send.
+    /// The client's socket, for tests that write raw bytes or write at a chosen moment.
     pub fn socket(&self) -> TcpStream {
         self.socket.try_clone().unwrap()
     }
 
-    /// What the connection ends with, all else read away: nothing, or a reset.
-    pub fn end(&mut self) -> std::io::Result<()> {
+    /// Discards everything up to the end of the stream; fails if the connection is reset.
+    pub fn read_to_end(&mut self) -> std::io::Result<()> {
         let mut bytes = [0; 8 << 10];
         while self.socket.read(&mut bytes)? > 0 {}
         Ok(())
     }
 
-    /// Takes a request back.
+    /// Cancels a request.
     pub fn cancel(&mut self, seqid: i32) {
         let mut writer = Writer::message("cancelRequest", MessageType::Oneway, 0);
         writer.i32(1, seqid);
@@ -467,67 +485,68 @@
         self.socket.write_all(&writer.into_frame()).unwrap();
     }
 
-    /// Returns once the gateway has taken the connection and looked at all that was sent on it.
-    pub fn settle(&mut self) {
-        self.send(&id(9_999), "nothing", 2_500);
-        assert_eq!(self.read().1, Got::Exception);
+    /// Returns once the gateway has accepted the connection and processed everything that was sent on it: a
+    /// request of an unknown class is answered with an exception.
+    pub fn wait_until_processed(&mut self) {
+        self.send(&request_id(9_999), "nothing", 2_500);
+        assert_eq!(self.read_response().1, Response::Exception);
     }
 
     /// Whether nothing comes for a while.
     pub fn is_silent(&mut self) -> bool {
-        self.socket.set_read_timeout(Some(QUIET)).unwrap();
+        self.socket.set_read_timeout(Some(QUIET_PERIOD)).unwrap();
         let silent = self.socket.peek(&mut [0]).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock);
-        self.socket.set_read_timeout(Some(SOON)).unwrap();
+        self.socket.set_read_timeout(Some(TIMEOUT)).unwrap();
         silent
     }
 
-    /// The next answer and its number.
-    pub fn read(&mut self) -> (i32, Got) {
+    /// Waits for the next response and returns it with its sequence id, which is 0 if the connection ended.
+    pub fn read_response(&mut self) -> (i32, Response) {
         let mut bytes = [0; 8 << 10];
         let frame = loop {
             if let Some(frame) = self.frames.next_frame().unwrap() {
                 break frame;
             }
             match self.socket.read(&mut bytes) {
-                Ok(0) => return (0, Got::Closed),
+                Ok(0) => return (0, Response::Closed),
                 Ok(n) => self.frames.feed(&bytes[..n]),
-                Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return (0, Got::Closed),
-                Err(e) => panic!("no answer: {e}"),
+                Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => return (0, Response::Closed),
+                Err(e) => panic!("no response: {e}"),
             }
         };
         let mut cursor = Cursor::new(&frame);
-        let head = cursor.message_header().unwrap();
-        if head.message_type == MessageType::Exception {
-            return (head.seqid, Got::Exception);
+        let header = cursor.message_header().unwrap();
+        if header.message_type == MessageType::Exception {
+            return (header.seqid, Response::Exception);
         }
-        let got = match cursor.field_header().unwrap() {
+        let response = match cursor.field_header().unwrap() {
             Some((Cursor::STRUCT, 0)) => {
                 assert_eq!(cursor.field_header().unwrap(), Some((Cursor::STRING, 1)));
-                Got::Served(cursor.string().unwrap().to_owned())
+                Response::Served(cursor.string().unwrap().to_owned())
             }
-            Some((Cursor::STRUCT, 1)) => Got::Refused,
-            Some((Cursor::STRUCT, 2)) => Got::Failed,
-            other => panic!("{other:?} is no answer"),
+            Some((Cursor::STRUCT, 1)) => Response::Refused,
+            Some((Cursor::STRUCT, 2)) => Response::Failed,
+            other => panic!("unexpected field in a response: {other:?}"),
         };
-        (head.seqid, got)
+        (header.seqid, response)
     }
 }
 
-/// The id of a request, different for each number.
-pub fn id(n: u64) -> String {
+/// A request id that is different for each number.
+pub fn request_id(n: u64) -> String {
     format!("{:016x}", n.wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
-/// The result of a request with one page.
-pub fn served(id: &str) -> Got {
-    Got::Served(page(id, 0))
+/// The response to a request that [`ScriptedEngine::serve`] served.
+pub fn served_page(id: &str) -> Response {
+    Response::Served(page(id, 0))
 }
 
-/// Waits until something holds.
-pub fn wait_for(what: &str, done: impl Fn() -> bool) {
+/// Waits until a condition holds.
+pub fn wait_until(description: &str, condition: impl Fn() -> bool) {
     let start = Instant::now();
-    while !done() {
-        assert!(start.elapsed() < SOON, "{what}: not within {SOON:?}");
+    while !condition() {
+        assert!(start.elapsed() < TIMEOUT, "{description}: not within {TIMEOUT:?}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/crates/platform/tests/descriptors.rs
+++ b/crates/platform/tests/descriptors.rs
@@ -43,7 +43,7 @@
                 }
             }
         });
-        full.recv_timeout(SOON).unwrap();
+        full.recv_timeout(TIMEOUT).unwrap();
         Hog { stop, thread: Some(thread) }
     }
 }
@@ -63,25 +63,25 @@
     let gateway = Gateway::start(old.address, &[engine.address.into()], &[]);
     let mut client = Client::connect(&gateway);
     // A connection that rests, so that requests need no descriptor.
-    client.send(&id(0), "look", 2_500);
-    assert_eq!(client.read().1, served(&id(0)));
+    client.send(&request_id(0), "look", 2_500);
+    assert_eq!(client.read_response().1, served_page(&request_id(0)));
     let hog = Hog::start();
     // Each of these fails, and each failure asks for a new socket.
-    (0..6).for_each(|_| drop(old.question()));
-    client.send(&id(1), "look", 2_500);
-    assert_eq!(client.read().1, served(&id(1)));
-    gateway.resolver_moved(new.address);
+    (0..6).for_each(|_| drop(old.next_query()));
+    client.send(&request_id(1), "look", 2_500);
+    assert_eq!(client.read_response().1, served_page(&request_id(1)));
+    gateway.move_resolver(new.address);
     // An answer that comes too late is not taken; the next one is.
     let started = Instant::now();
     for n in 2.. {
-        let question = new.question();
-        new.send(&question, &new.list(&question, 2, &[(engine.address.into(), true)]));
-        new.question();
-        client.send(&id(n), "look", 2_500);
-        if client.read().1 == Got::Refused {
+        let question = new.next_query();
+        new.send(&question, &new.encode_list(&question, 2, &[(engine.address.into(), true)]));
+        new.next_query();
+        client.send(&request_id(n), "look", 2_500);
+        if client.read_response().1 == Response::Refused {
             break;
         }
-        assert!(started.elapsed() < SOON, "the engine is never seen to drain");
+        assert!(started.elapsed() < TIMEOUT, "the engine is never seen to drain");
     }
     drop(hog);
 }
@@ -90,24 +90,23 @@
 fn a_dial_without_a_free_descriptor_waits_for_one_and_costs_its_engine_nothing() {
     let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
     let (engine, resolver) = (ScriptedEngine::start(), ScriptedResolver::start());
-    let patient = (bed::CONNECT_TIMEOUT, "\"ConnectTimeoutUs\": 20000000");
-    let gateway = Gateway::start(resolver.address, &[engine.address], &[patient]);
+    let gateway = Gateway::start(resolver.address, &[engine.address], &[bed::LONG_CONNECT_TIMEOUT]);
     let mut client = Client::connect(&gateway);
-    client.settle();
+    client.wait_until_processed();
     let hog = Hog::start();
-    client.send(&id(2), "look", 2_500);
+    client.send(&request_id(2), "look", 2_500);
     assert!(client.is_silent(), "the engine was taken for one that is gone");
     drop(hog);
-    let (connection, _) = engine.command("fetch");
-    engine.serve(connection, &id(2));
-    assert_eq!(client.read().1, served(&id(2)));
+    let (connection, _) = engine.wait_for_command("fetch");
+    engine.serve(connection, &request_id(2));
+    assert_eq!(client.read_response().1, served_page(&request_id(2)));
     // A cold engine would be sent a few of these at most.
     let wanted = 20;
     for n in 0..wanted {
-        client.send(&id(100 + n), "look", 2_500);
+        client.send(&request_id(100 + n), "look", 2_500);
     }
     for _ in 0..wanted {
-        let (connection, words) = engine.command("fetch");
+        let (connection, words) = engine.wait_for_command("fetch");
         engine.serve(connection, &words[1]);
     }
 }
--- a/crates/platform/tests/leaving.rs
+++ b/crates/platform/tests/leaving.rs
@@ -28,7 +28,7 @@
         .tell(1, vec![Listed { id: "e-0".into(), address: engine.address, draining: false, started_ms: 0 }]);
     let text = bed::config(&resolver.address.to_string(), &[("e-0", engine.address.to_string())]);
     // The engine's connections come up as late as a test likes.
-    let text = text.replace(bed::CONNECT_TIMEOUT, "\"ConnectTimeoutUs\": 20000000");
+    let text = text.replace(bed::CONNECT_TIMEOUT_SETTING, "\"ConnectTimeoutUs\": 20000000");
     let text = text.replace("\"MayCancel\": true", &format!("\"MayCancel\": {may_cancel}"));
     let (tell, told) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
--- a/crates/platform/tests/sockets.rs
+++ b/crates/platform/tests/sockets.rs
@@ -30,7 +30,7 @@
 
 /// Starts a gateway and its surroundings; they end with the process.
 fn bed(engines: usize) -> Bed {
-    bed_of(engines, bed::CONNECT_TIMEOUT)
+    bed_of(engines, bed::CONNECT_TIMEOUT_SETTING)
 }
 
 fn bed_of(engines: usize, connect_timeout: &str) -> Bed {
@@ -40,7 +40,7 @@
     let listed = names(&engines);
     let listed: Vec<_> = listed.iter().map(|l| (l.id.as_str(), l.address.to_string())).collect();
     let text = bed::config(&resolver.address.to_string(), &listed);
-    let text = text.replace(bed::CONNECT_TIMEOUT, connect_timeout);
+    let text = text.replace(bed::CONNECT_TIMEOUT_SETTING, connect_timeout);
     let (tell, told) = std::sync::mpsc::channel();
     let (moves, moved) = async_channel::unbounded();
     std::thread::spawn(move || {
--- a/crates/platform/tests/standstill.rs
+++ b/crates/platform/tests/standstill.rs
@@ -8,36 +8,35 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use bed::scripted::*;
-use bed::CONNECT_TIMEOUT;
+use bed::LONG_CONNECT_TIMEOUT;
 use violetward_platform::standstill::{PauseDetector, HEARTBEAT_INTERVAL};
 use violetward_standin::platform::Listed;
 
 /// How late a final answer may be.
 const TOLERANCE: Duration = Duration::from_millis(500);
 
-/// Seen by reading: a client's wait was counted from when its request was read, also by a gateway that had stood still, or
+/// ConnectionEvent by reading: a client's wait was counted from when its request was read, also by a gateway that had stood still, or
 /// had been stopped, while the request lay there.
 #[test]
 fn a_request_that_came_while_the_gateway_stood_still_is_answered_in_its_clients_time() {
-    let engine = ScriptedEngine::held();
+    let engine = ScriptedEngine::start_held();
     let resolver = ScriptedResolver::start();
-    let patient = (CONNECT_TIMEOUT, "\"ConnectTimeoutUs\": 20000000");
-    let gateway = Gateway::start(resolver.address, &[engine.address], &[patient]);
+    let gateway = Gateway::start(resolver.address, &[engine.address], &[LONG_CONNECT_TIMEOUT]);
     let mut client = Client::connect(&gateway);
-    client.settle();
-    let (mut socket, request) = (client.socket(), client.request(&id(1), "look", 2_500));
-    let written = gateway.on_its_thread(move |_| {
+    client.wait_until_processed();
+    let (mut socket, request) = (client.socket(), client.encode_request(&request_id(1), "look", 2_500));
+    let written = gateway.run_on_thread(move |_| {
         socket.write_all(&request).unwrap();
         let written = Instant::now();
         std::thread::sleep(Duration::from_millis(1_500));
         written
     });
-    assert_eq!(client.read().1, Got::Refused);
+    assert_eq!(client.read_response().1, Response::Refused);
     let took = written.elapsed();
     assert!(took < Duration::from_millis(2_500) + TOLERANCE, "answered after {took:?}");
 }
 
-/// Seen by reading: a frame that took over two seconds to come in ended its connection, and with it the answers that were
+/// ConnectionEvent by reading: a frame that took over two seconds to come in ended its connection, and with it the answers that were
 /// still owed there.
 #[test]
 fn what_is_open_is_answered_though_its_client_stops_within_the_next_request() {
@@ -45,16 +44,16 @@
     let resolver = ScriptedResolver::start();
     let gateway = Gateway::start(resolver.address, &[engine.address], &[]);
     let mut client = Client::connect(&gateway);
-    client.send(&id(1), "report", 6_000);
-    let (connection, _) = engine.command("fetch");
-    let next = client.request(&id(2), "report", 6_000);
+    client.send(&request_id(1), "report", 6_000);
+    let (connection, _) = engine.wait_for_command("fetch");
+    let next = client.encode_request(&request_id(2), "report", 6_000);
     client.socket().write_all(&next[..20]).unwrap();
     // Longer than a frame may take, and than a look at all connections may be late.
     std::thread::sleep(Duration::from_millis(2_800));
-    engine.serve(connection, &id(1));
+    engine.serve(connection, &request_id(1));
     // Served or, where its attempt was given up meanwhile, refused; a connection that ends has the number 0.
-    assert_eq!(client.read().0, 1);
-    client.end().expect("the end of the stream, not a reset");
+    assert_eq!(client.read_response().0, 1);
+    client.read_to_end().expect("the end of the stream, not a reset");
 }
 
 /// How many requests of a burst go at once to an engine that a list names as new, as started at that time.
@@ -65,15 +64,15 @@
     resolver.publish(2, &[(old.address, false)]);
     let SocketAddr::V4(address) = new.address else { panic!("not IPv4") };
     let listed = Listed { id: "e-1".into(), address, draining: false, started_ms };
-    resolver.publish_as(|question| resolver.answer(question, 3, vec![listed.clone()]));
+    resolver.publish_with(|question| resolver.encode_engines(question, 3, vec![listed.clone()]));
     let mut clients: Vec<Client> = (0..10).map(|_| Client::connect(&gateway)).collect();
     for (n, client) in (0..).zip(&mut clients) {
-        client.send_burst((1..=30).map(|k| id(100 * n + k)), "look", 2_500);
+        client.send_burst((1..=30).map(|k| request_id(100 * n + k)), "look", 2_500);
     }
-    new.fetches().len()
+    new.collect_fetches().len()
 }
 
-/// Seen by reading: how long an engine has been up was told by the gateway's wall clock alone. One that was started, or
+/// ConnectionEvent by reading: how long an engine has been up was told by the gateway's wall clock alone. One that was started, or
 /// works, under a clock that is an hour fast took an engine that had just started for a warm one.
 #[test]
 fn an_engine_that_a_new_list_names_first_is_cold_whatever_the_wall_clock_says() {
