--- a/crates/custody/examples/fleet.rs
+++ b/crates/custody/examples/fleet.rs
@@ -5,7 +5,8 @@
 
 use violetward_custody::sim::{Case, Fleet};
 use violetward_custody::{
-    Effect, Incarnation, Member, MemberState, Out, Record, Repeat, Settings, StatementKey, TakeoverNode,
+    Effect, InFlightAttempt, Incarnation, Member, MemberState, Record, RepeatSafety, Settings, StatementKey,
+    TakeoverNode,
 };
 
 const SECOND: u64 = 1_000_000;
@@ -77,7 +78,7 @@
 const OWNER: usize = 9;
 
 fn incarnation(gateway: usize) -> Incarnation {
-    Incarnation { name: format!("g{gateway}"), life: gateway as u64 + 1 }
+    Incarnation { name: format!("g{gateway}"), number: gateway as u64 + 1 }
 }
 
 /// Gateways whose messages arrive at once.
@@ -150,21 +151,28 @@
     }
 
     /// A statement from its acceptance to its end.
-    fn run_statement(&mut self, number: u64, repeat: Repeat) {
+    fn run_statement(&mut self, number: u64, repeat: RepeatSafety) {
         self.now += 1_000;
-        let key = StatementKey { taken_by: incarnation(OWNER), number };
+        let key = StatementKey { accepted_by: incarnation(OWNER), number };
         let record = Record {
             key: key.clone(),
             version: 0,
             body: vec![0; 600],
             repeat,
-            left: 60 * SECOND,
+            remaining_wait: 60 * SECOND,
             attempts: 0,
-            out: None,
-            passed: 0,
+            in_flight: None,
+            pages_delivered: 0,
             ending: None,
         };
-        let attempt = Out { number: 0, engine: "e".into(), next: None, page: 0, sent: 0, within: SECOND };
+        let attempt = InFlightAttempt {
+            number: 0,
+            engine: "e".into(),
+            next_uri: None,
+            next_page: 0,
+            elapsed: 0,
+            timeout: SECOND,
+        };
         self.nodes[OWNER].add_statement(self.now, record);
         self.nodes[OWNER].request_attempt(self.now, &key, 1, attempt);
         self.deliver_from(OWNER);
@@ -174,7 +182,7 @@
 }
 
 /// What a statement costs its owner and its replicas, in microseconds.
-fn microseconds(repeat: Repeat, count: u64) {
+fn microseconds(repeat: RepeatSafety, count: u64) {
     let mut fleet = DirectFleet::new();
     let started = Instant::now();
     (1..=count).for_each(|number| fleet.run_statement(number, repeat));
@@ -187,6 +195,6 @@
         fleet(gateways, 0, statements);
         fleet(gateways, 100, statements);
     }
-    microseconds(Repeat::Harmless, 20_000);
-    microseconds(Repeat::Unsafe, 20_000);
+    microseconds(RepeatSafety::Safe, 20_000);
+    microseconds(RepeatSafety::Unsafe, 20_000);
 }
--- a/crates/custody/src/lib.rs
+++ b/crates/custody/src/lib.rs
@@ -1,17 +1,17 @@
-//! Takeover of statements between gateways, free of I/O and clock: who owns a statement, who keeps a replica
-//! of its record, and who may take it over when its owner is gone: one gateway, once. See `docs/custody.md`,
-//! and `docs/glossary.md` for the terms.
+//! Takeover of statements between gateways, free of I/O and clock: which gateway owns a statement, which
+//! gateways keep a replica of its record, and which single gateway takes it over after its owner has failed.
+//! See `docs/custody.md`, and `docs/glossary.md` for the terms.
 //!
-//! **The property.** At no true time do two gateways start attempts of one statement, and no two different
-//! endings of it are reported, as long as every clock runs within the allowed rate of drift.
+//! **Guarantee.** As long as every clock runs within the allowed rate of drift, no two gateways start attempts
+//! of one statement at the same true time, and no two different endings of it are reported.
 //!
-//! **How.** An *incarnation* of a gateway (one process of its name) acts under a *lease* that a quorum of
-//! voters has granted to it, counted from when it asked. An incarnation that is gone is *fenced*: a quorum of
-//! voters stores a mark and never grants to it again; it is fenced once what they had granted has run out. A
-//! statement has a *replica list*: its owner, then its replicas. The list only grows at its end, by its
-//! owner, and a longer list holds once every member of the shorter one that is not fenced has taken it. A
-//! member of the list acts for the statement if its own lease is valid and everybody before it in the list is
-//! fenced or has resigned.
+//! **Protocol.** An *incarnation* of a gateway (one process of its name) acts under a *lease* that a quorum of
+//! voters grants; the holder counts it from the time of its request. A failed incarnation is *fenced*: a
+//! quorum of voters stores a mark and never grants to it again, and the fence takes effect once the leases
+//! that these voters granted have expired. A statement has a *replica list*: its owner, then its replicas.
+//! Only the owner changes the list, and only by appending to it; an extended list is in force once every
+//! member of the shorter one that is not fenced has acknowledged it. A member of the list acts for the
+//! statement if its own lease is valid and every member before it is fenced or has resigned.
 
 mod lease;
 mod node;
@@ -20,11 +20,11 @@
 mod wire;
 
 pub use node::{
-    Effect, InjectedFault, Member, MemberState, Permission, Settings, TakeoverNode, Usage, Whereabouts,
+    Effect, InjectedFault, Member, MemberState, Permission, Settings, StatementLocation, TakeoverNode, Usage,
 };
 pub use wire::stored_marks::StoredMarksError;
 
-/// A time in microseconds of a clock that never goes back.
+/// Microseconds on a monotonic clock.
 pub type Micros = u64;
 
 /// One process of a gateway.
@@ -32,81 +32,77 @@
 pub struct Incarnation {
     /// The gateway's name, the same after a restart.
     pub name: String,
-    /// The number of this process, drawn at its start.
-    pub life: u64,
+    /// The number of this process, drawn at random when it starts.
+    pub number: u64,
 }
 
-/// The former name of [`Incarnation`], as some callers still write it.
-pub type Life = Incarnation;
-
-/// A statement, at whichever gateway: the incarnation that accepted it, and its number there, from 1.
+/// Identifies a statement across gateways: the incarnation that accepted it, and its number there, from 1.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StatementKey {
-    /// Who accepted it.
-    pub taken_by: Incarnation,
-    /// Its number there.
+    /// The incarnation that accepted the statement.
+    pub accepted_by: Incarnation,
+    /// The statement's number at that incarnation.
     pub number: u64,
 }
 
-/// What may happen if a statement runs twice, as far as takeover depends on it.
+/// Whether a statement may run twice, as far as takeover depends on it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Repeat {
-    /// Harmless: the record follows what is done.
-    Harmless,
-    /// Unsafe, or safe within bounds only: the intent is at the replicas before the first byte goes to an
-    /// engine.
+pub enum RepeatSafety {
+    /// A repeat is harmless: attempts start without waiting for the replicas.
+    Safe,
+    /// A repeat is unsafe, or safe within limits only: the replicas hold the intent before the first byte goes
+    /// to an engine.
     Unsafe,
 }
 
 /// An attempt that is or was in flight.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Out {
-    /// Its number, from 0.
+pub struct InFlightAttempt {
+    /// The attempt's number, from 0.
     pub number: u32,
     /// The engine's name.
     pub engine: String,
-    /// The engine's own address of the next page, where one is known: the engine has read the statement then.
-    pub next: Option<String>,
-    /// The next page that its client has not got yet, by number, from 0.
-    pub page: u64,
-    /// It has been in flight for `sent` microseconds, and is given up after `within` in all, by the owner's
-    /// clock when the record was made.
-    pub sent: Micros,
-    /// See `sent`.
-    pub within: Micros,
+    /// The engine's own URI of the next page, if known; the engine has then read the statement.
+    pub next_uri: Option<String>,
+    /// The number, from 0, of the first page that the client has not received yet.
+    pub next_page: u64,
+    /// Time since the attempt was sent, by the owner's clock when the record was made.
+    pub elapsed: Micros,
+    /// Time from sending until the attempt is given up.
+    pub timeout: Micros,
 }
 
-/// How a statement ended, where a gateway decided that by itself.
+/// How a statement ended, if a gateway rather than an engine decided its ending.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Ending {
     /// Refused: a retry is harmless.
     Refused(String),
-    /// Failed: it is not said whether it ran.
+    /// Failed: the statement may or may not have run.
     Failed(String),
-    /// Its client cancelled it.
+    /// Cancelled by its client.
     Cancelled,
 }
 
-/// What a replica knows of a statement: all that it takes to go on with it.
+/// What a replica needs to continue a statement.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// Which statement.
+    /// The statement's key.
     pub key: StatementKey,
-    /// Counts the records of this statement: a higher one holds.
+    /// Version of the record; a higher version replaces a lower one.
     pub version: u64,
-    /// What a gateway needs to go on with the statement: text, context, class, tenant, keys, public name.
-    /// Opaque here; sent once, and empty in later records.
+    /// What a gateway needs to continue the statement: text, context, class, tenant, keys, public name. Opaque
+    /// to this crate; sent once, and empty in later records.
     pub body: Vec<u8>,
-    /// What a repeat may do.
-    pub repeat: Repeat,
-    /// For how long its client still waits, when the record was made.
-    pub left: Micros,
-    /// Attempts spent, the one in flight included.
+    /// Whether the statement may run twice.
+    pub repeat: RepeatSafety,
+    /// How long the client still waits, counted from when the record was made.
+    pub remaining_wait: Micros,
+    /// Attempts made, including the one in flight.
     pub attempts: u32,
-    /// The attempt that is in flight, or about to be: from now on it may have run.
-    pub out: Option<Out>,
-    /// Pages that the client has got.
-    pub passed: u64,
-    /// The ending that its owner has decided.
+    /// The attempt that is in flight or about to start; it may have run.
+    pub in_flight: Option<InFlightAttempt>,
+    /// Pages that the client has received.
+    pub pages_delivered: u64,
+    /// The ending that the owner has decided.
     pub ending: Option<Ending>,
 }
--- a/crates/custody/src/node.rs
+++ b/crates/custody/src/node.rs
@@ -107,19 +107,19 @@
     Denied,
 }
 
-/// Where a statement is, as far as is known here.
+/// Which gateway has a statement, as far as this one knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Whereabouts {
-    /// Here.
-    Here,
-    /// At that process.
-    At(Incarnation),
+pub enum StatementLocation {
+    /// This gateway owns it.
+    Local,
+    /// That process owns it or may take it over.
+    Remote(Incarnation),
     /// This gateway is about to take it over.
-    Taking,
-    /// Nothing is known of it.
+    TakingOver,
+    /// Nothing is known of the statement.
     Unknown,
-    /// It has ended; with a gateway's own ending, where that is known.
-    Over(Option<Ending>),
+    /// The statement has ended; with the ending if a gateway decided it and it is known here.
+    Ended(Option<Ending>),
 }
 
 /// What the caller has to do, in order.
--- a/crates/custody/src/node/fencing.rs
+++ b/crates/custody/src/node/fencing.rs
@@ -119,8 +119,8 @@
         for who in finished {
             self.fencing.remove(&who);
             let statements = self.statements_by_participant.get(&who).map_or(0, |keys| keys.len());
-            let Incarnation { name, life } = &who.incarnation;
-            self.log(format!("{name} ({life:016x}) is fenced: {statements} statements"));
+            let Incarnation { name, number } = &who.incarnation;
+            self.log(format!("{name} ({number:016x}) is fenced: {statements} statements"));
             self.record_fenced(&who);
         }
     }
--- a/crates/custody/src/node/messages.rs
+++ b/crates/custody/src/node/messages.rs
@@ -12,7 +12,7 @@
             Ok(decoded) => decoded,
             Err(why) => return self.handle_undecodable(now, from, why),
         };
-        let incarnation = Incarnation { name: from.to_owned(), life: process.life };
+        let incarnation = Incarnation { name: from.to_owned(), number: process.incarnation_number };
         if !self.learn_term(&incarnation, process.term) {
             return;
         }
--- a/crates/custody/src/node/ownership.rs
+++ b/crates/custody/src/node/ownership.rs
@@ -5,7 +5,7 @@
 use super::tombstones::Tombstone;
 use super::{Effect, InjectedFault, Permission, TakeoverNode, COALESCING_DELAY};
 use crate::wire::ReplicaEntry;
-use crate::{Ending, Incarnation, Micros, Out, Record, Repeat, StatementKey};
+use crate::{Ending, InFlightAttempt, Incarnation, Micros, Record, RepeatSafety, StatementKey};
 
 impl TakeoverNode {
     /// A statement that this gateway has accepted. Returns the replicas that were selected.
@@ -15,7 +15,7 @@
             return self.replica_list(&key).split_off(1);
         }
         self.last_number = self.last_number.max(key.number);
-        let deadline = now.saturating_add(record.left);
+        let deadline = now.saturating_add(record.remaining_wait);
         let owner = ReplicaEntry { participant: self.local.clone(), excluded: false, added_after: 0 };
         let ownership = Ownership { progress: vec![ReplicaProgress::default()], ..Ownership::default() };
         let statement = Statement {
@@ -66,7 +66,7 @@
         now: Micros,
         key: &StatementKey,
         attempts: u32,
-        attempt: Out,
+        attempt: InFlightAttempt,
     ) -> Permission {
         let awaits_intent = self.fault != InjectedFault::IntentNotAwaited;
         let statement = self.actionable_statement(now, key);
@@ -75,11 +75,11 @@
         };
         statement.record.version += 1;
         statement.record.attempts = attempts;
-        statement.record.out = Some(attempt);
-        statement.record.left = statement.deadline.saturating_sub(now);
+        statement.record.in_flight = Some(attempt);
+        statement.record.remaining_wait = statement.deadline.saturating_sub(now);
         statement.recorded_at = now;
         let version = statement.record.version;
-        if statement.record.repeat == Repeat::Harmless || !awaits_intent {
+        if statement.record.repeat == RepeatSafety::Safe || !awaits_intent {
             self.queue_record(now, key, COALESCING_DELAY);
             return Permission::Granted;
         }
@@ -111,12 +111,18 @@
 
     /// Progress: the attempt that is in flight, if any, and the pages passed on. It is sent when there is
     /// time.
-    pub fn record_progress(&mut self, now: Micros, key: &StatementKey, attempt: Option<Out>, passed: u64) {
+    pub fn record_progress(
+        &mut self,
+        now: Micros,
+        key: &StatementKey,
+        attempt: Option<InFlightAttempt>,
+        pages_delivered: u64,
+    ) {
         let is_kept =
             |statement: &&mut Statement| statement.ownership().is_some_and(|ownership| !ownership.resigning);
         let Some(statement) = self.statements.get_mut(key).filter(is_kept) else { return };
-        statement.record.out = attempt;
-        statement.record.passed = passed;
+        statement.record.in_flight = attempt;
+        statement.record.pages_delivered = pages_delivered;
         statement.record.version += 1;
         statement.recorded_at = now;
         self.queue_record(now, key, COALESCING_DELAY);
@@ -134,7 +140,7 @@
             }
         }
         let version = statement.record.version;
-        let is_harmless = statement.record.repeat == Repeat::Harmless;
+        let is_harmless = statement.record.repeat == RepeatSafety::Safe;
         let was_attempted = statement.record.attempts > 0;
         let Some(ownership) = statement.ownership_mut() else { return Permission::Denied };
         ownership.pending_attempt = None;
--- a/crates/custody/src/node/receiving.rs
+++ b/crates/custody/src/node/receiving.rs
@@ -31,7 +31,7 @@
 
     /// Replaces the record by a newer one, and keeps the body if that one has none.
     fn replace_record(&mut self, now: Micros, record: Record, has_body: bool) {
-        self.deadline = now.saturating_add(record.left);
+        self.deadline = now.saturating_add(record.remaining_wait);
         let body = if has_body { record.body } else { std::mem::take(&mut self.record.body) };
         self.record = Record { body, ..record };
         self.recorded_at = now;
@@ -141,7 +141,7 @@
         if !has_body {
             return Err(RejectReason::MissingBody);
         }
-        let deadline = now.saturating_add(record.left);
+        let deadline = now.saturating_add(record.remaining_wait);
         let role = Role::Replica;
         let statement = Statement { record, replicas, position, role, deadline, recorded_at: now };
         let bytes = statement.size_in_bytes();
--- a/crates/custody/src/node/selection.rs
+++ b/crates/custody/src/node/selection.rs
@@ -36,7 +36,7 @@
 
 pub(super) fn hash_incarnation(incarnation: &Incarnation) -> u64 {
     let add_byte = |hash: u64, byte: u8| mix_bits(hash ^ u64::from(byte));
-    incarnation.name.bytes().fold(mix_bits(incarnation.life), add_byte)
+    incarnation.name.bytes().fold(mix_bits(incarnation.number), add_byte)
 }
 
 impl TakeoverNode {
@@ -116,7 +116,7 @@
                 && !self.is_fenced(incarnation, 0)
                 && !self.is_listed(statement, incarnation)
         };
-        let salt = mix_bits(hash_incarnation(&key.taken_by) ^ key.number);
+        let salt = mix_bits(hash_incarnation(&key.accepted_by) ^ key.number);
         self.candidates
             .iter()
             .filter(|candidate| is_usable(&candidate.incarnation))
--- a/crates/custody/src/node/statement.rs
+++ b/crates/custody/src/node/statement.rs
@@ -145,9 +145,9 @@
     /// The record with its times as they are now.
     pub(super) fn record_at(&self, now: Micros) -> Record {
         let mut record = self.record.clone();
-        record.left = self.deadline.saturating_sub(now);
-        if let Some(attempt) = &mut record.out {
-            attempt.sent += now.saturating_sub(self.recorded_at);
+        record.remaining_wait = self.deadline.saturating_sub(now);
+        if let Some(attempt) = &mut record.in_flight {
+            attempt.elapsed += now.saturating_sub(self.recorded_at);
         }
         record
     }
@@ -163,9 +163,9 @@
 
     /// The memory that the statement is counted with.
     pub(super) fn size_in_bytes(&self) -> usize {
-        let attempt = self.record.out.as_ref();
+        let attempt = self.record.in_flight.as_ref();
         let next_bytes = |next: &Option<String>| next.as_ref().map_or(0, String::len);
-        let attempt_bytes = attempt.map_or(0, |attempt| attempt.engine.len() + next_bytes(&attempt.next));
+        let attempt_bytes = attempt.map_or(0, |attempt| attempt.engine.len() + next_bytes(&attempt.next_uri));
         let name_bytes = |entry: &ReplicaEntry| entry.participant.incarnation.name.len();
         let replica_bytes: usize =
             self.replicas.iter().map(|entry| name_bytes(entry) + REPLICA_OVERHEAD_BYTES).sum();
--- a/crates/custody/src/node/status.rs
+++ b/crates/custody/src/node/status.rs
@@ -2,7 +2,7 @@
 
 use super::statement::Statement;
 use super::tombstones::Tombstone;
-use super::{TakeoverNode, Whereabouts};
+use super::{StatementLocation, TakeoverNode};
 use crate::wire::{Participant, ReplicaEntry};
 use crate::{Incarnation, StatementKey};
 
@@ -36,24 +36,26 @@
     }
 
     /// Where a statement is.
-    pub fn locate(&self, key: &StatementKey) -> Whereabouts {
+    pub fn locate(&self, key: &StatementKey) -> StatementLocation {
         if let Some(statement) = self.statements.get(key) {
             return self.locate_kept(statement);
         }
         match self.tombstones.get(key) {
-            Some(Tombstone::Ended(ending)) => Whereabouts::Over(ending.clone()),
+            Some(Tombstone::Ended(ending)) => StatementLocation::Ended(ending.clone()),
             Some(Tombstone::Moved { replicas, .. }) => {
                 let running = replicas.iter().find(|incarnation| self.may_run(incarnation));
-                running.map_or(Whereabouts::Unknown, |incarnation| Whereabouts::At(incarnation.clone()))
+                running.map_or(StatementLocation::Unknown, |incarnation| {
+                    StatementLocation::Remote(incarnation.clone())
+                })
             }
             None => self.locate_by_number(key),
         }
     }
 
-    fn locate_kept(&self, statement: &Statement) -> Whereabouts {
+    fn locate_kept(&self, statement: &Statement) -> StatementLocation {
         match statement.ownership() {
-            Some(ownership) if ownership.pending_takeover.is_some() => return Whereabouts::Taking,
-            Some(ownership) if !ownership.resigning => return Whereabouts::Here,
+            Some(ownership) if ownership.pending_takeover.is_some() => return StatementLocation::TakingOver,
+            Some(ownership) if !ownership.resigning => return StatementLocation::Local,
             _ => {}
         }
         let may_act = |entry: &&ReplicaEntry| {
@@ -61,26 +63,26 @@
             !entry.excluded && !self.is_participant_fenced(&entry.participant) && !gone
         };
         match statement.replicas.iter().find(may_act) {
-            Some(entry) if entry.participant == self.local => Whereabouts::Taking,
-            Some(entry) => Whereabouts::At(entry.participant.incarnation.clone()),
-            None => Whereabouts::Unknown,
+            Some(entry) if entry.participant == self.local => StatementLocation::TakingOver,
+            Some(entry) => StatementLocation::Remote(entry.participant.incarnation.clone()),
+            None => StatementLocation::Unknown,
         }
     }
 
     /// Of a statement that left no trace here only its key tells something.
-    fn locate_by_number(&self, key: &StatementKey) -> Whereabouts {
-        let accepted_by = &key.taken_by;
+    fn locate_by_number(&self, key: &StatementKey) -> StatementLocation {
+        let accepted_by = &key.accepted_by;
         if *accepted_by == self.local.incarnation {
             return if key.number <= self.last_number {
-                Whereabouts::Over(None)
+                StatementLocation::Ended(None)
             } else {
-                Whereabouts::Unknown
+                StatementLocation::Unknown
             };
         }
         if self.members.contains_key(accepted_by) && self.may_run(accepted_by) {
-            return Whereabouts::At(accepted_by.clone());
+            return StatementLocation::Remote(accepted_by.clone());
         }
-        Whereabouts::Unknown
+        StatementLocation::Unknown
     }
 
     fn may_run(&self, incarnation: &Incarnation) -> bool {
@@ -124,6 +126,6 @@
         let progress = progress.map_or(String::new(), |progress| {
             format!(" acked {:x} of {:x}", progress.acked_version, progress.sent_version)
         });
-        format!("{} {:x}/{term}{excluded}{gone}{progress}", incarnation.name, incarnation.life >> 48)
+        format!("{} {:x}/{term}{excluded}{gone}{progress}", incarnation.name, incarnation.number >> 48)
     }
 }
--- a/crates/custody/src/node/takeover.rs
+++ b/crates/custody/src/node/takeover.rs
@@ -239,7 +239,7 @@
         let Some(ownership) = statement.ownership_mut() else { return };
         // An attempt that still waited for its record was never written.
         if ownership.pending_attempt.take().is_some_and(|attempt| attempt.attempts == 1) {
-            statement.record.out = None;
+            statement.record.in_flight = None;
             statement.record.attempts = 0;
         }
         never_notified.iter().for_each(|who| self.remove_reference(key, who));
--- a/crates/custody/src/sim.rs
+++ b/crates/custody/src/sim.rs
@@ -242,6 +242,6 @@
     }
 
     fn incarnation(&self, gateway: usize) -> Incarnation {
-        Incarnation { name: gateway_name(gateway), life: self.processes[gateway].life }
+        Incarnation { name: gateway_name(gateway), number: self.processes[gateway].incarnation_number }
     }
 }
--- a/crates/custody/src/sim/clients.rs
+++ b/crates/custody/src/sim/clients.rs
@@ -4,7 +4,7 @@
 use super::process::Process;
 use super::statements::Stage;
 use super::{gateway_number, Fleet, MILLISECOND, SECOND};
-use crate::{Ending, Micros, Repeat, StatementKey, Whereabouts};
+use crate::{Ending, Micros, RepeatSafety, StatementKey, StatementLocation};
 
 /// Between two polls of a client.
 const POLL_INTERVAL: Micros = 250 * MILLISECOND;
@@ -22,7 +22,7 @@
 
 /// A statement as its client and its engines know it.
 pub(super) struct ClientStatement {
-    pub(super) repeat: Repeat,
+    pub(super) repeat: RepeatSafety,
     pub(super) deadline: Micros,
     attempts: Vec<WrittenAttempt>,
     /// The end that was reported; an inner `None` is the engine's result.
@@ -39,7 +39,7 @@
 
 impl ClientStatement {
     pub(super) fn new(
-        repeat: Repeat,
+        repeat: RepeatSafety,
         deadline: Micros,
         gateway: usize,
         token: Vec<usize>,
@@ -66,7 +66,7 @@
     ) -> Option<&'static str> {
         let is_second = !self.attempts.is_empty();
         self.attempts.push(WrittenAttempt { number, finishes_at, succeeds });
-        match (self.repeat == Repeat::Unsafe && is_second, self.client_has_ending) {
+        match (self.repeat == RepeatSafety::Unsafe && is_second, self.client_has_ending) {
             (true, true) => Some("a second time, after its end"),
             (true, false) => Some("a second time"),
             (false, _) => None,
@@ -139,13 +139,15 @@
         let process = &self.processes[asked];
         let may_act = process.node.as_ref().is_some_and(|node| node.may_act(clock));
         let (mut next, delay) = match process.node.as_ref().map(|node| node.locate(key)) {
-            Some(Whereabouts::At(incarnation)) => (gateway_number(&incarnation.name), REDIRECT_DELAY),
+            Some(StatementLocation::Remote(incarnation)) => {
+                (gateway_number(&incarnation.name), REDIRECT_DELAY)
+            }
             // It passes the poll on to whoever runs, as far as it reaches them.
-            Some(Whereabouts::Unknown | Whereabouts::Over(_)) => {
+            Some(StatementLocation::Unknown | StatementLocation::Ended(_)) => {
                 let reached_owner = self.reached_owner(asked, key);
                 (reached_owner.unwrap_or(other), POLL_INTERVAL)
             }
-            Some(Whereabouts::Here | Whereabouts::Taking) | None => (asked, POLL_INTERVAL),
+            Some(StatementLocation::Local | StatementLocation::TakingOver) | None => (asked, POLL_INTERVAL),
         };
         if self.one_in(10) {
             next = other;
@@ -164,7 +166,7 @@
             !is_cut && process.paused_until <= self.now
         };
         let owns = |process: &Process| {
-            process.node.as_ref().is_some_and(|node| node.locate(key) == Whereabouts::Here)
+            process.node.as_ref().is_some_and(|node| node.locate(key) == StatementLocation::Local)
         };
         let mut gateways = self.processes.iter().enumerate();
         gateways.find(|(gateway, process)| is_reached(*gateway, process) && owns(process)).map(|(n, _)| n)
@@ -178,7 +180,7 @@
         let reported_before = statement.reported.clone();
         // An engine's result is reported by the engine's own pages, and counts once the client has it.
         // Without an attempt nothing may have run: then only what the client gets counts.
-        let is_recorded = statement.repeat == Repeat::Unsafe || !statement.attempts.is_empty();
+        let is_recorded = statement.repeat == RepeatSafety::Unsafe || !statement.attempts.is_empty();
         if (end.is_some() && is_recorded) || !is_lost {
             statement.reported = Some(end.clone());
         }
--- a/crates/custody/src/sim/events.rs
+++ b/crates/custody/src/sim/events.rs
@@ -16,17 +16,17 @@
     },
     Wake,
     MarksStored {
-        life: u64,
+        incarnation_number: u64,
     },
     /// A gateway goes on with a statement, unless it has planned another step since.
     Proceed {
-        life: u64,
+        incarnation_number: u64,
         key: StatementKey,
         step: u32,
     },
     /// An engine has accepted an attempt, or has finished it.
     EngineAnswers {
-        life: u64,
+        incarnation_number: u64,
         key: StatementKey,
         attempt: u32,
         finished: bool,
@@ -85,7 +85,7 @@
     }
 
     fn handle_event(&mut self, at: Micros, gateway: usize, event: Event) {
-        let current_life = self.processes[gateway].life;
+        let current_incarnation = self.processes[gateway].incarnation_number;
         match event {
             Event::MessageArrives { from, bytes } => {
                 self.with_node(gateway, |node, clock| node.handle_message(clock, &from, &bytes));
@@ -96,15 +96,17 @@
             // Another one has been scheduled since.
             Event::Wake if self.processes[gateway].wake_at != at => return,
             Event::Wake => self.wake(gateway),
-            Event::MarksStored { life } => self.marks_stored(gateway, life),
-            Event::Proceed { life, key, step } => {
+            Event::MarksStored { incarnation_number } => self.marks_stored(gateway, incarnation_number),
+            Event::Proceed { incarnation_number, key, step } => {
                 let statement = self.processes[gateway].statements.get(&key);
-                if life == current_life && statement.is_some_and(|statement| statement.step == step) {
+                if incarnation_number == current_incarnation
+                    && statement.is_some_and(|statement| statement.step == step)
+                {
                     self.proceed(gateway, &key);
                 }
             }
-            Event::EngineAnswers { life, key, attempt, finished } => {
-                if life == current_life {
+            Event::EngineAnswers { incarnation_number, key, attempt, finished } => {
+                if incarnation_number == current_incarnation {
                     self.engine_answers(gateway, &key, attempt, finished);
                 }
             }
@@ -137,9 +139,9 @@
         });
     }
 
-    fn marks_stored(&mut self, gateway: usize, life: u64) {
+    fn marks_stored(&mut self, gateway: usize, incarnation_number: u64) {
         let process = &mut self.processes[gateway];
-        if process.life != life || process.node.is_none() {
+        if process.incarnation_number != incarnation_number || process.node.is_none() {
             return;
         }
         let Process { disk, unwritten_marks, .. } = process;
--- a/crates/custody/src/sim/network.rs
+++ b/crates/custody/src/sim/network.rs
@@ -26,8 +26,8 @@
             Effect::StoreMarks(bytes) => {
                 // A process that is killed before that has not stored them.
                 let at = self.random_time(MILLISECOND, 10 * MILLISECOND);
-                let life = self.processes[gateway].life;
-                self.schedule(at, gateway, Event::MarksStored { life });
+                let incarnation_number = self.processes[gateway].incarnation_number;
+                self.schedule(at, gateway, Event::MarksStored { incarnation_number });
                 self.processes[gateway].unwritten_marks = Some(bytes);
             }
             Effect::SendDatagram(to, bytes) => {
--- a/crates/custody/src/sim/process.rs
+++ b/crates/custody/src/sim/process.rs
@@ -15,14 +15,14 @@
 /// An incarnation of another gateway, as membership observes it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Observation {
-    life: u64,
+    incarnation_number: u64,
     state: MemberState,
 }
 
 /// A gateway: its process, if it runs, and what outlives that.
 pub(super) struct Process {
     pub(super) node: Option<TakeoverNode>,
-    pub(super) life: u64,
+    pub(super) incarnation_number: u64,
     pub(super) disk: Option<Vec<u8>>,
     pub(super) unwritten_marks: Option<Vec<u8>>,
     pub(super) clock_error_ppm: i64,
@@ -45,7 +45,7 @@
     pub(super) fn not_started(clock_error_ppm: i64, gateways: usize) -> Process {
         Process {
             node: None,
-            life: 0,
+            incarnation_number: 0,
             disk: None,
             unwritten_marks: None,
             clock_error_ppm,
@@ -76,7 +76,7 @@
     }
 
     pub(super) fn start_process(&mut self, gateway: usize) {
-        self.processes[gateway].life = self.random();
+        self.processes[gateway].incarnation_number = self.random();
         let settings = Settings {
             incarnation: self.incarnation(gateway),
             site: self.site_of(gateway),
@@ -156,7 +156,7 @@
     pub(super) fn observe_member(&mut self, gateway: usize, member: usize, believed_dead: bool) {
         let is_cut = self.cut_links[gateway][member] && self.cut_links[member][gateway];
         let other = &self.processes[member];
-        let life = other.life;
+        let incarnation_number = other.incarnation_number;
         let is_dead = other.node.is_none() || other.paused_until > self.now || is_cut || believed_dead;
         let state = match (other.has_left, is_dead) {
             (true, _) => MemberState::Left,
@@ -164,15 +164,16 @@
             (false, false) => MemberState::Alive,
         };
         let observed = &mut self.processes[gateway].observed[member];
-        let is_new = observed.last().is_none_or(|last| last.life != life);
+        let is_new = observed.last().is_none_or(|last| last.incarnation_number != incarnation_number);
         if is_new && state != MemberState::Dead {
             observed.iter_mut().for_each(|earlier| earlier.state = MemberState::Dead);
-            observed.push(Observation { life, state });
+            observed.push(Observation { incarnation_number, state });
             if observed.len() > MAX_LISTED_INCARNATIONS {
                 observed.remove(0);
             }
         } else if let Some(last) = observed.last_mut() {
-            last.state = if last.life == life { state } else { MemberState::Dead };
+            last.state =
+                if last.incarnation_number == incarnation_number { state } else { MemberState::Dead };
         }
     }
 
@@ -181,8 +182,8 @@
         let mut members = Vec::new();
         for (member, observed) in self.processes[gateway].observed.iter().enumerate() {
             let site = self.site_of(member);
-            members.extend(observed.iter().map(|&Observation { life, state }| Member {
-                incarnation: Incarnation { name: gateway_name(member), life },
+            members.extend(observed.iter().map(|&Observation { incarnation_number, state }| Member {
+                incarnation: Incarnation { name: gateway_name(member), number: incarnation_number },
                 site: site.clone(),
                 state,
             }));
--- a/crates/custody/src/sim/statements.rs
+++ b/crates/custody/src/sim/statements.rs
@@ -4,7 +4,7 @@
 use super::clients::ClientStatement;
 use super::events::Event;
 use super::{gateway_number, Fleet, MILLISECOND, SECOND};
-use crate::{Ending, Micros, Out, Permission, Record, Repeat, StatementKey};
+use crate::{Ending, InFlightAttempt, Micros, Permission, Record, RepeatSafety, StatementKey};
 
 /// Attempts of one statement, at most.
 const MAX_ATTEMPTS: u32 = 4;
@@ -36,23 +36,27 @@
     pub(super) stage: Stage,
     attempts: u32,
     deadline: Micros,
-    repeat: Repeat,
+    repeat: RepeatSafety,
     /// Counts the planned steps: an earlier one is void.
     pub(super) step: u32,
 }
 
-fn attempt(number: u32, next: Option<String>, page: u64) -> Out {
-    Out { number, engine: "e".into(), next, page, sent: 0, within: ATTEMPT_TIMEOUT }
+fn attempt(number: u32, next_uri: Option<String>, next_page: u64) -> InFlightAttempt {
+    InFlightAttempt { number, engine: "e".into(), next_uri, next_page, elapsed: 0, timeout: ATTEMPT_TIMEOUT }
 }
 
 impl Fleet {
     /// Plans the next step with a statement, in place of the one that was planned.
     fn schedule_step(&mut self, gateway: usize, key: &StatementKey, delay: Micros) {
-        let life = self.processes[gateway].life;
+        let incarnation_number = self.processes[gateway].incarnation_number;
         if let Some(statement) = self.processes[gateway].statements.get_mut(key) {
             statement.step += 1;
             let step = statement.step;
-            self.schedule(self.now + delay, gateway, Event::Proceed { life, key: key.clone(), step });
+            self.schedule(
+                self.now + delay,
+                gateway,
+                Event::Proceed { incarnation_number, key: key.clone(), step },
+            );
         }
     }
 
@@ -74,19 +78,19 @@
         }
         let deadline = self.random_time(3 * SECOND, 25 * SECOND);
         let is_unsafe = self.random() % 100 < self.case.unsafe_percent;
-        let repeat = if is_unsafe { Repeat::Unsafe } else { Repeat::Harmless };
+        let repeat = if is_unsafe { RepeatSafety::Unsafe } else { RepeatSafety::Safe };
         self.processes[gateway].last_number += 1;
         let number = self.processes[gateway].last_number;
-        let key = StatementKey { taken_by: self.incarnation(gateway), number };
+        let key = StatementKey { accepted_by: self.incarnation(gateway), number };
         let record = Record {
             key: key.clone(),
             version: 0,
             body: vec![7; self.case.body_bytes],
             repeat,
-            left: deadline - self.now,
+            remaining_wait: deadline - self.now,
             attempts: 0,
-            out: None,
-            passed: 0,
+            in_flight: None,
+            pages_delivered: 0,
             ending: None,
         };
         let mut token = vec![gateway];
@@ -111,7 +115,7 @@
         let key = record.key.clone();
         self.counts.takeovers += 1;
         self.count_takeover_delay(gateway, &key);
-        let stage = match (&record.ending, &record.out) {
+        let stage = match (&record.ending, &record.in_flight) {
             (Some(ending), _) => Stage::Ended(Some(ending.clone())),
             (None, Some(_)) => Stage::InFlight,
             (None, None) => Stage::Ready,
@@ -120,14 +124,14 @@
         let statement = LocalStatement {
             stage,
             attempts: record.attempts,
-            deadline: self.now + record.left,
+            deadline: self.now + record.remaining_wait,
             repeat: record.repeat,
             step: 0,
         };
         self.processes[gateway].statements.insert(key.clone(), statement);
         self.add_owner(&key, gateway);
         self.check_only_actor(&key, gateway);
-        match &record.out {
+        match &record.in_flight {
             Some(attempt) if is_in_flight => self.resume_attempt(gateway, record, attempt),
             _ => self.schedule_step(gateway, &key, 10 * MILLISECOND),
         }
@@ -143,12 +147,12 @@
     }
 
     /// What a takeover does with an attempt that may have run.
-    fn resume_attempt(&mut self, gateway: usize, record: &Record, attempt: &Out) {
+    fn resume_attempt(&mut self, gateway: usize, record: &Record, attempt: &InFlightAttempt) {
         let key = &record.key;
-        if attempt.next.is_some() {
+        if attempt.next_uri.is_some() {
             return self.poll_engine_again(gateway, record, attempt.number);
         }
-        if record.repeat == Repeat::Unsafe {
+        if record.repeat == RepeatSafety::Unsafe {
             return self.decide_ending(gateway, key, Ending::Failed(format!("lost, says g{gateway}")));
         }
         self.set_stage(gateway, key, Stage::Ready);
@@ -162,11 +166,11 @@
         let Some(finished_at) = statement.and_then(|statement| statement.attempt_finishes_at(attempt)) else {
             return self.violate(format!("{key:?}: an attempt that was never written has a next page"));
         };
-        let life = self.processes[gateway].life;
+        let incarnation_number = self.processes[gateway].incarnation_number;
         let at = finished_at.max(self.now) + 10 * MILLISECOND;
-        let answer = Event::EngineAnswers { life, key: key.clone(), attempt, finished: true };
+        let answer = Event::EngineAnswers { incarnation_number, key: key.clone(), attempt, finished: true };
         self.schedule(at, gateway, answer);
-        let deadline = self.now + record.left;
+        let deadline = self.now + record.remaining_wait;
         self.schedule_step(gateway, key, deadline.saturating_sub(self.now + CHECK_BEFORE));
     }
 
@@ -252,10 +256,10 @@
         if let Some(violation) = statement.add_attempt(attempt, finished_at, succeeds) {
             self.violate(format!("g{gateway} writes {key:?} {violation}"));
         }
-        let life = self.processes[gateway].life;
+        let incarnation_number = self.processes[gateway].incarnation_number;
         let accepted_at = self.random_time(5 * MILLISECOND, 20 * MILLISECOND);
         for (at, finished) in [(accepted_at, false), (finished_at, true)] {
-            let answer = Event::EngineAnswers { life, key: key.clone(), attempt, finished };
+            let answer = Event::EngineAnswers { incarnation_number, key: key.clone(), attempt, finished };
             self.schedule(at, gateway, answer);
         }
     }
@@ -275,7 +279,7 @@
                 self.statements.get(key).is_some_and(|statement| statement.has_result(number, self.now));
             if has_result {
                 self.set_stage(gateway, key, Stage::Ended(None));
-            } else if repeat == Repeat::Unsafe {
+            } else if repeat == RepeatSafety::Unsafe {
                 self.decide_ending(gateway, key, Ending::Failed(format!("broken, says g{gateway}")));
             } else {
                 self.set_stage(gateway, key, Stage::Ready);
--- a/crates/custody/src/voter.rs
+++ b/crates/custody/src/voter.rs
@@ -16,7 +16,7 @@
 pub(crate) const TERM_ENDS_ALONE_AFTER: Micros = 3_600_000_000;
 
 struct Grant {
-    life: u64,
+    incarnation_number: u64,
     term: u32,
     until: Micros,
 }
@@ -179,8 +179,12 @@
         if !self.has_stored || self.is_recovering() || now < self.silent_until {
             return LeaseAnswer::Silence;
         }
-        let Participant { incarnation: Incarnation { name, life }, term } = who;
-        let new = Grant { life: *life, term: *term, until: now + self.times.voter_span() };
+        let Participant { incarnation: Incarnation { name, number: incarnation_number }, term } = who;
+        let new = Grant {
+            incarnation_number: *incarnation_number,
+            term: *term,
+            until: now + self.times.voter_span(),
+        };
         let Some(grant) = self.grants.get_mut(name) else {
             if !self.has_room_for_grant(now) {
                 return LeaseAnswer::Silence;
@@ -189,13 +193,14 @@
             return LeaseAnswer::Granted;
         };
         // A later term proves the earlier one over; of another incarnation only time does.
-        let runs = grant.until > now && (grant.life != *life || grant.term > *term);
-        if runs || (grant.life == *life && grant.term > *term) {
+        let runs =
+            grant.until > now && (grant.incarnation_number != *incarnation_number || grant.term > *term);
+        if runs || (grant.incarnation_number == *incarnation_number && grant.term > *term) {
             return LeaseAnswer::Silence;
         }
         let before = std::mem::replace(grant, new);
-        if before.life != *life {
-            let incarnation = Incarnation { name: name.clone(), life: before.life };
+        if before.incarnation_number != *incarnation_number {
+            let incarnation = Incarnation { name: name.clone(), number: before.incarnation_number };
             self.add_fence(now, &Participant { incarnation, term: before.term });
         }
         LeaseAnswer::Granted
@@ -263,7 +268,8 @@
     fn fence_mark(&self, now: Micros, participant: Participant) -> FenceMark {
         let Participant { incarnation, term } = &participant;
         let grant = self.grants.get(&incarnation.name);
-        let grant = grant.filter(|grant| grant.life == incarnation.life && grant.term <= *term);
+        let grant =
+            grant.filter(|grant| grant.incarnation_number == incarnation.number && grant.term <= *term);
         let until = grant.map_or(0, |grant| grant.until).max(self.silent_until);
         FenceMark { participant, remaining: until.saturating_sub(now) }
     }
--- a/crates/custody/src/wire.rs
+++ b/crates/custody/src/wire.rs
@@ -39,7 +39,7 @@
 impl Participant {
     /// The same without the gateway's name, which the transport proves.
     pub fn process_term(&self) -> ProcessTerm {
-        ProcessTerm { life: self.incarnation.life, term: self.term }
+        ProcessTerm { incarnation_number: self.incarnation.number, term: self.term }
     }
 }
 
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ProcessTerm {
     /// The incarnation's number.
-    pub life: u64,
+    pub incarnation_number: u64,
     pub term: u32,
 }
 
--- a/crates/custody/src/wire/codec.rs
+++ b/crates/custody/src/wire/codec.rs
@@ -4,7 +4,7 @@
     DecodeError, Participant, ProcessTerm, RejectReason, ReplicaEntry, ReplicaRecord, MAX_NAME_BYTES,
     MAX_REPLICAS,
 };
-use crate::{Ending, Incarnation, Out, Record, Repeat, StatementKey};
+use crate::{Ending, InFlightAttempt, Incarnation, Record, RepeatSafety, StatementKey};
 
 /// Bytes of a text, at most: its length is a 16-bit number.
 const MAX_TEXT_BYTES: usize = u16::MAX as usize;
@@ -79,7 +79,7 @@
 
     pub fn incarnation(&mut self, incarnation: &Incarnation) {
         self.text(&incarnation.name);
-        self.u64(incarnation.life);
+        self.u64(incarnation.number);
     }
 
     pub fn participant(&mut self, participant: &Participant) {
@@ -88,12 +88,12 @@
     }
 
     pub fn process_term(&mut self, process: ProcessTerm) {
-        self.u64(process.life);
+        self.u64(process.incarnation_number);
         self.u32(process.term);
     }
 
     pub fn key(&mut self, key: &StatementKey) {
-        self.incarnation(&key.taken_by);
+        self.incarnation(&key.accepted_by);
         self.u64(key.number);
     }
 
@@ -101,32 +101,32 @@
         let record = &item.record;
         self.key(&record.key);
         self.u64(record.version);
-        let is_unsafe = if record.repeat == Repeat::Unsafe { FLAG_UNSAFE } else { 0 };
+        let is_unsafe = if record.repeat == RepeatSafety::Unsafe { FLAG_UNSAFE } else { 0 };
         let has_body = if item.has_body { FLAG_BODY } else { 0 };
         self.u8(is_unsafe | has_body);
         if item.has_body {
             self.long_bytes(&record.body);
         }
-        self.u64(record.left);
+        self.u64(record.remaining_wait);
         self.u32(record.attempts);
-        self.u64(record.passed);
-        self.flag(record.out.is_some());
-        record.out.iter().for_each(|attempt| self.attempt(attempt));
+        self.u64(record.pages_delivered);
+        self.flag(record.in_flight.is_some());
+        record.in_flight.iter().for_each(|attempt| self.attempt(attempt));
         self.ending(record.ending.as_ref());
         self.u8(item.replicas.len() as u8);
         item.replicas.iter().for_each(|entry| self.replica_entry(entry));
     }
 
-    fn attempt(&mut self, attempt: &Out) {
+    fn attempt(&mut self, attempt: &InFlightAttempt) {
         self.u32(attempt.number);
         self.text(&attempt.engine);
         // An address that is too long is left out: the statement is then not found again, which is reported.
-        let next = attempt.next.as_ref().filter(|next| next.len() <= MAX_TEXT_BYTES);
-        self.flag(next.is_some());
-        next.into_iter().for_each(|next| self.text(next));
-        self.u64(attempt.page);
-        self.u64(attempt.sent);
-        self.u64(attempt.within);
+        let next_uri = attempt.next_uri.as_ref().filter(|uri| uri.len() <= MAX_TEXT_BYTES);
+        self.flag(next_uri.is_some());
+        next_uri.into_iter().for_each(|uri| self.text(uri));
+        self.u64(attempt.next_page);
+        self.u64(attempt.elapsed);
+        self.u64(attempt.timeout);
     }
 
     fn ending(&mut self, ending: Option<&Ending>) {
@@ -235,7 +235,7 @@
     }
 
     pub fn incarnation(&mut self) -> Result<Incarnation, DecodeError> {
-        Ok(Incarnation { name: self.text(MAX_NAME_BYTES)?, life: self.u64()? })
+        Ok(Incarnation { name: self.text(MAX_NAME_BYTES)?, number: self.u64()? })
     }
 
     pub fn participant(&mut self) -> Result<Participant, DecodeError> {
@@ -243,11 +243,11 @@
     }
 
     pub fn process_term(&mut self) -> Result<ProcessTerm, DecodeError> {
-        Ok(ProcessTerm { life: self.u64()?, term: self.u32()? })
+        Ok(ProcessTerm { incarnation_number: self.u64()?, term: self.u32()? })
     }
 
     pub fn key(&mut self) -> Result<StatementKey, DecodeError> {
-        Ok(StatementKey { taken_by: self.incarnation()?, number: self.u64()? })
+        Ok(StatementKey { accepted_by: self.incarnation()?, number: self.u64()? })
     }
 
     pub fn reject_reason(&mut self) -> Result<RejectReason, DecodeError> {
@@ -265,21 +265,38 @@
         if flags > FLAG_UNSAFE | FLAG_BODY {
             return Err(DecodeError::Malformed);
         }
-        let repeat = if flags & FLAG_UNSAFE == 0 { Repeat::Harmless } else { Repeat::Unsafe };
+        let repeat = if flags & FLAG_UNSAFE == 0 { RepeatSafety::Safe } else { RepeatSafety::Unsafe };
         let has_body = flags & FLAG_BODY != 0;
         let body = if has_body { self.long_bytes()? } else { Vec::new() };
-        let (left, attempts, passed) = (self.u64()?, self.u32()?, self.u64()?);
-        let out = if self.flag()? { Some(self.attempt()?) } else { None };
+        let (remaining_wait, attempts, pages_delivered) = (self.u64()?, self.u32()?, self.u64()?);
+        let in_flight = if self.flag()? { Some(self.attempt()?) } else { None };
         let ending = self.ending()?;
         let replicas = self.replica_list()?;
-        let record = Record { key, version, body, repeat, left, attempts, out, passed, ending };
+        let record = Record {
+            key,
+            version,
+            body,
+            repeat,
+            remaining_wait,
+            attempts,
+            in_flight,
+            pages_delivered,
+            ending,
+        };
         Ok(ReplicaRecord { record, has_body, replicas })
     }
 
-    fn attempt(&mut self) -> Result<Out, DecodeError> {
+    fn attempt(&mut self) -> Result<InFlightAttempt, DecodeError> {
         let (number, engine) = (self.u32()?, self.text(MAX_TEXT_BYTES)?);
-        let next = if self.flag()? { Some(self.text(MAX_TEXT_BYTES)?) } else { None };
-        Ok(Out { number, engine, next, page: self.u64()?, sent: self.u64()?, within: self.u64()? })
+        let next_uri = if self.flag()? { Some(self.text(MAX_TEXT_BYTES)?) } else { None };
+        Ok(InFlightAttempt {
+            number,
+            engine,
+            next_uri,
+            next_page: self.u64()?,
+            elapsed: self.u64()?,
+            timeout: self.u64()?,
+        })
     }
 
     fn ending(&mut self) -> Result<Option<Ending>, DecodeError> {
--- a/crates/custody/src/wire/tests.rs
+++ b/crates/custody/src/wire/tests.rs
@@ -3,12 +3,12 @@
 
 use super::stored_marks::{decode_marks, encode_marks, Fence, StoredMarksError};
 use super::*;
-use crate::{Ending, Out, Repeat};
+use crate::{Ending, InFlightAttempt, RepeatSafety};
 
-const SENDER: ProcessTerm = ProcessTerm { life: 0x0102_0304_0506_0708, term: 0x0a0b_0c0d };
+const SENDER: ProcessTerm = ProcessTerm { incarnation_number: 0x0102_0304_0506_0708, term: 0x0a0b_0c0d };
 
-fn incarnation(name: &str, life: u64) -> Incarnation {
-    Incarnation { name: name.into(), life }
+fn incarnation(name: &str, number: u64) -> Incarnation {
+    Incarnation { name: name.into(), number }
 }
 
 fn participant(name: &str, number: u64, term: u32) -> Participant {
@@ -16,7 +16,7 @@
 }
 
 fn key(number: u64) -> StatementKey {
-    StatementKey { taken_by: incarnation("g0", 0x77), number }
+    StatementKey { accepted_by: incarnation("g0", 0x77), number }
 }
 
 fn replicas() -> Vec<ReplicaEntry> {
@@ -26,29 +26,41 @@
     ]
 }
 
-fn item(has_body: bool, repeat: Repeat, out: Option<Out>, ending: Option<Ending>) -> ReplicaRecord {
+fn item(
+    has_body: bool,
+    repeat: RepeatSafety,
+    in_flight: Option<InFlightAttempt>,
+    ending: Option<Ending>,
+) -> ReplicaRecord {
     let body = if has_body { b"select 1".to_vec() } else { Vec::new() };
     let record = Record {
         key: key(5),
         version: 0x0100_0000_0002,
         body,
         repeat,
-        left: 60_000_000,
+        remaining_wait: 60_000_000,
         attempts: 3,
-        out,
-        passed: 4,
+        in_flight,
+        pages_delivered: 4,
         ending,
     };
     ReplicaRecord { record, has_body, replicas: replicas() }
 }
 
-fn out(next: Option<&str>) -> Out {
-    Out { number: 2, engine: "e1".into(), next: next.map(str::to_owned), page: 6, sent: 7, within: 8 }
+fn attempt(next_uri: Option<&str>) -> InFlightAttempt {
+    InFlightAttempt {
+        number: 2,
+        engine: "e1".into(),
+        next_uri: next_uri.map(str::to_owned),
+        next_page: 6,
+        elapsed: 7,
+        timeout: 8,
+    }
 }
 
 fn batch(items: Vec<ReplicaRecord>) -> Message {
     Message::Batch {
-        to: ProcessTerm { life: 0x1112, term: 0x13 },
+        to: ProcessTerm { incarnation_number: 0x1112, term: 0x13 },
         number: 0x1415,
         records: items,
         ended: vec![key(8), key(9)],
@@ -127,7 +139,11 @@
         [RejectReason::NoRoom, RejectReason::MissingBody, RejectReason::Ended, RejectReason::Obsolete];
     let rejected = (0..).zip(reasons).map(|(index, reason)| Rejection { index, reason }).collect();
     pinned(
-        &Message::Acknowledgement { to: ProcessTerm { life: 0x1112, term: 0x13 }, number: 0x1415, rejected },
+        &Message::Acknowledgement {
+            to: ProcessTerm { incarnation_number: 0x1112, term: 0x13 },
+            number: 0x1415,
+            rejected,
+        },
         concat!(
             "010701020304050607080a0b0c0d0000000000001112000000130000000000001415000400000000",
             "0101000202000303",
@@ -138,7 +154,7 @@
 #[test]
 fn the_bytes_of_records_are_pinned() {
     pinned_item(
-        item(true, Repeat::Harmless, None, None),
+        item(true, RepeatSafety::Safe, None, None),
         concat!(
             "00026730000000000000007700000000000000050000010000000002020000000873656c65637420",
             "31000000000393870000000003000000000000000400000200026730000000000000007700000001",
@@ -146,7 +162,7 @@
         ),
     );
     pinned_item(
-        item(false, Repeat::Unsafe, Some(out(None)), Some(Ending::Cancelled)),
+        item(false, RepeatSafety::Unsafe, Some(attempt(None)), Some(Ending::Cancelled)),
         concat!(
             "00026730000000000000007700000000000000050000010000000002010000000003938700000000",
             "03000000000000000401000000020002653100000000000000000600000000000000070000000000",
@@ -156,7 +172,7 @@
     );
     let (refused, failed) = (Ending::Refused("no".into()), Ending::Failed("lost".into()));
     pinned_item(
-        item(false, Repeat::Harmless, Some(out(Some("/p/2"))), Some(refused)),
+        item(false, RepeatSafety::Safe, Some(attempt(Some("/p/2"))), Some(refused)),
         concat!(
             "00026730000000000000007700000000000000050000010000000002000000000003938700000000",
             "0300000000000000040100000002000265310100042f702f32000000000000000600000000000000",
@@ -165,7 +181,7 @@
         ),
     );
     pinned_item(
-        item(true, Repeat::Unsafe, None, Some(failed)),
+        item(true, RepeatSafety::Unsafe, None, Some(failed)),
         concat!(
             "00026730000000000000007700000000000000050000010000000002030000000873656c65637420",
             "310000000003938700000000030000000000000004000300046c6f73740200026730000000000000",
@@ -183,7 +199,7 @@
 
 #[test]
 fn the_bytes_of_stored_marks_are_pinned() {
-    let fence = |name, life, through_term| Fence { incarnation: incarnation(name, life), through_term };
+    let fence = |name, number, through_term| Fence { incarnation: incarnation(name, number), through_term };
     let fences = [fence("g1", 0x31, 1), fence("gate-2", 0x32, 2)];
     let bytes = encode_marks(&fences);
     let hex: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
--- a/crates/custody/tests/takeover.rs
+++ b/crates/custody/tests/takeover.rs
@@ -2,18 +2,18 @@
 //! without room.
 
 use violetward_custody::{
-    Effect, Incarnation, Member, MemberState, Out, Permission, Record, Repeat, Settings, StatementKey,
-    StoredMarksError, TakeoverNode, Usage,
+    Effect, InFlightAttempt, Incarnation, Member, MemberState, Permission, Record, RepeatSafety, Settings,
+    StatementKey, StoredMarksError, TakeoverNode, Usage,
 };
 
 const SECOND: u64 = 1_000_000;
 
-fn life(n: usize) -> Incarnation {
-    Incarnation { name: format!("g{n}"), life: 100 + n as u64 }
+fn incarnation(n: usize) -> Incarnation {
+    Incarnation { name: format!("g{n}"), number: 100 + n as u64 }
 }
 
 fn key(number: u64) -> StatementKey {
-    StatementKey { taken_by: life(0), number }
+    StatementKey { accepted_by: incarnation(0), number }
 }
 
 fn record(number: u64) -> Record {
@@ -21,17 +21,24 @@
         key: key(number),
         version: 0,
         body: b"select 1".to_vec(),
-        repeat: Repeat::Unsafe,
-        left: 60 * SECOND,
+        repeat: RepeatSafety::Unsafe,
+        remaining_wait: 60 * SECOND,
         attempts: 0,
-        out: None,
-        passed: 0,
+        in_flight: None,
+        pages_delivered: 0,
         ending: None,
     }
 }
 
-fn out() -> Out {
-    Out { number: 0, engine: "e1".into(), next: None, page: 0, sent: 0, within: SECOND }
+fn attempt() -> InFlightAttempt {
+    InFlightAttempt {
+        number: 0,
+        engine: "e1".into(),
+        next_uri: None,
+        next_page: 0,
+        elapsed: 0,
+        timeout: SECOND,
+    }
 }
 
 /// Three gateways whose messages arrive at once.
@@ -48,11 +55,11 @@
 impl Three {
     fn new(most: usize) -> Three {
         let members: Vec<Member> = (0..3)
-            .map(|n| Member { incarnation: life(n), site: format!("s{n}"), state: MemberState::Alive })
+            .map(|n| Member { incarnation: incarnation(n), site: format!("s{n}"), state: MemberState::Alive })
             .collect();
         let node = |n: usize| {
             let settings = Settings {
-                incarnation: life(n),
+                incarnation: incarnation(n),
                 site: format!("s{n}"),
                 voters: (0..3).map(|v| format!("g{v}")).collect(),
                 lease: 3 * SECOND,
@@ -108,7 +115,7 @@
 
     /// What the membership of one of them believes of the others.
     fn set_membership(&mut self, n: usize, others: [(usize, MemberState); 2]) {
-        let of = |(o, state)| Member { incarnation: life(o), site: format!("s{o}"), state };
+        let of = |(o, state)| Member { incarnation: incarnation(o), site: format!("s{o}"), state };
         let mut members: Vec<Member> = others.map(of).into();
         members.push(of((n, MemberState::Alive)));
         self.all[n].update_members(self.now, members);
@@ -129,7 +136,7 @@
 fn an_intent_waits_for_both_replicas() {
     let mut three = Three::new(100);
     assert_eq!(three.all[0].add_statement(three.now, record(1)).len(), 2);
-    assert_eq!(three.all[0].request_attempt(three.now, &key(1), 1, out()), Permission::Pending);
+    assert_eq!(three.all[0].request_attempt(three.now, &key(1), 1, attempt()), Permission::Pending);
     three.deliver_all();
     assert!(three.done.contains(&(0, Effect::StartAttempt(key(1), 1))));
     assert_eq!((three.all[1].usage().replica_records, three.all[2].usage().replica_records), (1, 1));
@@ -144,7 +151,7 @@
         std::iter::from_fn(|| three.all[0].next_effect()).find(|e| matches!(e, Effect::SendDatagram(..)));
     assert_eq!(answer, Some(Effect::SendDatagram("g1".into(), vec![1, 255])));
     three.all[0].add_statement(three.now, record(1));
-    three.all[0].request_attempt(three.now, &key(1), 1, out());
+    three.all[0].request_attempt(three.now, &key(1), 1, attempt());
     // One replica has the record; the other one supports another format only, and is not awaited.
     while let Some(effect) = three.all[0].next_effect() {
         match effect {
@@ -162,7 +169,7 @@
 fn malformed_bytes_change_nothing_and_stop_nobody() {
     let mut three = Three::new(100);
     three.all[0].add_statement(three.now, record(1));
-    three.all[0].request_attempt(three.now, &key(1), 1, out());
+    three.all[0].request_attempt(three.now, &key(1), 1, attempt());
     three.deliver_all();
     let sent: Vec<Vec<u8>> = three.sent.iter().map(|s| s.2.clone()).collect();
     for bytes in sent {
@@ -185,7 +192,7 @@
 fn a_late_batch_revives_nothing() {
     let mut three = Three::new(100);
     three.all[0].add_statement(three.now, record(1));
-    three.all[0].request_attempt(three.now, &key(1), 1, out());
+    three.all[0].request_attempt(three.now, &key(1), 1, attempt());
     three.deliver_all();
     let late = three.sent.clone();
     three.all[0].finish_statement(three.now, &key(1));
@@ -202,7 +209,7 @@
     let mut three = Three::new(2);
     for number in 1..=5 {
         three.all[0].add_statement(three.now, record(number));
-        let permission = three.all[0].request_attempt(three.now, &key(number), 1, out());
+        let permission = three.all[0].request_attempt(three.now, &key(number), 1, attempt());
         three.deliver_all();
         three.run(SECOND / 10);
         // Once both have declined they are not even asked.
@@ -220,7 +227,7 @@
 #[test]
 fn stored_marks_that_are_damaged_or_foreign_are_rejected() {
     let mut three = Three::new(2);
-    let gone = |state| Member { incarnation: life(2), site: "s2".into(), state };
+    let gone = |state| Member { incarnation: incarnation(2), site: "s2".into(), state };
     three.all[0].add_statement(three.now, record(1));
     three.run(SECOND);
     three.all[1].update_members(three.now, vec![gone(MemberState::Dead)]);
@@ -238,7 +245,7 @@
     let kept = kept.expect("marks are stored");
     let start = |bytes: &[u8]| {
         let settings = Settings {
-            incarnation: Incarnation { name: "g1".into(), life: 7 },
+            incarnation: Incarnation { name: "g1".into(), number: 7 },
             site: String::new(),
             voters: vec!["g1".into()],
             lease: SECOND,
@@ -265,20 +272,20 @@
     let mut three = Three::new(100);
     three.partitioned = Some(1);
     three.set_membership(1, [(0, MemberState::Dead), (2, MemberState::Dead)]);
-    three.all[1].request_fencing(three.now, &life(0), 0);
+    three.all[1].request_fencing(three.now, &incarnation(0), 0);
     three.run(20 * SECOND);
-    assert!(!three.all[1].is_fenced(&life(0), 0), "the partitioned one cannot know");
+    assert!(!three.all[1].is_fenced(&incarnation(0), 0), "the partitioned one cannot know");
     assert!(three.all[0].may_act(three.now), "it goes on");
     three.partitioned = Some(0);
     three.set_membership(1, [(0, MemberState::Dead), (2, MemberState::Alive)]);
-    three.all[1].request_fencing(three.now, &life(0), 0);
+    three.all[1].request_fencing(three.now, &incarnation(0), 0);
     three.run(SECOND);
     assert!(three.all[0].may_act(three.now), "its lease still runs");
-    assert!(!three.all[1].is_fenced(&life(0), 0));
+    assert!(!three.all[1].is_fenced(&incarnation(0), 0));
     three.run(4 * SECOND);
     assert!(!three.all[0].may_act(three.now));
-    assert!(three.all[1].is_fenced(&life(0), 0));
-    assert!(!three.all[1].is_fenced(&life(0), 1), "its next term is another matter");
+    assert!(three.all[1].is_fenced(&incarnation(0), 0));
+    assert!(!three.all[1].is_fenced(&incarnation(0), 1), "its next term is another matter");
 }
 
 #[test]
@@ -286,18 +293,18 @@
     let mut three = Three::new(100);
     three.partitioned = Some(0);
     three.all[0].add_statement(three.now, record(1));
-    assert_eq!(three.all[0].request_attempt(three.now, &key(1), 1, out()), Permission::Pending);
+    assert_eq!(three.all[0].request_attempt(three.now, &key(1), 1, attempt()), Permission::Pending);
     three.set_membership(1, [(0, MemberState::Dead), (2, MemberState::Alive)]);
-    three.all[1].request_fencing(three.now, &life(0), 0);
+    three.all[1].request_fencing(three.now, &incarnation(0), 0);
     three.run(6 * SECOND);
-    assert!(three.all[1].is_fenced(&life(0), 0));
+    assert!(three.all[1].is_fenced(&incarnation(0), 0));
     assert_eq!(three.all[1].usage(), Usage::default());
     three.partitioned = None;
     three.set_membership(1, [(0, MemberState::Alive), (2, MemberState::Alive)]);
     three.run(4 * SECOND);
     let taken_over = |done: &(usize, Effect)| match done {
         (n, Effect::TakenOver(record)) if *n > 0 && record.key == key(1) => {
-            Some((record.attempts, record.out.is_none()))
+            Some((record.attempts, record.in_flight.is_none()))
         }
         _ => None,
     };
@@ -342,10 +349,10 @@
     three.run(SECOND / 10);
     three.partitioned = Some(0);
     // It was restarted at once, and nobody believed it dead before.
-    let new = Incarnation { life: 200, ..life(0) };
+    let new = Incarnation { number: 200, ..incarnation(0) };
     for n in [1, 2] {
-        let of = |life| Member { incarnation: life, site: "s0".into(), state: MemberState::Alive };
-        three.all[n].update_members(three.now, vec![of(life(1)), of(life(2)), of(new.clone())]);
+        let of = |incarnation| Member { incarnation, site: "s0".into(), state: MemberState::Alive };
+        three.all[n].update_members(three.now, vec![of(incarnation(1)), of(incarnation(2)), of(new.clone())]);
     }
     three.run(3 * SECOND + SECOND / 5);
     let taken_over = |d: &&(usize, Effect)| matches!(&d.1, Effect::TakenOver(record) if record.key == key(1));
--- a/crates/gateway/src/core/guard.rs
+++ b/crates/gateway/src/core/guard.rs
@@ -35,7 +35,7 @@
     /// What it takes to begin it anew elsewhere.
     pub body: Vec<u8>,
     /// What a repeat may do.
-    pub repeat: custody::Repeat,
+    pub repeat: custody::RepeatSafety,
     /// How long its client still waits.
     pub left: Micros,
 }
@@ -69,7 +69,7 @@
     adopted: bool,
     resume: Option<Follow>,
     /// The attempt that has ended with its rows, or the last one that may have run where a repeat is not harmless.
-    ran: Option<custody::Out>,
+    ran: Option<custody::InFlightAttempt>,
     forgotten: bool,
 }
 
@@ -164,15 +164,15 @@
             mark: s.guard.as_ref()?.mark.clone(),
         };
         let repeat = match self.classes[s.class].effect {
-            Repeats::Repeatable => custody::Repeat::Harmless,
-            _ => custody::Repeat::Unsafe,
+            Repeats::Repeatable => custody::RepeatSafety::Safe,
+            _ => custody::RepeatSafety::Unsafe,
         };
         let body = serde_json::to_vec(&body).unwrap_or_default();
         Some(Taken { body, repeat, left: s.due.saturating_sub(self.now) })
     }
 
     /// Attempts spent, the attempt that is out, and the pages handed out of a statement that is to outlive this gateway.
-    pub fn progress(&self, id: StatementId) -> Option<(u32, Option<custody::Out>, u64)> {
+    pub fn progress(&self, id: StatementId) -> Option<(u32, Option<custody::InFlightAttempt>, u64)> {
         let s = self.statements.get(&id)?;
         s.guard.as_ref()?;
         let out =
@@ -181,14 +181,14 @@
         Some((s.attempts, out.or_else(ran), s.pages.passed()))
     }
 
-    fn out(&self, number: u32, attempt: &Attempt) -> custody::Out {
-        custody::Out {
+    fn out(&self, number: u32, attempt: &Attempt) -> custody::InFlightAttempt {
+        custody::InFlightAttempt {
             number,
             engine: self.name(attempt.engine),
-            next: attempt.next.clone(),
-            page: attempt.next.as_deref().and_then(self::number).unwrap_or(0),
-            sent: self.now.saturating_sub(attempt.sent),
-            within: attempt.until.saturating_sub(attempt.sent),
+            next_uri: attempt.next.clone(),
+            next_page: attempt.next.as_deref().and_then(self::number).unwrap_or(0),
+            elapsed: self.now.saturating_sub(attempt.sent),
+            timeout: attempt.until.saturating_sub(attempt.sent),
         }
     }
 
@@ -201,7 +201,7 @@
             Outcome::Ok | Outcome::Declined => guard.ran = Some(out),
             Outcome::ConnectFailed | Outcome::Full | Outcome::Moot => {}
             _ if harmless => {}
-            _ => guard.ran = Some(custody::Out { next: None, ..out }),
+            _ => guard.ran = Some(custody::InFlightAttempt { next_uri: None, ..out }),
         }
         self.noted(id.0);
     }
@@ -305,7 +305,7 @@
         let class = named.unwrap_or_else(|| self.class_of(&submission));
         let id = StatementId(self.next_id);
         self.next_id += 1;
-        let due = self.now + record.left;
+        let due = self.now + record.remaining_wait;
         let harmless = self.classes[class].effect == Repeats::Repeatable;
         let mut guard = Guard::taken(body.mark);
         guard.expects = true;
@@ -313,15 +313,16 @@
         if record.ending.is_some() {
             guard.needs_no_record();
         }
-        let out = record.out.as_ref();
+        let out = record.in_flight.as_ref();
         let engine = out.and_then(|o| self.records.values().find(|r| r.name == o.engine));
-        let found = out.zip(engine).and_then(|(o, r)| Some((o, r.entry.engine, r.address, o.next.clone()?)));
+        let found =
+            out.zip(engine).and_then(|(o, r)| Some((o, r.entry.engine, r.address, o.next_uri.clone()?)));
         let mut current = None;
         if let (Some((out, engine, address, uri)), None) = (&found, &record.ending) {
             let attempt = AttemptId(id, out.number);
-            let sent = self.now.saturating_sub(out.sent);
+            let sent = self.now.saturating_sub(out.elapsed);
             // Time for its client to come and for the engine to answer.
-            let until = (sent + out.within).max(self.now + 1_000_000);
+            let until = (sent + out.timeout).max(self.now + 1_000_000);
             let next = Some(uri.clone());
             guard.resume = Some(Follow { attempt, address: *address, uri: uri.clone() });
             // It waits for its client, who alone knows which rows have come.
--- a/crates/gateway/src/custody.rs
+++ b/crates/gateway/src/custody.rs
@@ -14,8 +14,8 @@
 use hmac::Mac;
 use serde::{Deserialize, Serialize};
 use violetward_custody::{
-    Effect, Life, Member, MemberState, Out, Permission, Record, Settings, StatementKey, TakeoverNode,
-    Whereabouts,
+    Effect, InFlightAttempt, Incarnation, Member, MemberState, Permission, Record, Settings, StatementKey,
+    StatementLocation, TakeoverNode,
 };
 use violetward_net::Alarm;
 use violetward_statement::pages::Ending;
@@ -67,7 +67,7 @@
     /// The engine's page after the rows that its client has got; `None`: it has none.
     pub after: Option<u64>,
     /// Lives, each in a term, that may hold it, the one that took it first.
-    pub chain: Vec<(Life, u32)>,
+    pub chain: Vec<(Incarnation, u32)>,
     /// When its client stops waiting, microseconds since the Unix epoch.
     pub due: u64,
 }
@@ -128,7 +128,7 @@
 /// Custody in a running gateway.
 pub struct Custody {
     machine: RefCell<TakeoverNode>,
-    me: Life,
+    me: Incarnation,
     terms: CustodyTerms,
     station: Rc<Station>,
     caller: Caller,
@@ -259,7 +259,7 @@
             max_replica_bytes: terms.most.1,
         };
         let machine = TakeoverNode::new(known, ends.as_deref(), host.now()).map_err(|why| unusable(&why))?;
-        tracing::info!(name = me.name, life = format!("{:016x}", me.life), "custody");
+        tracing::info!(name = me.name, life = format!("{:016x}", me.number), "custody");
         let (keeps, kept) = async_channel::unbounded();
         let custody = Rc::new(Custody {
             machine: RefCell::new(machine),
@@ -361,7 +361,7 @@
         let adopted = host.core_alone(|core, now| core.adopt(now, record));
         match adopted {
             Ok(id) => {
-                tracing::info!(n = id.0, from = key.taken_by.name, number, at = host.now(), "taken over");
+                tracing::info!(n = id.0, from = key.accepted_by.name, number, at = host.now(), "taken over");
                 self.locals.borrow_mut().insert(key.clone(), id);
                 self.names.borrow_mut().insert(id, key);
                 // Only now it is known whose the effects of that are.
@@ -369,7 +369,7 @@
             }
             Err(why) => {
                 tracing::error!(
-                    from = key.taken_by.name,
+                    from = key.accepted_by.name,
                     number,
                     "what was taken over cannot be read: {why}"
                 );
@@ -392,7 +392,7 @@
     /// A statement has been taken here.
     pub(crate) fn taken(&self, host: &Rc<Host>, id: StatementId) {
         let Some(taken) = host.look(|core| core.taken(id)) else { return };
-        let key = StatementKey { taken_by: self.me.clone(), number: id.0 };
+        let key = StatementKey { accepted_by: self.me.clone(), number: id.0 };
         self.locals.borrow_mut().insert(key.clone(), id);
         self.names.borrow_mut().insert(id, key.clone());
         let record = Record {
@@ -400,10 +400,10 @@
             version: 1,
             body: taken.body,
             repeat: taken.repeat,
-            left: taken.left,
+            remaining_wait: taken.left,
             attempts: 0,
-            out: None,
-            passed: 0,
+            in_flight: None,
+            pages_delivered: 0,
             ending: None,
         };
         self.with(host, |m, now| m.add_statement(now, record));
@@ -470,7 +470,14 @@
             let parked = self.parked.borrow();
             let (_, launch) = parked.get(&attempt)?;
             let within = launch.until.saturating_sub(host.now());
-            Out { number: attempt.1, engine: launch.engine.clone(), next: None, page: 0, sent: 0, within }
+            InFlightAttempt {
+                number: attempt.1,
+                engine: launch.engine.clone(),
+                next_uri: None,
+                next_page: 0,
+                elapsed: 0,
+                timeout: within,
+            }
         };
         match self.with(host, |m, now| m.request_attempt(now, &key, attempt.1 + 1, out)) {
             Permission::Granted => self.unpark(host, attempt),
@@ -517,7 +524,7 @@
             Permission::Granted => host.core(|core, now| core.decided(now, id)),
             Permission::Pending => {}
             // It's another gateway's: that one is told by `Effect::Relinquished`. Without a tenure it has to wait.
-            Permission::Denied if matches!(self.find(&key).0, Whereabouts::Here) => {
+            Permission::Denied if matches!(self.find(&key).0, StatementLocation::Local) => {
                 let (host, ending) = (host.clone(), ending.clone());
                 host.clone().spawn(async move {
                     violetward_net::sleep(REST).await;
@@ -560,14 +567,14 @@
         let key = self.key(id)?;
         let mut chain = self.machine.borrow().replica_list_with_terms(&key);
         if chain.is_empty() {
-            chain.push((key.taken_by.clone(), 0));
+            chain.push((key.accepted_by.clone(), 0));
         }
         // The one that took it, and those who joined last: who is gone is not needed.
         if chain.len() > CHAIN {
             chain.drain(1..chain.len() - CHAIN + 1);
         }
         let mut chain: Vec<String> =
-            chain.iter().map(|(l, term)| format!("{}~{:x}~{term:x}", word(&l.name), l.life)).collect();
+            chain.iter().map(|(l, term)| format!("{}~{:x}~{term:x}", word(&l.name), l.number)).collect();
         // A path has a bound: of long names the last ones stand for all.
         while chain.len() > 2 && chain.iter().map(String::len).sum::<usize>() > NAMES {
             chain.remove(1);
@@ -604,17 +611,17 @@
         let after = Some(fields.next()?).filter(|n| *n != "-").map(str::parse).transpose().ok()?;
         let link = |field: &str| {
             let mut parts = field.split('~');
-            let (name, life) = (decode(parts.next()?)?, u64::from_str_radix(parts.next()?, 16).ok()?);
-            Some((Life { name, life }, u32::from_str_radix(parts.next()?, 16).ok()?))
+            let (name, number) = (decode(parts.next()?)?, u64::from_str_radix(parts.next()?, 16).ok()?);
+            Some((Incarnation { name, number }, u32::from_str_radix(parts.next()?, 16).ok()?))
         };
-        let chain: Vec<(Life, u32)> = fields.map(link).collect::<Option<_>>()?;
+        let chain: Vec<(Incarnation, u32)> = fields.map(link).collect::<Option<_>>()?;
         let number = page.id.rsplit('_').nth(1)?.parse().ok()?;
-        let taken_by = chain.first()?.0.clone();
-        Some(Token { key: StatementKey { taken_by, number }, after, chain, due, page })
+        let accepted_by = chain.first()?.0.clone();
+        Some(Token { key: StatementKey { accepted_by, number }, after, chain, due, page })
     }
 
     /// Where a statement is, and under which number if it is here.
-    pub fn find(&self, key: &StatementKey) -> (Whereabouts, Option<StatementId>) {
+    pub fn find(&self, key: &StatementKey) -> (StatementLocation, Option<StatementId>) {
         (self.machine.borrow().locate(key), self.local(key))
     }
 
@@ -630,7 +637,7 @@
     pub fn members(&self, host: &Rc<Host>) {
         let Some(peers) = host.peers() else { return };
         let of = |seen: violetward_membership::Seen| Member {
-            incarnation: Life { name: seen.record.name, life: seen.record.life },
+            incarnation: Incarnation { name: seen.record.name, number: seen.record.life },
             site: seen.record.site,
             state: state(seen.record.state),
         };
@@ -740,7 +747,7 @@
         loop {
             let Some(name) = next.pop() else {
                 // Nobody of them knows. It may have gone on from one to another since the token was made.
-                if wide || peers.may_live(&token.key.taken_by) {
+                if wide || peers.may_live(&token.key.accepted_by) {
                     break;
                 }
                 wide = true;
@@ -785,22 +792,22 @@
     fn verdict(&self, host: &Rc<Host>, peers: &crate::peers::Peers, token: &Token) -> bool {
         let now = host.now();
         let seen = peers.seen();
-        let mut open: Vec<(Life, u32)> = Vec::new();
+        let mut open: Vec<(Incarnation, u32)> = Vec::new();
         let mut ended = true;
         for (life, term) in token.chain.iter().filter(|(life, _)| *life != self.me) {
             let known = seen.iter().find(|s| s.record.name == life.name);
             ended &= known.is_some_and(|s| {
-                s.record.life != life.life || s.record.state == violetward_membership::State::Left
+                s.record.life != life.number || s.record.state == violetward_membership::State::Left
             });
-            if !known.is_some_and(|s| s.record.life == life.life && living(s)) {
+            if !known.is_some_and(|s| s.record.life == life.number && living(s)) {
                 open.push((life.clone(), *term));
             }
         }
         for gone in seen.iter().filter(|s| !living(s)) {
-            open.push((Life { name: gone.record.name.clone(), life: gone.record.life }, 0));
+            open.push((Incarnation { name: gone.record.name.clone(), number: gone.record.life }, 0));
         }
         let settled = micros(self.terms.lease) * SETTLED;
-        if token.key.taken_by == self.me || !peers.gone_for(&token.key.taken_by, now, settled) {
+        if token.key.accepted_by == self.me || !peers.gone_for(&token.key.accepted_by, now, settled) {
             return false;
         }
         open.retain(|(life, term)| !self.machine.borrow().is_fenced(life, *term));
@@ -859,7 +866,7 @@
         let counts = host.look(|core| core.counts);
         Standing {
             name: self.me.name.clone(),
-            life: format!("{:016x}", self.me.life),
+            life: format!("{:016x}", self.me.number),
             tenure: self.may_act(host),
             held: usage.owned,
             guarded: usage.replica_records,
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -10,7 +10,7 @@
 use hmac::{Hmac, Mac};
 use serde::Serialize;
 use sha2::Sha256;
-use violetward_custody::Whereabouts;
+use violetward_custody::StatementLocation;
 use violetward_net::{sleep, timeout, Connection, NetError};
 use violetward_statement::http::{self, Headers, Limits, Message};
 use violetward_statement::pages::{self, Ending, Page, Turn};
@@ -195,7 +195,7 @@
                     return Some(Reply { status: told.status, headers, body });
                 }
                 Passed::Lost => {
-                    let (from, number) = (&token.key.taken_by.name, token.key.number);
+                    let (from, number) = (&token.key.accepted_by.name, token.key.number);
                     tracing::warn!(
                         from,
                         number,
@@ -232,17 +232,21 @@
             let until = if may { request.until } else { rest };
             match (place, local) {
                 // This one may come to hold it: whoever holds it is doubted.
-                (Whereabouts::At(life), None) if Instant::now() < until && !self.lives(&life) => {
+                (StatementLocation::Remote(life), None) if Instant::now() < until && !self.lives(&life) => {
                     custody::news(custody, until, LOOK_AGAIN).await;
                 }
-                (Whereabouts::At(life), _) => return Held::Elsewhere(Some(life.name)),
-                (Whereabouts::Taking | Whereabouts::Here, None) if Instant::now() < until => {
+                (StatementLocation::Remote(life), _) => return Held::Elsewhere(Some(life.name)),
+                (StatementLocation::TakingOver | StatementLocation::Local, None)
+                    if Instant::now() < until =>
+                {
                     custody::news(custody, until, LOOK_AGAIN).await;
                 }
-                (Whereabouts::Taking | Whereabouts::Here, None) => return Held::Reply(later()),
+                (StatementLocation::TakingOver | StatementLocation::Local, None) => {
+                    return Held::Reply(later())
+                }
                 // A gateway that stood still does nothing for what it holds before it knows that it still does.
                 // Others may have taken it over since; who has passed the poll on asks them himself.
-                (Whereabouts::Here, Some(_)) if !may => {
+                (StatementLocation::Local, Some(_)) if !may => {
                     if Instant::now() >= rest {
                         return match connection {
                             Some(_) => Held::Elsewhere(None),
@@ -266,12 +270,12 @@
                     Some(reply) => return Held::Reply(reply),
                     None => return Held::Left,
                 },
-                (Whereabouts::Over(ending), None) => {
-                    let (from, number) = (&token.key.taken_by.name, token.key.number);
+                (StatementLocation::Ended(ending), None) => {
+                    let (from, number) = (&token.key.accepted_by.name, token.key.number);
                     tracing::debug!(from, number, at = self.host.now(), "asked for after its end");
                     return Held::Reply(self.over(token, request, ending));
                 }
-                (Whereabouts::Unknown, None) => return Held::Elsewhere(None),
+                (StatementLocation::Unknown, None) => return Held::Elsewhere(None),
             }
         }
     }
@@ -289,7 +293,7 @@
         }
     }
 
-    fn lives(&self, life: &violetward_custody::Life) -> bool {
+    fn lives(&self, life: &violetward_custody::Incarnation) -> bool {
         self.host.peers().is_some_and(|peers| peers.lives(life))
     }
 
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -14,7 +14,7 @@
 use violetward_net::Alarm;
 use violetward_transport::sockets::{self, Datagrams};
 
-use violetward_custody::Life;
+use violetward_custody::Incarnation;
 
 use crate::config::{read_ring, PeerTerms};
 use crate::custody;
@@ -283,9 +283,9 @@
     }
 
     /// This one's life and site.
-    pub fn me(&self) -> (Life, String) {
+    pub fn me(&self) -> (Incarnation, String) {
         let m = self.membership.borrow();
-        (Life { name: m.me().name.clone(), life: m.me().life }, m.me().site.clone())
+        (Incarnation { name: m.me().name.clone(), number: m.me().life }, m.me().site.clone())
     }
 
     /// Work that clients ask for at all that live, by class: core milliseconds a second.
@@ -323,24 +323,24 @@
     }
 
     /// Whether nobody can say yet that this life of a gateway is over.
-    pub fn may_live(&self, life: &Life) -> bool {
+    pub fn may_live(&self, life: &Incarnation) -> bool {
         let known = self.membership.borrow().view().find(|seen| seen.record.name == life.name);
-        known.is_some_and(|seen| seen.record.life == life.life && seen.record.state <= State::Suspect)
+        known.is_some_and(|seen| seen.record.life == life.number && seen.record.state <= State::Suspect)
     }
 
     /// Whether this life of a gateway has been over for so long, as far as is known here.
-    pub fn gone_for(&self, life: &Life, now: u64, span: u64) -> bool {
+    pub fn gone_for(&self, life: &Incarnation, now: u64, span: u64) -> bool {
         let known = self.membership.borrow().view().find(|seen| seen.record.name == life.name);
         known.is_none_or(|seen| {
-            let over = seen.record.life != life.life || seen.record.state > State::Suspect;
+            let over = seen.record.life != life.number || seen.record.state > State::Suspect;
             over && now >= seen.since + span
         })
     }
 
     /// Whether nobody doubts that this life of a gateway goes on.
-    pub fn lives(&self, life: &Life) -> bool {
+    pub fn lives(&self, life: &Incarnation) -> bool {
         let known = self.membership.borrow().view().find(|seen| seen.record.name == life.name);
-        known.is_some_and(|seen| seen.record.life == life.life && seen.record.state == State::Alive)
+        known.is_some_and(|seen| seen.record.life == life.number && seen.record.state == State::Alive)
     }
 
     /// Where streams of records are taken: on the port of datagrams, once.
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -139,7 +139,7 @@
     let (peers, ring) = host.peers().zip(host.config.peers.as_ref()).ok_or_else(missing)?;
     let keys = ring.keys.clone();
     let (life, _) = peers.me();
-    let me = Me { name: life.name, life: life.life };
+    let me = Me { name: life.name, life: life.number };
     let station = Station::new(executor, host.clock, me, keys.clone(), Patience::default());
     let listener = peers.streams().ok_or_else(missing)?;
     Custody::start(host, terms, station, keys, listener).map(|_| ())
--- a/crates/gateway/tests/guarded.rs
+++ b/crates/gateway/tests/guarded.rs
@@ -6,7 +6,7 @@
 
 use serde_json::value::RawValue;
 use violetward::{Action, Decide, Event, Load, Micros};
-use violetward_custody::{self as custody, Life, Out, StatementKey};
+use violetward_custody::{self as custody, InFlightAttempt, Incarnation, StatementKey};
 use violetward_gateway::config;
 use violetward_gateway::core::{Arrived, AttemptId, Core, Effect, StatementId, Submission};
 use violetward_gateway::list;
@@ -109,9 +109,19 @@
     fn recorded(&self, id: StatementId) -> custody::Record {
         let taken = self.core.taken(id).expect("it is protected");
         let (attempts, out, passed) = self.core.progress(id).expect("it is protected");
-        let key = StatementKey { taken_by: Life { name: "g".into(), life: 1 }, number: id.0 };
+        let key = StatementKey { accepted_by: Incarnation { name: "g".into(), number: 1 }, number: id.0 };
         let (body, repeat, left) = (taken.body, taken.repeat, taken.left);
-        custody::Record { key, version: 2, body, repeat, left, attempts, out, passed, ending: None }
+        custody::Record {
+            key,
+            version: 2,
+            body,
+            repeat,
+            remaining_wait: left,
+            attempts,
+            in_flight: out,
+            pages_delivered: passed,
+            ending: None,
+        }
     }
 }
 
@@ -166,7 +176,7 @@
     assert_eq!(first.after, Some(2));
     // The guardian's record is older than what the client has got.
     let mut record = bed.recorded(id);
-    record.out.as_mut().unwrap().next = Some("http://e/v1/statement/executing/s/x/1".into());
+    record.in_flight.as_mut().unwrap().next_uri = Some("http://e/v1/statement/executing/s/x/1".into());
     let (mut taker, there) = moved(&record);
     assert!(taker.followed().is_empty(), "only the client knows which rows it has");
     taker.page(there, 1, first.after);
@@ -193,10 +203,17 @@
 
 #[test]
 fn what_may_have_run_and_cannot_be_found_fails_if_it_is_unsafe_and_begins_anew_if_it_is_harmless() {
-    let out = Out { number: 0, engine: "e0".into(), next: None, page: 0, sent: S, within: 5 * S };
+    let out = InFlightAttempt {
+        number: 0,
+        engine: "e0".into(),
+        next_uri: None,
+        next_page: 0,
+        elapsed: S,
+        timeout: 5 * S,
+    };
     for (tag, fails) in [("notice", true), ("lookup", false)] {
         let (bed, id, _) = running(tag);
-        let record = custody::Record { out: Some(out.clone()), ..bed.recorded(id) };
+        let record = custody::Record { in_flight: Some(out.clone()), ..bed.recorded(id) };
         let (mut taker, there) = moved(&record);
         if fails {
             assert!(taker.launched().is_empty(), "it is sent a second time");
@@ -217,7 +234,7 @@
     bed.arrive(attempt, 0, Some("[[1]]"), false);
     let first = bed.page(id, 0, None).unwrap();
     let mut record = bed.recorded(id);
-    record.out.as_mut().unwrap().next = None;
+    record.in_flight.as_mut().unwrap().next_uri = None;
     let (mut taker, there) = moved(&record);
     taker.page(there, 1, first.after);
     taker.core.decided(taker.now, there);
@@ -260,7 +277,7 @@
 #[test]
 fn what_was_never_sent_is_adopted_too_so_that_its_tenant_is_not_charged_again() {
     let (bed, id, _) = running("lookup");
-    let record = custody::Record { attempts: 0, out: None, ..bed.recorded(id) };
+    let record = custody::Record { attempts: 0, in_flight: None, ..bed.recorded(id) };
     let heard = Rc::<RefCell<Vec<Event>>>::default();
     let config = config::parse(SETUP, Path::new(".")).expect("good");
     let mut core = Core::with(&config, "other", Box::new(Ear(heard.clone())));
