--- a/crates/custody/src/wire.rs
+++ b/crates/custody/src/wire.rs
@@ -1,8 +1,9 @@
 //! The messages between gateways and their encoding; [`stored_marks`] is the format of a voter's file.
 //!
-//! Integers are big-endian. A message is `format 1 | kind 1 | sender's incarnation 8 | sender's term 4 |
-//! fields`. The first two bytes mean the same in every format: an unknown format is answered with the
-//! supported one ([`unsupported_format_reply`]) and never guessed at.
+//! Integers are big-endian. A message is `format | kind | sender's incarnation number | sender's term |
+//! fields`, of 1, 1, 8 and 4 bytes before the fields. The first two bytes have the same meaning in every
+//! format. A message of an unknown format is not decoded; it is answered with the supported format
+//! ([`unsupported_format_reply`]).
 
 mod codec;
 pub(crate) mod stored_marks;
@@ -10,26 +11,28 @@
 use crate::{Incarnation, Micros, Record, StatementKey};
 use codec::{Decoder, Encoder};
 
-/// The format of messages.
+/// The message format of this version.
 const FORMAT: u8 = 1;
-/// The message kind that tells the sender's format, in every format.
+/// Message kind that announces the format the sender supports; the same in every format.
 const KIND_UNSUPPORTED_FORMAT: u8 = 255;
-/// Bytes of a datagram, at most.
+/// Maximum size of a datagram.
 pub(crate) const MAX_DATAGRAM_BYTES: usize = 1_000;
-/// Bytes of a datagram that are left for its header when a list is split.
+/// Bytes of a datagram reserved for the message header when a list is split over several.
 const DATAGRAM_HEADER_BYTES: usize = 64;
-/// Bytes of a participant beside its name, and of what is told of it, at most.
-const PARTICIPANT_BYTES: usize = 32;
-/// Bytes of a gateway's name, at most.
+/// Maximum encoded size of a participant without its name, including the data sent with it.
+const MAX_PARTICIPANT_BYTES: usize = 32;
+/// Maximum length of a gateway's name.
 const MAX_NAME_BYTES: usize = 256;
-/// Members of a replica list, at most.
+/// Maximum number of members of a replica list.
 pub(crate) const MAX_REPLICAS: usize = 64;
-/// Bytes of a statement's body, at most: a record with its body fits one batch.
+/// Maximum size of a statement's body, so that a record with its body fits into one batch.
 pub(crate) const MAX_BODY_BYTES: usize = (2 << 20) - (256 << 10);
-/// Records or endings in one batch, at most: what was rejected of them fits one acknowledgement.
+/// Maximum number of records, and of endings, in one batch, so that its rejections fit into one
+/// acknowledgement.
 pub(crate) const MAX_BATCH_ITEMS: usize = 256;
 
-/// An incarnation in one of its terms. One that was fenced while its process runs goes on in its next term.
+/// An incarnation in one of its terms. An incarnation that is fenced while its process runs continues in its
+/// next term.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct Participant {
     pub incarnation: Incarnation,
@@ -37,7 +40,7 @@
 }
 
 impl Participant {
-    /// The same without the gateway's name, which the transport proves.
+    /// This participant without the gateway's name, which the transport authenticates.
     pub fn process_term(&self) -> ProcessTerm {
         ProcessTerm { incarnation_number: self.incarnation.number, term: self.term }
     }
@@ -46,7 +49,6 @@
 /// A participant without its gateway's name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ProcessTerm {
-    /// The incarnation's number.
     pub incarnation_number: u64,
     pub term: u32,
 }
@@ -55,17 +57,17 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ReplicaEntry {
     pub participant: Participant,
-    /// It never acts for this statement any more: fenced, resigned, or without room.
+    /// The member never acts for this statement again: it is fenced, has resigned, or had no room.
     pub excluded: bool,
-    /// The list's length when it was added: so many members have to know of it before it is notified.
+    /// The length of the list when this member was added. All members before that position must have
+    /// acknowledged the addition before this member is notified.
     pub added_after: u8,
 }
 
-/// A record as it is sent.
+/// A record as it is sent to a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ReplicaRecord {
     pub record: Record,
-    /// Whether the statement's body is included.
     pub has_body: bool,
     pub replicas: Vec<ReplicaEntry>,
 }
@@ -73,13 +75,13 @@
 /// Why a record was rejected. The discriminants are the encoded values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RejectReason {
-    /// There is no room, now or later, for this statement.
+    /// The receiver has no room for this statement and will never accept it.
     NoRoom = 0,
-    /// The record came without a body, and the body is not known here.
+    /// The record came without a body, and the receiver does not have the body.
     MissingBody = 1,
     /// The statement has ended.
     Ended = 2,
-    /// The sender is not in the replica list any more, or this gateway is not.
+    /// The sender or the receiver is no longer in the replica list.
     Obsolete = 3,
 }
 
@@ -91,54 +93,53 @@
     pub reason: RejectReason,
 }
 
-/// A voter's fence of one participant.
+/// A fence that a voter has stored for one participant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct FenceMark {
     pub participant: Participant,
-    /// For how long the lease that the voter granted it may still run.
+    /// How long the lease that the voter granted to the participant may still be valid.
     pub remaining: Micros,
 }
 
 /// What one gateway sends to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Message {
-    /// Asks for a lease, at that time of the sender's clock.
+    /// Requests a lease; sent at this time on the sender's clock.
     LeaseRequest(Micros),
-    /// Grants the lease that was asked for at that time of the receiver's clock.
+    /// Grants the lease that the receiver requested at this time on its clock.
     LeaseGrant(Micros),
-    /// The receiver's terms up to this one are fenced.
+    /// The receiver's terms up to and including this one are fenced.
     Fenced(u32),
-    /// Asks a voter to fence these participants, for good.
+    /// Asks a voter to fence these participants permanently.
     FenceRequest(Vec<Participant>),
     /// The voter has stored fences of these participants.
     FenceMarks(Vec<FenceMark>),
-    /// Records, and statements that have ended. The number orders the batches of a sender.
+    /// Records, and the keys of statements that have ended. The number orders the batches of a sender.
     Batch { to: ProcessTerm, number: u64, records: Vec<ReplicaRecord>, ended: Vec<StatementKey> },
-    /// The batch of that number has come, except for the rejected records.
+    /// The batch of this number was accepted, except for the rejected records.
     Acknowledgement { to: ProcessTerm, number: u64, rejected: Vec<Rejection> },
-    /// Announces the incarnation and term that this message names as its sender.
+    /// Announces the sender's incarnation and term, which are in the header of every message.
     TermAnnouncement,
-    /// Asks which term the receiver is in.
+    /// Asks the receiver for its term.
     TermQuery,
-    /// Asks a voter for its stored marks, at that time of the sender's clock.
+    /// Asks a voter for its stored marks; sent at this time on the sender's clock.
     MarksQuery(Micros),
-    /// The stored marks in their file format; empty if the sender has stored nothing either.
+    /// The sender's marks in the format of the stored file; empty if the sender has stored none either.
     StoredMarks { asked_at: Micros, marks: Vec<u8> },
 }
 
-/// Why bytes are not read as a message.
+/// Why bytes cannot be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum DecodeError {
-    /// They are malformed.
     Malformed,
-    /// They have a format that is not supported here.
+    /// The message has this format, which is not supported here.
     UnknownFormat(u8),
-    /// Their sender supports another format only.
+    /// The sender announced that it supports only this format.
     PeerFormat(u8),
 }
 
 impl Message {
-    /// The number that stands for the kind of a message in its bytes.
+    /// The encoded kind of the message.
     fn kind(&self) -> u8 {
         match self {
             Message::LeaseRequest(_) => 1,
@@ -155,7 +156,7 @@
         }
     }
 
-    /// The message in bytes, as sent by a process in a term.
+    /// Encodes the message, with the sender in its header.
     pub fn encode(&self, sender: ProcessTerm) -> Vec<u8> {
         let mut encoder = Encoder::new(vec![FORMAT, self.kind()]);
         encoder.process_term(sender);
@@ -190,7 +191,7 @@
         encoder.into_bytes()
     }
 
-    /// Reads a message and who sent it.
+    /// Decodes a message and its sender.
     pub fn decode(bytes: &[u8]) -> Result<(ProcessTerm, Message), DecodeError> {
         let mut decoder = Decoder::new(bytes);
         let (format, kind) = (decoder.u8()?, decoder.u8()?);
@@ -239,17 +240,18 @@
     }
 }
 
-/// The reply to a message of a format that is not supported here: it names the supported one.
+/// The reply to a message of an unsupported format; announces the supported one.
 pub(crate) fn unsupported_format_reply() -> Vec<u8> {
     vec![FORMAT, KIND_UNSUPPORTED_FORMAT]
 }
 
-/// Splits a list of participants, or of what is told of them, into parts that fit a datagram each.
+/// Splits a list of participants, or of items about one participant each, into parts that each fit into a
+/// datagram.
 pub(crate) fn split_into_datagrams<T>(all: Vec<T>, participant: impl Fn(&T) -> &Participant) -> Vec<Vec<T>> {
     let mut parts: Vec<Vec<T>> = Vec::new();
     let mut room = 0;
     for item in all {
-        let size = participant(&item).incarnation.name.len() + PARTICIPANT_BYTES;
+        let size = participant(&item).incarnation.name.len() + MAX_PARTICIPANT_BYTES;
         if size > room {
             parts.push(Vec::new());
             room = MAX_DATAGRAM_BYTES - DATAGRAM_HEADER_BYTES;
--- a/crates/custody/src/wire/codec.rs
+++ b/crates/custody/src/wire/codec.rs
@@ -1,4 +1,4 @@
-//! Encoding and decoding of the fields that messages and stored marks are made of.
+//! Encoding and decoding of the fields of messages and stored marks.
 
 use super::{
     DecodeError, Participant, ProcessTerm, RejectReason, ReplicaEntry, ReplicaRecord, MAX_NAME_BYTES,
@@ -6,23 +6,24 @@
 };
 use crate::{Ending, InFlightAttempt, Incarnation, Record, RepeatSafety, StatementKey};
 
-/// Bytes of a text, at most: its length is a 16-bit number.
+/// Maximum length of a text, which is encoded with a 16-bit length.
 const MAX_TEXT_BYTES: usize = u16::MAX as usize;
-/// The flags of a record: a repeat of its statement is unsafe; its body follows.
+/// Flag of a record: the statement may not run twice.
 const FLAG_UNSAFE: u8 = 1;
+/// Flag of a record: its body follows.
 const FLAG_BODY: u8 = 2;
-/// The encoded kinds of an ending.
+// Encoded kinds of an ending.
 const NO_ENDING: u8 = 0;
 const ENDING_CANCELLED: u8 = 1;
 const ENDING_REFUSED: u8 = 2;
 const ENDING_FAILED: u8 = 3;
 
-/// Appends fields to bytes.
+/// Appends encoded fields to a buffer.
 pub(super) struct Encoder(Vec<u8>);
 
 impl Encoder {
-    pub fn new(start: Vec<u8>) -> Encoder {
-        Encoder(start)
+    pub fn new(prefix: Vec<u8>) -> Encoder {
+        Encoder(prefix)
     }
 
     pub fn bytes(&self) -> &[u8] {
@@ -57,22 +58,22 @@
         self.u8(u8::from(flag));
     }
 
-    /// Bytes after their 32-bit length.
+    /// Appends a 32-bit length and the bytes.
     pub fn long_bytes(&mut self, bytes: &[u8]) {
         self.u32(bytes.len() as u32);
         self.raw(bytes);
     }
 
-    /// A list after its 16-bit length.
+    /// Appends a 16-bit count and the items.
     pub fn list<T>(&mut self, items: &[T], mut encode: impl FnMut(&mut Encoder, &T)) {
         self.u16(items.len() as u16);
         items.iter().for_each(|item| encode(self, item));
     }
 
-    /// A text after its 16-bit length; truncated at a character's boundary if it is longer.
+    /// Appends a 16-bit length and the text, truncated at a character boundary to [`MAX_TEXT_BYTES`].
     fn text(&mut self, text: &str) {
-        let longest = text.len().min(MAX_TEXT_BYTES);
-        let end = (0..=longest).rev().find(|&n| text.is_char_boundary(n)).unwrap_or(0);
+        let limit = text.len().min(MAX_TEXT_BYTES);
+        let end = (0..=limit).rev().find(|&n| text.is_char_boundary(n)).unwrap_or(0);
         self.u16(end as u16);
         self.raw(&text.as_bytes()[..end]);
     }
@@ -120,7 +121,8 @@
     fn attempt(&mut self, attempt: &InFlightAttempt) {
         self.u32(attempt.number);
         self.text(&attempt.engine);
-        // An address that is too long is left out: the statement is then not found again, which is reported.
+        // A URI that is too long is omitted: a gateway that takes over then cannot find the running statement,
+        // which it reports.
         let next_uri = attempt.next_uri.as_ref().filter(|uri| uri.len() <= MAX_TEXT_BYTES);
         self.flag(next_uri.is_some());
         next_uri.into_iter().for_each(|uri| self.text(uri));
@@ -151,7 +153,7 @@
     }
 }
 
-/// Reads fields from the front of bytes.
+/// Decodes fields from the front of a buffer.
 pub(super) struct Decoder<'a>(&'a [u8]);
 
 impl<'a> Decoder<'a> {
@@ -197,13 +199,13 @@
         }
     }
 
-    /// Bytes after their 32-bit length.
+    /// Reads a 32-bit length and that many bytes.
     pub fn long_bytes(&mut self) -> Result<Vec<u8>, DecodeError> {
         let length = self.u32()? as usize;
         self.next_bytes(length).map(<[u8]>::to_vec)
     }
 
-    /// A list after its 16-bit length.
+    /// Reads a 16-bit count and that many items; malformed if there are more than `max`.
     pub fn list<T>(
         &mut self,
         max: usize,
@@ -213,7 +215,7 @@
         self.items(count, max, decode)
     }
 
-    /// So many items; malformed if there are more than allowed.
+    /// Reads `count` items; malformed if that is more than `max`.
     pub fn items<T>(
         &mut self,
         count: usize,
@@ -312,10 +314,10 @@
     fn replica_list(&mut self) -> Result<Vec<ReplicaEntry>, DecodeError> {
         let count = usize::from(self.u8()?);
         let replicas = self.items(count, MAX_REPLICAS, Decoder::replica_entry)?;
-        // An entry that waits for more members than stand before it would never be notified.
-        let waits_in_vain =
+        // An entry that waits for more members than precede it would never be notified.
+        let is_unreachable =
             |(position, entry): (usize, &ReplicaEntry)| usize::from(entry.added_after) > position;
-        if replicas.iter().enumerate().any(waits_in_vain) {
+        if replicas.iter().enumerate().any(is_unreachable) {
             return Err(DecodeError::Malformed);
         }
         Ok(replicas)
--- a/crates/custody/src/wire/stored_marks.rs
+++ b/crates/custody/src/wire/stored_marks.rs
@@ -1,6 +1,6 @@
-//! The file of a voter: the fences that it has promised to keep.
+//! The file format of a voter's marks: the fences that it must keep across restarts.
 //!
-//! `magic 8 | format 1 | count 4 | fences | SHA-256 of all that 32`.
+//! `magic | format | count | fences | SHA-256 of all bytes before it`, of 8, 1, 4, any and 32 bytes.
 
 use std::fmt;
 
@@ -12,10 +12,10 @@
 
 const MAGIC: &[u8; 8] = b"vwcustod";
 const STORED_FORMAT: u8 = 1;
-/// Bytes of the checksum at the end.
+/// Size of the SHA-256 checksum at the end.
 const CHECKSUM_BYTES: usize = 32;
 
-/// A voter's promise to grant an incarnation no lease in its terms up to one.
+/// A mark with which a voter fences an incarnation: it grants no lease to its terms up to `through_term`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Fence {
     pub incarnation: Incarnation,
@@ -25,32 +25,32 @@
 /// Why the stored marks of a voter cannot be read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoredMarksError {
-    /// The bytes are no stored marks.
+    /// The file does not begin with the magic bytes of stored marks.
     Foreign,
-    /// They have a format that this program does not support.
+    /// The file has this format, which this program does not support.
     Format(u8),
-    /// They are truncated or corrupted.
+    /// The file is truncated or corrupted.
     Damaged,
 }
 
 impl fmt::Display for StoredMarksError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StoredMarksError::Foreign => write!(f, "the stored bytes are no list of fenced processes"),
+            StoredMarksError::Foreign => write!(f, "the stored file is not a list of fenced processes"),
             StoredMarksError::Format(n) => {
                 write!(
                     f,
-                    "the list of fenced processes has format {n}, this program supports {STORED_FORMAT}"
+                    "the list of fenced processes has format {n}, but this program supports only {STORED_FORMAT}"
                 )
             }
-            StoredMarksError::Damaged => write!(f, "the list of fenced processes is damaged"),
+            StoredMarksError::Damaged => write!(f, "the list of fenced processes is truncated or corrupted"),
         }
     }
 }
 
 impl std::error::Error for StoredMarksError {}
 
-/// The file's bytes for these fences.
+/// Encodes fences into the bytes of the file.
 pub(crate) fn encode_marks(fences: &[Fence]) -> Vec<u8> {
     let mut encoder = Encoder::new([&MAGIC[..], &[STORED_FORMAT]].concat());
     encoder.u32(fences.len() as u32);
@@ -63,12 +63,12 @@
     encoder.into_bytes()
 }
 
-/// The fences in a file's bytes; damaged if there are more than `max`.
+/// Decodes the bytes of the file; [`StoredMarksError::Damaged`] if it has more than `max` fences.
 pub(crate) fn decode_marks(bytes: &[u8], max: usize) -> Result<Vec<Fence>, StoredMarksError> {
     if !bytes.starts_with(MAGIC) {
         return Err(if bytes.is_empty() { StoredMarksError::Damaged } else { StoredMarksError::Foreign });
     }
-    // The checksum is verified first: a format byte that was corrupted is not another format.
+    // The checksum is verified before the format, so that a corrupted format byte is reported as damage.
     let (content, checksum) = bytes.split_last_chunk::<CHECKSUM_BYTES>().ok_or(StoredMarksError::Damaged)?;
     if Sha256::digest(content)[..] != checksum[..] {
         return Err(StoredMarksError::Damaged);
