--- a/crates/custody/src/node/leases.rs
+++ b/crates/custody/src/node/leases.rs
@@ -6,7 +6,7 @@
 use super::tombstones::Tombstone;
 use super::{Effect, InjectedFault, TakeoverNode, RETURN_WINDOW};
 use crate::lease::Lease;
-use crate::voter::{LeaseAnswer, TERM_ENDS_ALONE_AFTER};
+use crate::voter::{LeaseAnswer, MAX_TERM_WITHOUT_LEASE};
 use crate::wire::Message;
 use crate::{Micros, StatementKey};
 
@@ -30,7 +30,7 @@
         if is_valid {
             self.lease.last_valid_at = now;
         }
-        let is_abandoned = now > self.lease.last_valid_at + TERM_ENDS_ALONE_AFTER;
+        let is_abandoned = now > self.lease.last_valid_at + MAX_TERM_WITHOUT_LEASE;
         if !is_valid && (self.told_fenced || is_abandoned) && !self.handed_over {
             self.begin_next_term(now);
         }
@@ -80,7 +80,7 @@
                 self.lease.add_grant(voter, counted_from, self.lease_times.holder_span());
             }
             LeaseAnswer::Fenced(through) if *through >= self.local.term => self.told_fenced = true,
-            LeaseAnswer::Fenced(_) | LeaseAnswer::Silence => {}
+            LeaseAnswer::Fenced(_) | LeaseAnswer::NoAnswer => {}
         }
     }
 
--- a/crates/custody/src/node/messages.rs
+++ b/crates/custody/src/node/messages.rs
@@ -82,7 +82,7 @@
     /// This gateway's own vote on a lease.
     pub(super) fn vote_on_lease(&mut self, now: Micros, who: &Participant) -> LeaseAnswer {
         let voter = self.voter.as_mut();
-        let answer = voter.map_or(LeaseAnswer::Silence, |voter| voter.request_lease(now, who));
+        let answer = voter.map_or(LeaseAnswer::NoAnswer, |voter| voter.request_lease(now, who));
         self.begin_storing_marks();
         answer
     }
@@ -92,7 +92,7 @@
         match self.vote_on_lease(now, sender) {
             LeaseAnswer::Granted => self.send_message(to, &Message::LeaseGrant(requested_at)),
             LeaseAnswer::Fenced(through) => self.send_message(to, &Message::Fenced(through)),
-            LeaseAnswer::Silence => {}
+            LeaseAnswer::NoAnswer => {}
         }
     }
 }
--- a/crates/custody/src/voter.rs
+++ b/crates/custody/src/voter.rs
@@ -1,7 +1,7 @@
-//! A voter: it grants leases, fences participants, and stores its fences before it tells them.
+//! A voter: grants leases, fences participants, and stores each fence before it reports it.
 //!
-//! What a voter tells as still running of a lease is never less, by any allowed clock, than what the holder
-//! still counts.
+//! The remaining time of a lease that a voter reports is, on any clock within the allowed drift, never less
+//! than what the holder still counts.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,10 +10,10 @@
 use crate::wire::{FenceMark, Participant};
 use crate::{Incarnation, InjectedFault, Micros};
 
-/// Grants, fences and waiting replies that a voter holds at once; further ones are not given.
+/// Maximum number of grants, of fences and of pending replies that a voter holds; it refuses more.
 const MAX_REMEMBERED: usize = 4_096;
-/// A term that has held no lease for so long ends by itself; fences older than that may be dropped.
-pub(crate) const TERM_ENDS_ALONE_AFTER: Micros = 3_600_000_000;
+/// A process that has held no lease for this time ends its term by itself, so older fences may be dropped.
+pub(crate) const MAX_TERM_WITHOUT_LEASE: Micros = 3_600_000_000;
 
 struct Grant {
     incarnation_number: u64,
@@ -21,13 +21,14 @@
     until: Micros,
 }
 
-/// What a voter answers to a request for a lease.
+/// A voter's answer to a lease request.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum LeaseAnswer {
     Granted,
-    /// The terms of that incarnation are fenced through this one.
+    /// The terms of the incarnation are fenced up to and including this one.
     Fenced(u32),
-    Silence,
+    /// No answer is sent.
+    NoAnswer,
 }
 
 struct FenceState {
@@ -35,7 +36,7 @@
     since: Micros,
 }
 
-/// Fences that one write stores, and who is told of which once it is complete.
+/// Fences that one write stores, and the replies to send once it is complete.
 #[derive(Default)]
 struct PendingWrite {
     fenced: BTreeSet<Incarnation>,
@@ -45,65 +46,63 @@
 /// The voter of one process.
 pub(crate) struct Voter {
     times: LeaseTimes,
-    /// By name of gateway.
+    /// By gateway name.
     grants: BTreeMap<String, Grant>,
     fences: BTreeMap<Incarnation, FenceState>,
-    /// Nothing is granted before: grants of before the start may still run.
+    /// No lease is granted before this time, as leases granted before the restart may still be valid.
     silent_until: Micros,
-    /// Something is stored.
     has_stored: bool,
-    /// A write is under way.
     is_writing: bool,
-    /// The first write of all is due, whatever is fenced.
+    /// The initial write is due, even if nothing is fenced.
     first_write_due: bool,
     current_write: PendingWrite,
     next_write: PendingWrite,
-    /// Nothing was stored before: it learns first what the other voters have.
+    /// Set if nothing was stored at the start: this voter first learns the fences of the other voters.
     recovery: Option<Recovery>,
 }
 
-/// The state of a voter that has stored nothing: it starts for the first time, or has lost its disk, and with
-/// it fences that still count.
+/// State of a voter that has nothing stored: either it starts for the first time, or it has lost its disk and
+/// with it fences that are still in force.
 struct Recovery {
-    voters: usize,
-    /// Other voters that have stored nothing either.
+    voter_count: usize,
+    /// Other voters that have nothing stored either.
     empty_voters: BTreeSet<String>,
-    /// Other voters that have told their fences, asked after the startup silence.
+    /// Other voters that have sent their fences in answer to a query made after the startup silence.
     answered_voters: BTreeSet<String>,
 }
 
 impl Recovery {
-    fn new(voters: usize) -> Recovery {
-        Recovery { voters, empty_voters: BTreeSet::new(), answered_voters: BTreeSet::new() }
+    fn new(voter_count: usize) -> Recovery {
+        Recovery { voter_count, empty_voters: BTreeSet::new(), answered_voters: BTreeSet::new() }
     }
 
-    /// No voter has stored anything: the fleet starts for the first time.
+    /// Whether no voter has anything stored: the fleet starts for the first time.
     fn is_first_start(&self) -> bool {
-        self.empty_voters.len() == self.voters - 1
+        self.empty_voters.len() == self.voter_count - 1
     }
 
-    /// Every quorum with this voter in it has one voter that has told its fences, or all others have
-    /// answered.
+    /// Whether every quorum that includes this voter also includes one that has sent its fences, or all other
+    /// voters have answered.
     fn is_complete(&self) -> bool {
-        let quorum = self.voters / 2 + 1;
-        let known = self.answered_voters.union(&self.empty_voters).count();
-        let all_answered = known == self.voters - 1 && !self.answered_voters.is_empty();
-        self.is_first_start() || all_answered || self.answered_voters.len() > self.voters - quorum
+        let quorum = self.voter_count / 2 + 1;
+        let heard_voters = self.answered_voters.union(&self.empty_voters).count();
+        let all_answered = heard_voters == self.voter_count - 1 && !self.answered_voters.is_empty();
+        self.is_first_start() || all_answered || self.answered_voters.len() > self.voter_count - quorum
     }
 }
 
 impl Voter {
-    /// A voter that starts, with what it had stored: `None` if that is nothing.
+    /// Starts a voter with its stored marks, `None` if it has none.
     pub fn new(
         times: LeaseTimes,
         stored: Option<&[u8]>,
         now: Micros,
-        voters: usize,
+        voter_count: usize,
         fault: InjectedFault,
     ) -> Result<Voter, StoredMarksError> {
         let fences = stored.map_or(Ok(Vec::new()), |bytes| decode_marks(bytes, MAX_REMEMBERED))?;
         let fences = if fault == InjectedFault::MarksNotStored { Vec::new() } else { fences };
-        let recovers = stored.is_none() && voters > 1 && fault != InjectedFault::VotesWithoutMarks;
+        let recovers = stored.is_none() && voter_count > 1 && fault != InjectedFault::VotesWithoutMarks;
         let silent = fault != InjectedFault::NoStartupSilence && (stored.is_some() || recovers);
         let state =
             |fence: Fence| (fence.incarnation, FenceState { through_term: fence.through_term, since: now });
@@ -114,21 +113,21 @@
             silent_until: if silent { now + times.wait_for_other_clock(times.lease) } else { 0 },
             has_stored: stored.is_some(),
             is_writing: false,
-            // Stored before the first grant, so that the next start is known to be none of a new fleet.
+            // Written before the first grant, so that the next start is recognized as a restart.
             first_write_due: stored.is_none(),
             current_write: PendingWrite::default(),
             next_write: PendingWrite::default(),
-            recovery: recovers.then(|| Recovery::new(voters)),
+            recovery: recovers.then(|| Recovery::new(voter_count)),
         })
     }
 
-    /// Whether this voter has to learn the other voters' fences before it takes part.
+    /// Whether this voter still has to learn the other voters' fences before it votes.
     pub fn is_recovering(&self) -> bool {
         self.recovery.is_some()
     }
 
-    /// The fences for a voter that has none stored, in the format of the file; empty while this one recovers
-    /// too.
+    /// The fences to send to a recovering voter, in the format of the stored file; empty while this voter
+    /// recovers too.
     pub fn marks_for_recovery(&self) -> Vec<u8> {
         if self.is_recovering() {
             return Vec::new();
@@ -145,10 +144,10 @@
         encode_marks(&fences)
     }
 
-    /// Another voter has answered the query made at a time with its marks; empty if it has stored nothing.
+    /// Handles another voter's answer to the query made at `asked_at`: its marks, empty if it has none stored.
     ///
-    /// Only answers to queries after the startup silence count: by then each quorum that counts a fence of
-    /// this voter from before its loss is whole.
+    /// Only answers to queries made after the startup silence count: by then every quorum that relied on a
+    /// fence which this voter has lost is complete, so that its other members know that fence.
     pub fn learn_marks(&mut self, now: Micros, from: &str, asked_at: Micros, marks: &[u8]) {
         let Some(recovery) = &mut self.recovery else { return };
         if marks.is_empty() {
@@ -170,14 +169,14 @@
         }
     }
 
-    /// A participant asks for a lease.
+    /// Handles a participant's request for a lease.
     pub fn request_lease(&mut self, now: Micros, who: &Participant) -> LeaseAnswer {
         let fence = self.fences.get(&who.incarnation);
         if let Some(fence) = fence.filter(|fence| fence.through_term >= who.term) {
             return LeaseAnswer::Fenced(fence.through_term);
         }
         if !self.has_stored || self.is_recovering() || now < self.silent_until {
-            return LeaseAnswer::Silence;
+            return LeaseAnswer::NoAnswer;
         }
         let Participant { incarnation: Incarnation { name, number: incarnation_number }, term } = who;
         let new = Grant {
@@ -187,21 +186,22 @@
         };
         let Some(grant) = self.grants.get_mut(name) else {
             if !self.has_room_for_grant(now) {
-                return LeaseAnswer::Silence;
+                return LeaseAnswer::NoAnswer;
             }
             self.grants.insert(name.clone(), new);
             return LeaseAnswer::Granted;
         };
-        // A later term proves the earlier one over; of another incarnation only time does.
-        let runs =
+        // A later term of the same incarnation proves that the earlier one is over; a grant to another
+        // incarnation has to expire.
+        let is_binding =
             grant.until > now && (grant.incarnation_number != *incarnation_number || grant.term > *term);
-        if runs || (grant.incarnation_number == *incarnation_number && grant.term > *term) {
-            return LeaseAnswer::Silence;
+        if is_binding || (grant.incarnation_number == *incarnation_number && grant.term > *term) {
+            return LeaseAnswer::NoAnswer;
         }
-        let before = std::mem::replace(grant, new);
-        if before.incarnation_number != *incarnation_number {
-            let incarnation = Incarnation { name: name.clone(), number: before.incarnation_number };
-            self.add_fence(now, &Participant { incarnation, term: before.term });
+        let previous = std::mem::replace(grant, new);
+        if previous.incarnation_number != *incarnation_number {
+            let incarnation = Incarnation { name: name.clone(), number: previous.incarnation_number };
+            self.add_fence(now, &Participant { incarnation, term: previous.term });
         }
         LeaseAnswer::Granted
     }
@@ -213,7 +213,7 @@
         self.grants.len() < MAX_REMEMBERED
     }
 
-    /// Fences a participant, to be stored with the next write. Returns whether there was room for it.
+    /// Fences a participant; the next write stores the fence. Returns whether there was room for it.
     fn add_fence(&mut self, now: Micros, who: &Participant) -> bool {
         let known = self.fences.get(&who.incarnation);
         if known.is_some_and(|fence| fence.through_term >= who.term) {
@@ -232,13 +232,13 @@
     }
 
     fn drop_old_fences(&mut self, now: Micros) {
-        let needed = TERM_ENDS_ALONE_AFTER + 2 * self.times.lease;
-        let span = self.times.wait_for_other_clock(self.times.wait_for_other_clock(needed));
+        let needed_for = MAX_TERM_WITHOUT_LEASE + 2 * self.times.lease;
+        let span = self.times.wait_for_other_clock(self.times.wait_for_other_clock(needed_for));
         self.fences.retain(|_, fence| now < fence.since + span);
     }
 
-    /// A gateway wants participants fenced: returns those whose fences are stored already; for the others the reply comes from
-    /// [`Voter::write_completed`].
+    /// Fences participants on behalf of a gateway. Returns the fences that are stored already;
+    /// [`Voter::write_completed`] returns the others.
     pub fn fence(&mut self, now: Micros, from: &str, who: Vec<Participant>) -> Vec<FenceMark> {
         let mut marks = Vec::new();
         if self.is_recovering() {
@@ -259,7 +259,7 @@
         marks
     }
 
-    /// The last write that has to complete before the fence of an incarnation is stored.
+    /// The latest unfinished write that stores the fence of an incarnation.
     fn unfinished_write_of(&mut self, incarnation: &Incarnation) -> Option<&mut PendingWrite> {
         let writes = [&mut self.next_write, &mut self.current_write];
         writes.into_iter().find(|write| write.fenced.contains(incarnation))
@@ -274,7 +274,8 @@
         FenceMark { participant, remaining: until.saturating_sub(now) }
     }
 
-    /// The bytes that are to be stored now, if any; [`Voter::write_completed`] follows.
+    /// Begins a write if one is due and returns its bytes; the caller stores them and then calls
+    /// [`Voter::write_completed`].
     pub fn begin_write(&mut self) -> Option<Vec<u8>> {
         let nothing_new = self.next_write.fenced.is_empty() && !self.first_write_due;
         if self.is_recovering() || self.is_writing || nothing_new {
@@ -286,7 +287,7 @@
         Some(self.encoded_fences())
     }
 
-    /// The bytes are stored: returns which gateway is told of which fence.
+    /// Handles the completion of a write. Returns the fences to report, each with the gateway to report it to.
     pub fn write_completed(&mut self, now: Micros) -> Vec<(String, FenceMark)> {
         self.is_writing = false;
         self.has_stored = true;
