--- a/crates/custody/examples/histories.rs
+++ b/crates/custody/examples/histories.rs
@@ -1,5 +1,5 @@
-//! Plays drawn histories and prints what happened: `histories [FROM [TO [FAULT]]]`. With an injected fault, by
-//! its number, until it is found.
+//! Plays drawn histories and prints what happened: `histories [FROM [TO [FAULT]]]`. With an injected fault,
+//! by its number, until it is found.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
--- a/crates/custody/src/lib.rs
+++ b/crates/custody/src/lib.rs
@@ -2,11 +2,11 @@
 //! gateways keep a replica of its record, and which single gateway takes it over after its owner has failed.
 //! See `docs/custody.md`, and `docs/glossary.md` for the terms.
 //!
-//! **Guarantee.** As long as every clock runs within the allowed rate of drift, no two gateways start attempts
-//! of one statement at the same true time, and no two different endings of it are reported.
+//! **Guarantee.** As long as every clock runs within the allowed rate of drift, no two gateways start
+//! attempts of one statement at the same true time, and no two different endings of it are reported.
 //!
-//! **Protocol.** An *incarnation* of a gateway (one process of its name) acts under a *lease* that a quorum of
-//! voters grants; the holder counts it from the time of its request. A failed incarnation is *fenced*: a
+//! **Protocol.** An *incarnation* of a gateway (one process of its name) acts under a *lease* that a quorum
+//! of voters grants; the holder counts it from the time of its request. A failed incarnation is *fenced*: a
 //! quorum of voters stores a mark and never grants to it again, and the fence takes effect once the leases
 //! that these voters granted have expired. A statement has a *replica list*: its owner, then its replicas.
 //! Only the owner changes the list, and only by appending to it; an extended list is in force once every
@@ -50,8 +50,8 @@
 pub enum RepeatSafety {
     /// A repeat is harmless: attempts start without waiting for the replicas.
     Safe,
-    /// A repeat is unsafe, or safe within limits only: the replicas hold the intent before the first byte goes
-    /// to an engine.
+    /// A repeat is unsafe, or safe within limits only: the replicas hold the intent before the first byte
+    /// goes to an engine.
     Unsafe,
 }
 
@@ -90,8 +90,8 @@
     pub key: StatementKey,
     /// Version of the record; a higher version replaces a lower one.
     pub version: u64,
-    /// What a gateway needs to continue the statement: text, context, class, tenant, keys, public name. Opaque
-    /// to this crate; sent once, and empty in later records.
+    /// What a gateway needs to continue the statement: text, context, class, tenant, keys, public name.
+    /// Opaque to this crate; sent once, and empty in later records.
     pub body: Vec<u8>,
     /// Whether the statement may run twice.
     pub repeat: RepeatSafety,
--- a/crates/custody/src/node.rs
+++ b/crates/custody/src/node.rs
@@ -1,5 +1,5 @@
-//! The state machine of one gateway: its lease, its vote, the statements it owns and the records it keeps for
-//! others.
+//! The state machine of one gateway: its lease, its vote, the statements it owns and the records it holds as
+//! a replica of other gateways' statements.
 
 mod fencing;
 mod leases;
@@ -31,79 +31,80 @@
 use crate::{Ending, Incarnation, Micros, Record, StatementKey};
 
 const MILLISECOND: Micros = 1_000;
-/// Changes of one statement that nothing waits for are collected for so long before they are sent.
+/// Delay before a changed record that nothing waits for is sent, so that further changes go with it.
 const COALESCING_DELAY: Micros = 20 * MILLISECOND;
-/// Statements that are reviewed in one turn, and the time between turns.
+/// Time between two turns in which queued statements are reviewed and taken over.
+const TURN_INTERVAL: Micros = 10 * MILLISECOND;
+/// Maximum number of statements that are reviewed in one turn.
 const REVIEWS_PER_TURN: usize = 64;
-const TURN: Micros = 10 * MILLISECOND;
-/// Statements that are taken over in one turn.
+/// Maximum number of statements that are taken over in one turn.
 const TAKEOVERS_PER_TURN: usize = 8;
-/// Between two looks at what leaves by its age.
+/// Time between two removals of expired state.
 const SWEEP_INTERVAL: Micros = 1_000 * MILLISECOND;
-/// A replica's record is kept for so long after the statement's deadline.
+/// How long a replica keeps a record after the statement's deadline.
 const REPLICA_RETENTION: Micros = 30_000 * MILLISECOND;
-/// For so long after its lease was last valid, a fenced process returns statements that nobody else is known
+/// How long after its lease was last valid a fenced process returns statements that no other gateway is known
 /// to have.
 const RETURN_WINDOW: Micros = 60_000 * MILLISECOND;
-/// Processes that are remembered at once.
+/// Maximum number of processes whose state is kept.
 const MAX_PEERS: usize = 4_096;
 
 /// The settings of a gateway's state machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// This process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// Its site: replicas are at other sites where there are some.
+    /// The site of this gateway; replicas are placed at other sites if there are any.
     pub site: String,
-    /// Names of the gateways that vote.
+    /// Names of the gateways that are voters.
     pub voters: Vec<String>,
     /// The nominal duration of a lease.
     pub lease: Micros,
-    /// Parts of a million by which any clock may run too fast or too slow.
+    /// Maximum rate by which any clock may run fast or slow, in parts per million.
     pub drift_ppm: u64,
-    /// The longest time from a look at the lease to the end of the action that it allows.
+    /// The longest time between a check of the lease and the end of the action that it permits.
     pub action_margin: Micros,
-    /// Replicas of a statement beside its owner.
+    /// Number of replicas of a statement, not counting its owner.
     pub replicas: usize,
-    /// Records that are kept for others, at most.
+    /// Maximum number of records held for other gateways.
     pub max_replica_records: usize,
-    /// Bytes of them, at most.
+    /// Maximum total size of these records in bytes.
     pub max_replica_bytes: usize,
 }
 
-/// What membership believes of a process.
+/// The state of a process according to membership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum MemberState {
-    /// It answers.
+    /// It answers probes.
     Alive,
-    /// It does not answer.
+    /// It does not answer probes, and is not declared dead yet.
     Suspect,
-    /// It is gone.
+    /// It was declared dead.
     Dead,
-    /// It has announced that it leaves.
+    /// It has announced that it leaves the fleet.
     Left,
 }
 
-/// A process as membership knows it.
+/// A process according to membership.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Which process.
+    /// The process.
     pub incarnation: Incarnation,
     /// Its site.
     pub site: String,
-    /// What is believed of it.
+    /// Its state.
     pub state: MemberState,
 }
 
-/// Whether an attempt may start, or an ending be reported.
+/// The answer to a request to start an attempt or to report an ending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Permission {
-    /// Now.
+    /// The action is allowed now.
     Granted,
-    /// Once [`Effect::StartAttempt`] or [`Effect::ReportEnding`] follows; never if [`Effect::Relinquished`]
-    /// does.
+    /// The action is allowed once [`Effect::StartAttempt`] or [`Effect::ReportEnding`] follows, and not at
+    /// all if [`Effect::Relinquished`] follows instead.
     Pending,
-    /// Not by this gateway, or not now: its lease is not valid, or it is not the owner any more.
+    /// The action is not allowed: the lease is not valid now, or this gateway is not the owner.
     Denied,
 }
 
@@ -122,67 +123,69 @@
     Ended(Option<Ending>),
 }
 
-/// What the caller has to do, in order.
+/// An action that the caller has to carry out; effects are carried out in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Send this datagram of a thousand bytes at most to a gateway; it may be lost.
+    /// Send this datagram, of at most 1,000 bytes, to a gateway; it may be lost.
     SendDatagram(String, Vec<u8>),
-    /// Send these records to a gateway over a stream. The reply comes by [`TakeoverNode::handle_message`]; call
-    /// [`TakeoverNode::handle_send_failure`] if they cannot be sent.
+    /// Send these records to a gateway over a stream, and call [`TakeoverNode::handle_send_failure`] if that
+    /// fails. The reply arrives through [`TakeoverNode::handle_message`].
     SendRecords(String, Vec<u8>),
-    /// Store these bytes in place of those stored before, then call [`TakeoverNode::marks_stored`].
+    /// Replace the stored marks by these bytes, then call [`TakeoverNode::marks_stored`].
     StoreMarks(Vec<u8>),
-    /// The intent of that attempt is recorded: it may be written to its engine.
+    /// The intent of the attempt of this number, from 1, is recorded: the attempt may be sent to its engine.
     StartAttempt(StatementKey, u32),
     /// The ending is recorded: it may be reported to the client.
     ReportEnding(StatementKey),
-    /// This gateway owns the statement from now on. An ending in the record may be reported.
+    /// This gateway now owns the statement. If the record has an ending, it may be reported.
     TakenOver(Box<Record>),
-    /// This gateway does not own the statement any more: stop acting for it, report nothing, and pass polls
-    /// on.
+    /// This gateway no longer owns the statement: stop acting for it, report no ending, and forward polls.
     Relinquished(StatementKey),
-    /// No replica is to be had for the statement.
+    /// The statement has no replica and none can be selected.
     Unreplicated(StatementKey),
-    /// For the log.
+    /// Write this message to the log.
     Log(String),
 }
 
-/// A fault injected on purpose, to show that the simulation finds it.
+/// A fault injected into the state machine, to show that the simulation detects it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub enum InjectedFault {
-    /// None.
+    /// No fault.
     #[default]
     None,
-    /// A lease counts from when its grant came.
+    /// A lease counts from the receipt of the grant rather than from its request.
     LeaseFromReceipt,
-    /// Half of the voters are a quorum.
+    /// Half of the voters count as a quorum.
     HalfIsQuorum,
-    /// Fences are forgotten at a restart.
+    /// A voter forgets its fences at a restart.
     MarksNotStored,
-    /// A voter that has started again grants at once.
+    /// A restarted voter grants leases at once.
     NoStartupSilence,
-    /// A replica acknowledges a longer replica list and goes on with the one it had.
+    /// A replica acknowledges an extended replica list but keeps its previous one.
     ReplicaListForgotten,
-    /// A new replica is notified before those in front of it know of it.
+    /// A new replica is notified before the members that precede it know of it.
     ReplicaListNotAwaited,
-    /// The lease is not looked at.
+    /// The lease is not checked before an action.
     ActsWithoutLease,
-    /// An attempt does not wait until its intent is recorded.
+    /// An attempt starts before its intent is recorded.
     IntentNotAwaited,
-    /// A participant counts as fenced while leases granted to it may still run.
+    /// A participant counts as fenced while leases granted to it may still be valid.
     GrantNotWaitedOut,
-    /// A voter that has lost its disk votes as if it started for the first time.
+    /// A voter that has lost its disk votes as if the fleet started for the first time.
     VotesWithoutMarks,
 }
 
-/// Records that are kept for others.
+/// Usage by the records held for other gateways.
 #[derive(Debug, Clone, Copy, Default)]
 struct ReplicaUsage {
     records: usize,
     bytes: usize,
 }
 
-/// The state machine of one gateway. See the crate's documentation.
+/// The takeover state machine of one gateway.
+///
+/// The caller passes in the time and what happens, and carries out the effects that
+/// [`TakeoverNode::next_effect`] returns. The crate documentation describes the protocol.
 pub struct TakeoverNode {
     settings: Settings,
     fault: InjectedFault,
@@ -191,42 +194,42 @@
     local: Participant,
     voter: Option<Voter>,
     lease: Lease,
-    /// Whether the lease allowed actions at the last look.
+    /// Whether the lease allowed actions when it was last checked.
     lease_held: bool,
     renew_at: Micros,
-    /// When a recovering voter asks the other voters again for their marks.
+    /// When a recovering voter next queries the other voters for their marks.
     marks_query_at: Micros,
     /// A voter has answered that this term is fenced.
-    told_fenced: bool,
+    term_fenced: bool,
     members: BTreeMap<Incarnation, MemberInfo>,
-    /// Processes that replica lists name and membership does not, and since when.
+    /// Processes that are in replica lists but not listed by membership, and since when.
     unlisted_since: BTreeMap<Incarnation, Micros>,
     candidates: Vec<Candidate>,
-    /// Those whose program supports another message format only.
+    /// Processes whose program supports another message format only.
     incompatible: BTreeSet<Incarnation>,
     peers: BTreeMap<Participant, Peer>,
-    /// The newest term of a process that was heard of.
+    /// The newest known term of each process.
     newest_terms: BTreeMap<Incarnation, u32>,
-    /// Through which term a process is fenced.
+    /// The term up to and including which each process is fenced.
     fenced_through: BTreeMap<Incarnation, u32>,
     fencing: BTreeMap<Participant, FencingAttempt>,
-    /// Those that the caller wants to know fenced, until that time.
+    /// Participants that the caller has asked to fence, and when that request expires.
     fencing_wanted: BTreeMap<Participant, Micros>,
     statements: BTreeMap<StatementKey, Statement>,
-    /// Statements by those in their replica lists that may act for them.
+    /// Statements by the members of their replica lists that may still act for them.
     statements_by_participant: BTreeMap<Participant, BTreeSet<StatementKey>>,
-    /// What may be taken over, the earliest deadline first.
+    /// Statements that this gateway may take over, by deadline.
     takeover_ready: BTreeSet<(Micros, StatementKey)>,
     to_review: BTreeSet<StatementKey>,
     review_at: Micros,
-    /// When a record is passed to the first of its replica list that may not know of it.
+    /// When a record is forwarded to the first member of its replica list, which may not have it.
     forward_at: BTreeMap<StatementKey, Micros>,
-    /// Owned statements with something that waits until it is recorded.
+    /// Owned statements with an action that waits until it is recorded at the replicas.
     awaiting_replicas: BTreeSet<StatementKey>,
-    /// When records leave by their age.
+    /// When records expire.
     expiry: BTreeSet<(Micros, StatementKey)>,
     replica_usage: ReplicaUsage,
-    /// Statements whose records are never accepted here, until that time.
+    /// Statements whose records are never accepted here, and when that entry expires.
     declined: BTreeMap<StatementKey, Micros>,
     tombstones: Tombstones,
     /// The highest number of a statement that was accepted here.
@@ -234,18 +237,18 @@
     handing_over: bool,
     handed_over: bool,
     sweep_at: Micros,
-    /// The newest time that the caller told.
+    /// The time that the caller passed last.
     latest_time: Micros,
     effects: VecDeque<Effect>,
 }
 
 fn quorum_of(voters: usize, fault: InjectedFault) -> usize {
-    let more_than_half = usize::from(fault != InjectedFault::HalfIsQuorum);
-    (voters / 2 + more_than_half).max(1)
+    let majority_excess = usize::from(fault != InjectedFault::HalfIsQuorum);
+    (voters / 2 + majority_excess).max(1)
 }
 
 impl TakeoverNode {
-    /// A gateway that starts, with the marks it had stored: `None` at its first start ever.
+    /// Creates the state machine of a gateway that starts, with its stored marks; `None` if it has none.
     ///
     /// # Errors
     /// If the stored marks cannot be read.
@@ -257,10 +260,10 @@
         TakeoverNode::with_injected_fault(settings, stored_marks, now, InjectedFault::None)
     }
 
-    /// As [`TakeoverNode::new`], with a fault.
+    /// Like [`TakeoverNode::new`], with an injected fault.
     ///
     /// # Errors
-    /// As there.
+    /// If the stored marks cannot be read.
     pub fn with_injected_fault(
         settings: Settings,
         stored_marks: Option<&[u8]>,
@@ -281,7 +284,7 @@
             lease_held: false,
             renew_at: now,
             marks_query_at: now,
-            told_fenced: false,
+            term_fenced: false,
             members: BTreeMap::new(),
             unlisted_since: BTreeMap::new(),
             candidates: Vec::new(),
@@ -321,7 +324,7 @@
         self.settings.voters.iter().any(|voter| voter == name)
     }
 
-    /// The next effect.
+    /// Removes and returns the next effect to carry out.
     pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
@@ -340,19 +343,19 @@
     pub fn next_wake(&self) -> Option<Micros> {
         let peers = self.peers.values().flat_map(Peer::next_wake);
         let fencing = self.fencing.values().map(|attempt| attempt.next_wake(self.lease_held));
-        let has_turn = !self.to_review.is_empty() || (!self.takeover_ready.is_empty() && self.lease_held);
-        let recovers = self.voter.as_ref().is_some_and(Voter::is_recovering);
+        let needs_turn = !self.to_review.is_empty() || (!self.takeover_ready.is_empty() && self.lease_held);
+        let is_recovering = self.voter.as_ref().is_some_and(Voter::is_recovering);
         let others = [
             (!self.handed_over).then_some(self.renew_at),
-            recovers.then_some(self.marks_query_at),
+            is_recovering.then_some(self.marks_query_at),
             Some(self.sweep_at),
             self.forward_at.values().copied().min(),
-            has_turn.then_some(self.review_at),
+            needs_turn.then_some(self.review_at),
         ];
         peers.chain(fencing).chain(others.into_iter().flatten()).min()
     }
 
-    /// Does what is due.
+    /// Does the work that is due at this time.
     pub fn wake(&mut self, now: Micros) {
         self.advance(now);
     }
@@ -383,7 +386,7 @@
         if self.review_at > now || (self.to_review.is_empty() && self.takeover_ready.is_empty()) {
             return;
         }
-        self.review_at = now + TURN;
+        self.review_at = now + TURN_INTERVAL;
         for _ in 0..REVIEWS_PER_TURN {
             let Some(key) = self.to_review.pop_first() else { break };
             self.review_statement(now, &key);
--- a/crates/custody/src/node/fencing.rs
+++ b/crates/custody/src/node/fencing.rs
@@ -1,4 +1,5 @@
-//! Fencing of processes that are gone: requests to the voters, their answers, and this gateway's own vote.
+//! Fencing of processes that are gone: requests to the voters, their answers, and this gateway's part as a
+//! voter.
 
 use std::collections::BTreeMap;
 
@@ -7,55 +8,55 @@
 use crate::wire::{split_into_datagrams, FenceMark, Message, Participant, MAX_DATAGRAM_BYTES};
 use crate::{Incarnation, Micros};
 
-/// Fences that are missing are asked for again after so long.
+/// Time between two requests to a voter that has not answered.
 const RETRY_INTERVAL: Micros = 300 * MILLISECOND;
-/// For so long after the caller's question a process is being fenced.
-const WANTED_FOR: Micros = 30_000 * MILLISECOND;
+/// How long a fencing request of the caller stays in force.
+const REQUEST_LIFETIME: Micros = 30_000 * MILLISECOND;
 
-/// A voter's answer to a request to fence.
+/// A voter's confirmation that it has stored a fence.
 #[derive(Debug, Clone, Copy)]
 struct VoterMark {
-    came_at: Micros,
-    /// When the lease that this voter granted has run out on any clock.
-    lease_over_at: Micros,
+    received_at: Micros,
+    /// When the lease that this voter granted has expired on any clock.
+    lease_expires_at: Micros,
 }
 
-/// A participant that is to be fenced, with the marks of voters that have come.
+/// The attempt to fence a participant, with the marks received from voters.
 ///
-/// Marks count as a quorum only if they came within one lease: a voter that has lost its disk is silent for
-/// longer.
+/// Marks form a quorum only if they were received within one lease duration, because a voter that has lost
+/// its disk, and with it the mark, stays silent for longer than that after its restart.
 #[derive(Default)]
 pub(super) struct FencingAttempt {
     marks: BTreeMap<String, VoterMark>,
     requested_at: Option<Micros>,
-    /// From when on the participant is fenced; set once a quorum has marked it.
+    /// When the fence takes effect; set once a quorum of voters has marked the participant.
     fenced_at: Option<Micros>,
 }
 
 impl FencingAttempt {
     fn add_mark(&mut self, voter: &str, mark: VoterMark, quorum: usize, lease: Micros) {
-        let now = mark.came_at;
+        let now = mark.received_at;
         let known = self.marks.entry(voter.to_owned()).or_insert(mark);
-        known.came_at = now;
-        known.lease_over_at = known.lease_over_at.min(mark.lease_over_at);
-        self.marks.retain(|_, known| now < known.came_at + lease);
-        let mut times: Vec<Micros> = self.marks.values().map(|known| known.lease_over_at).collect();
-        times.sort_unstable();
-        let fenced_at = quorum.checked_sub(1).and_then(|position| times.get(position)).copied();
+        known.received_at = now;
+        known.lease_expires_at = known.lease_expires_at.min(mark.lease_expires_at);
+        self.marks.retain(|_, known| now < known.received_at + lease);
+        let mut expiries: Vec<Micros> = self.marks.values().map(|known| known.lease_expires_at).collect();
+        expiries.sort_unstable();
+        let fenced_at = quorum.checked_sub(1).and_then(|position| expiries.get(position)).copied();
         self.fenced_at = self.fenced_at.into_iter().chain(fenced_at).min();
     }
 
-    /// Whether a voter is to be asked for its mark.
+    /// Whether a voter has to be asked for its mark, or asked again before the mark gets too old.
     fn needs_mark_of(&self, now: Micros, voter: &str, lease: Micros) -> bool {
         let mark = self.marks.get(voter);
-        self.fenced_at.is_none() && mark.is_none_or(|mark| now >= mark.came_at + lease / 2)
+        self.fenced_at.is_none() && mark.is_none_or(|mark| now >= mark.received_at + lease / 2)
     }
 
     fn is_request_due(&self, now: Micros) -> bool {
         self.requested_at.is_none_or(|at| at + RETRY_INTERVAL <= now)
     }
 
-    /// When something is due; requests are sent only by a gateway that holds a lease.
+    /// When this attempt next needs work; requests are sent only by a gateway that holds a lease.
     pub(super) fn next_wake(&self, lease_held: bool) -> Micros {
         let request_at = lease_held.then(|| self.requested_at.map_or(0, |at| at + RETRY_INTERVAL));
         request_at.into_iter().chain(self.fenced_at).min().unwrap_or(Micros::MAX)
@@ -63,11 +64,11 @@
 }
 
 impl TakeoverNode {
-    // --- Which participants are fenced ---
+    // Which participants are fenced.
 
-    /// Whether a process is fenced through a term, or through the newest one that was heard of: it can act no
-    /// more. What membership believes is not enough: across a network partition an owner that goes on looks
-    /// dead.
+    /// Whether a process is fenced up to a term, or up to its newest known term if that is later, and so
+    /// cannot act in it any more. The state according to membership does not show that: across a network
+    /// partition a running owner looks dead.
     pub fn is_fenced(&self, incarnation: &Incarnation, term: u32) -> bool {
         self.is_participant_fenced(&self.participant_in_newest_term(incarnation, term))
     }
@@ -76,20 +77,21 @@
         self.fenced_through.get(&who.incarnation).is_some_and(|through| who.term <= *through)
     }
 
-    /// The caller needs to know whether a process is fenced. If membership believes it gone, the voters are
-    /// asked to fence it, for half a minute from now.
+    /// Requests that a process be fenced if it is gone according to membership. The request stays in force
+    /// for 30 seconds.
     pub fn request_fencing(&mut self, now: Micros, incarnation: &Incarnation, term: u32) {
         let who = self.participant_in_newest_term(incarnation, term);
         let has_room = self.fencing_wanted.len() < MAX_PEERS || self.fencing_wanted.contains_key(&who);
         if self.is_participant_fenced(&who) || !has_room {
             return;
         }
-        self.fencing_wanted.insert(who, now + WANTED_FOR);
+        self.fencing_wanted.insert(who, now + REQUEST_LIFETIME);
         self.update_fencing_attempts(now);
         self.advance(now);
     }
 
-    /// Whoever is believed gone and is in a replica list, or is asked for, is to be fenced.
+    /// Starts to fence participants that are gone according to membership and are in a replica list or
+    /// requested by the caller, and stops for those that are neither any more.
     pub(super) fn update_fencing_attempts(&mut self, now: Micros) {
         let (referenced, wanted) = (&self.statements_by_participant, &self.fencing_wanted);
         for who in referenced.keys().chain(wanted.keys()) {
@@ -97,10 +99,11 @@
                 self.unlisted_since.entry(who.incarnation.clone()).or_insert(now);
             }
         }
-        let is_due = |who: &&Participant| {
+        let needs_fence = |who: &&Participant| {
             self.is_believed_gone(now, &who.incarnation) && !self.is_participant_fenced(who)
         };
-        let gone: Vec<Participant> = referenced.keys().chain(wanted.keys()).filter(is_due).cloned().collect();
+        let gone: Vec<Participant> =
+            referenced.keys().chain(wanted.keys()).filter(needs_fence).cloned().collect();
         for who in gone {
             self.fencing.entry(who).or_default();
         }
@@ -120,12 +123,13 @@
             self.fencing.remove(&who);
             let statements = self.statements_by_participant.get(&who).map_or(0, |keys| keys.len());
             let Incarnation { name, number } = &who.incarnation;
-            self.log(format!("{name} ({number:016x}) is fenced: {statements} statements"));
+            self.log(format!("{name} ({number:016x}) is fenced; {statements} statements here refer to it"));
             self.record_fenced(&who);
         }
     }
 
-    /// A participant is fenced, and its earlier terms are: statements that name them are reviewed.
+    /// Records that a participant and its earlier terms are fenced, and queues the statements that refer to
+    /// them for review.
     pub(super) fn record_fenced(&mut self, who: &Participant) {
         let through = self.fenced_through.entry(who.incarnation.clone()).or_insert(who.term);
         *through = who.term.max(*through);
@@ -133,18 +137,18 @@
         let last = Participant { incarnation: who.incarnation.clone(), term: *through };
         let fenced = self.statements_by_participant.range(first.clone()..=last.clone());
         self.to_review.extend(fenced.flat_map(|(_, keys)| keys.iter().cloned()));
-        // The numbers of batches stay: a late batch from there is not taken for a new one.
+        // Batch numbers are kept, so that a late batch from there is not taken for a new one.
         for (_, peer) in self.peers.range_mut(first..=last) {
             peer.clear_queues();
         }
     }
 
-    // --- Requests to the voters ---
+    // Requests to the voters.
 
-    /// Asks the voters for the fences that are missing.
+    /// Asks the voters for the marks that are missing.
     pub(super) fn request_marks(&mut self, now: Micros) {
-        // Without a lease nothing could be taken over. It may also be this gateway that is partitioned: after
-        // the partition its old belief would fence all those that went on.
+        // Without a lease nothing could be taken over. This gateway may also be the partitioned one: once the
+        // partition ends, its outdated view would fence processes that run.
         if !self.lease_held || !self.fencing.values().any(|attempt| attempt.is_request_due(now)) {
             return;
         }
@@ -184,11 +188,16 @@
         for FenceMark { participant, remaining } in marks {
             let Some(attempt) = self.fencing.get_mut(&participant) else { continue };
             let wait = if waits { self.lease_times.wait_for_other_clock(remaining) } else { 0 };
-            attempt.add_mark(voter, VoterMark { came_at: now, lease_over_at: now + wait }, quorum, lease);
+            attempt.add_mark(
+                voter,
+                VoterMark { received_at: now, lease_expires_at: now + wait },
+                quorum,
+                lease,
+            );
         }
     }
 
-    // --- This gateway's own vote ---
+    // This gateway as a voter.
 
     pub(super) fn begin_storing_marks(&mut self) {
         if let Some(bytes) = self.voter.as_mut().and_then(Voter::begin_write) {
@@ -196,7 +205,7 @@
         }
     }
 
-    /// The bytes of [`Effect::StoreMarks`] are stored.
+    /// Handles the completion of [`Effect::StoreMarks`].
     pub fn marks_stored(&mut self, now: Micros) {
         let Some(voter) = &mut self.voter else { return };
         let mut replies: BTreeMap<String, Vec<FenceMark>> = BTreeMap::new();
@@ -207,7 +216,8 @@
         for (to, marks) in replies {
             self.send_marks(now, &to, marks);
         }
-        // This voter's first grant to itself may have waited for that.
+        // This voter grants no lease before its first write is complete, so a request to itself is repeated
+        // now.
         self.renew_at = now;
     }
 
@@ -227,10 +237,10 @@
         self.send_marks(now, from, marks);
     }
 
-    /// A voter that has stored nothing asks for the marks of the others until it knows enough.
+    /// As a recovering voter, queries the other voters for their marks until the recovery is complete.
     pub(super) fn query_stored_marks(&mut self, now: Micros) {
-        let recovers = self.voter.as_ref().is_some_and(Voter::is_recovering);
-        if !recovers || self.marks_query_at > now {
+        let is_recovering = self.voter.as_ref().is_some_and(Voter::is_recovering);
+        if !is_recovering || self.marks_query_at > now {
             return;
         }
         self.marks_query_at = now + RETRY_INTERVAL;
@@ -243,7 +253,7 @@
 
     pub(super) fn answer_marks_query(&mut self, now: Micros, from: &str, asked_at: Micros) {
         let Some(marks) = self.voter.as_ref().map(Voter::marks_for_recovery) else { return };
-        // The sender has stored nothing; this voter may recover too.
+        // The query shows that the sender has nothing stored, which matters if this voter recovers too.
         self.learn_stored_marks(now, from, now, &[]);
         let bytes = Message::StoredMarks { asked_at, marks }.encode(self.local.process_term());
         let to = from.to_owned();
@@ -264,7 +274,7 @@
         if voter.is_recovering() {
             return;
         }
-        self.log("the marks of the other voters are known: this one votes".into());
+        self.log("the marks of the other voters are known; this gateway votes from now on".into());
         self.begin_storing_marks();
     }
 }
--- a/crates/custody/src/node/leases.rs
+++ b/crates/custody/src/node/leases.rs
@@ -1,5 +1,5 @@
-//! This gateway's lease: requests to the voters, whether it allows actions now, and the next term after it
-//! was fenced.
+//! This gateway's lease: requests to the voters, checks before actions, and the change to the next term once
+//! this one is fenced.
 
 use std::collections::BTreeSet;
 
@@ -10,13 +10,14 @@
 use crate::wire::Message;
 use crate::{Micros, StatementKey};
 
-/// Requests for a lease within its duration: while it allows actions, and while it does not.
+/// Requests per lease duration while the lease allows actions.
 const RENEWALS_PER_LEASE: u64 = 3;
+/// Requests per lease duration while it does not.
 const REQUESTS_PER_LEASE: u64 = 8;
 
 impl TakeoverNode {
-    /// Whether this gateway may start attempts and report endings: its lease stays valid for
-    /// [`Settings::action_margin`]. To be asked just before the action.
+    /// Whether this gateway may start attempts and report endings: its lease stays valid for at least
+    /// [`Settings::action_margin`]. The caller checks this immediately before the action.
     ///
     /// [`Settings::action_margin`]: super::Settings::action_margin
     pub fn may_act(&self, now: Micros) -> bool {
@@ -24,14 +25,14 @@
         valid || self.fault == InjectedFault::ActsWithoutLease
     }
 
-    /// Begins the next term if this one was fenced, or has held no lease for very long.
+    /// Begins the next term if this one is fenced or has held no lease for [`MAX_TERM_WITHOUT_LEASE`].
     pub(super) fn check_lease(&mut self, now: Micros) {
         let is_valid = now < self.lease.expires_at;
         if is_valid {
             self.lease.last_valid_at = now;
         }
         let is_abandoned = now > self.lease.last_valid_at + MAX_TERM_WITHOUT_LEASE;
-        if !is_valid && (self.told_fenced || is_abandoned) && !self.handed_over {
+        if !is_valid && (self.term_fenced || is_abandoned) && !self.handed_over {
             self.begin_next_term(now);
         }
     }
@@ -45,7 +46,7 @@
         self.request_lease(now);
     }
 
-    /// What waited for a lease is reviewed once there is one.
+    /// Updates whether the lease allows actions; if it does again, queues the statements that waited for it.
     pub(super) fn update_lease_held(&mut self, now: Micros) {
         let may_act = self.may_act(now);
         if may_act && !self.lease_held {
@@ -79,12 +80,13 @@
                 let counted_from = if from_receipt { now } else { requested_at };
                 self.lease.add_grant(voter, counted_from, self.lease_times.holder_span());
             }
-            LeaseAnswer::Fenced(through) if *through >= self.local.term => self.told_fenced = true,
+            LeaseAnswer::Fenced(through) if *through >= self.local.term => self.term_fenced = true,
             LeaseAnswer::Fenced(_) | LeaseAnswer::NoAnswer => {}
         }
     }
 
-    /// This term is fenced: what it owned is another gateway's, and the next term begins with nothing.
+    /// Ends this term and begins the next one. Other gateways may own the statements of this term by now;
+    /// those that no other gateway is known to have are returned, the others are dropped.
     fn begin_next_term(&mut self, now: Micros) {
         let others: BTreeSet<String> =
             self.statements_by_participant.keys().map(|who| who.incarnation.name.clone()).collect();
@@ -93,24 +95,24 @@
         self.declined.clear();
         self.peers.clear();
         self.awaiting_replicas.clear();
-        keys.into_iter().for_each(|key| self.drop_statement_of_last_term(now, key));
-        self.told_fenced = false;
+        keys.into_iter().for_each(|key| self.drop_statement_of_previous_term(now, key));
+        self.term_fenced = false;
         self.lease = Lease::new(now, self.quorum());
         self.renew_at = now;
         others.iter().for_each(|name| self.send_message(name, &Message::TermAnnouncement));
         let term = self.local.term;
-        self.log(format!("fenced by the voters: term {term} begins with no statements"));
+        self.log(format!("term {} is over; term {term} begins with no owned statements", term - 1));
     }
 
-    fn drop_statement_of_last_term(&mut self, now: Micros, key: StatementKey) {
+    fn drop_statement_of_previous_term(&mut self, now: Micros, key: StatementKey) {
         let Some(statement) = self.statements.get(&key) else { return };
         let owned = statement.ownership().filter(|ownership| ownership.pending_takeover.is_none());
-        let known_nowhere_else = owned
+        let has_no_known_replica = owned
             .is_some_and(|ownership| ownership.progress.iter().all(|progress| progress.acked_version == 0));
         if owned.is_some_and(|ownership| !ownership.resigning) {
             self.effects.push_back(Effect::Relinquished(key.clone()));
         }
-        if known_nowhere_else && now < self.lease.last_valid_at + RETURN_WINDOW {
+        if has_no_known_replica && now < self.lease.last_valid_at + RETURN_WINDOW {
             return self.return_statement(now, &key);
         }
         let replicas = statement.successor_incarnations();
@@ -119,7 +121,8 @@
         self.add_tombstone(key, Tombstone::Moved { in_term, replicas });
     }
 
-    /// Nothing is owned any more: whoever counts on this gateway as a replica hears that its term is over.
+    /// Completes the hand-over once no statement is owned: ends the term, so that the gateways that use this
+    /// one as a replica learn of it.
     pub(super) fn complete_hand_over(&mut self, now: Micros) {
         self.handed_over = true;
         self.begin_next_term(now);
--- a/crates/custody/src/node/membership.rs
+++ b/crates/custody/src/node/membership.rs
@@ -1,5 +1,5 @@
-//! Which processes are known: what membership believes of them, their newest terms, and which message format
-//! they support.
+//! The known processes: their state according to membership, their newest terms, and whether they support
+//! this message format.
 
 use std::collections::BTreeSet;
 
@@ -8,21 +8,21 @@
 use crate::wire::Participant;
 use crate::{Incarnation, Micros, StatementKey};
 
-/// What membership believes of one process.
+/// What membership reports of one process.
 pub(super) struct MemberInfo {
     state: MemberState,
     site: String,
 }
 
 impl TakeoverNode {
-    /// What membership believes, whenever it changes.
+    /// Updates the list of members; the caller passes the whole list whenever it changes.
     pub fn update_members(&mut self, now: Micros, members: Vec<Member>) {
         let info =
             |member: Member| (member.incarnation, MemberInfo { state: member.state, site: member.site });
         let members = members.into_iter().map(info).collect();
         let before = std::mem::replace(&mut self.members, members);
-        // A process that was listed before another one of its name is gone. One that was never listed may be
-        // newer.
+        // A listed process that was replaced by another one of its name is gone. A process that was never
+        // listed may be newer than the listed one.
         let names: BTreeSet<&String> = self.members.keys().map(|incarnation| &incarnation.name).collect();
         let replaced = |incarnation: &Incarnation| {
             !self.members.contains_key(incarnation) && names.contains(&incarnation.name)
@@ -33,7 +33,7 @@
         self.update_candidates();
         self.unlisted_since.retain(|incarnation, _| !self.members.contains_key(incarnation));
         self.update_fencing_attempts(now);
-        // Statements without enough replicas may get some now.
+        // There may be new candidates for statements that lack replicas.
         self.review_statements_without_replicas(now);
         self.advance(now);
     }
@@ -51,11 +51,12 @@
         self.candidates = self.members.iter().filter(is_candidate).map(candidate).collect();
     }
 
-    /// Whether membership believes that a process is gone.
+    /// Whether a process is gone according to membership.
     pub(super) fn is_believed_gone(&self, now: Micros, incarnation: &Incarnation) -> bool {
         match self.members.get(incarnation) {
             Some(info) => matches!(info.state, MemberState::Dead | MemberState::Left),
-            // One that is not listed yet is not gone.
+            // An unlisted process may just not be listed yet: it counts as gone after the duration of a
+            // lease.
             None => {
                 let since = self.unlisted_since.get(incarnation);
                 since.is_some_and(|since| now >= *since + self.settings.lease)
@@ -63,9 +64,9 @@
         }
     }
 
-    /// A process has sent a message in a term, which proves its earlier ones to be over. Returns whether the
-    /// message may be used: it is not if it is of an earlier term, or there is no room to remember the
-    /// process.
+    /// Records the term in which a process has sent a message, which proves its earlier terms to be over.
+    /// Returns whether the message may be used: not if it is of an earlier term, or if there is no room for
+    /// another process.
     pub(super) fn learn_term(&mut self, incarnation: &Incarnation, term: u32) -> bool {
         if !self.has_room_for_term_of(incarnation) {
             return false;
@@ -93,13 +94,13 @@
         self.newest_terms.len() < MAX_PEERS
     }
 
-    /// The newest term of a process that was heard of, or a later one that is given.
+    /// The participant of a process in its newest known term, or in `term` if that is later.
     pub(super) fn participant_in_newest_term(&self, incarnation: &Incarnation, term: u32) -> Participant {
         let newest = self.newest_terms.get(incarnation).copied().unwrap_or(0);
         Participant { incarnation: incarnation.clone(), term: term.max(newest) }
     }
 
-    /// A gateway's program supports another message format only: none of its known processes is a replica.
+    /// Excludes the known processes of a gateway whose program supports another message format only.
     pub(super) fn exclude_incompatible_gateway(&mut self, now: Micros, name: &str) {
         let listed: Vec<Incarnation> =
             self.members.keys().filter(|incarnation| incarnation.name == name).cloned().collect();
--- a/crates/custody/src/node/messages.rs
+++ b/crates/custody/src/node/messages.rs
@@ -1,4 +1,4 @@
-//! Messages from other gateways, each to what handles it.
+//! Decoding of messages from other gateways, and their dispatch.
 
 use super::{Effect, TakeoverNode};
 use crate::voter::LeaseAnswer;
@@ -6,7 +6,7 @@
 use crate::{Incarnation, Micros};
 
 impl TakeoverNode {
-    /// A datagram, or records over a stream, from a gateway that has proved its name.
+    /// Handles a datagram, or records from a stream, of a gateway whose name the transport has authenticated.
     pub fn handle_message(&mut self, now: Micros, from: &str, bytes: &[u8]) {
         let (process, message) = match Message::decode(bytes) {
             Ok(decoded) => decoded,
@@ -28,11 +28,15 @@
         match why {
             DecodeError::Malformed => {}
             DecodeError::UnknownFormat(format) => {
-                self.log(format!("{from} sends message format {format}, which is not supported here"));
+                self.log(format!(
+                    "{from} sent a message of format {format}, which this version does not support"
+                ));
                 self.effects.push_back(Effect::SendDatagram(from.to_owned(), unsupported_format_reply()));
             }
             DecodeError::PeerFormat(format) => {
-                self.log(format!("{from} supports message format {format} only: no replica"));
+                self.log(format!(
+                    "{from} supports only message format {format} and is not used as a replica"
+                ));
                 self.exclude_incompatible_gateway(now, from);
             }
         }
@@ -79,7 +83,7 @@
         process == self.local.process_term()
     }
 
-    /// This gateway's own vote on a lease.
+    /// Votes on a lease request as a voter.
     pub(super) fn vote_on_lease(&mut self, now: Micros, who: &Participant) -> LeaseAnswer {
         let voter = self.voter.as_mut();
         let answer = voter.map_or(LeaseAnswer::NoAnswer, |voter| voter.request_lease(now, who));
--- a/crates/custody/src/node/ownership.rs
+++ b/crates/custody/src/node/ownership.rs
@@ -1,5 +1,5 @@
-//! What the caller does with the statements that this gateway owns: adds them, asks for permission, reports
-//! progress, ends them.
+//! The caller's operations on statements that this gateway owns: add them, request permission for attempts
+//! and endings, record progress, finish them.
 
 use super::statement::{Ownership, PendingAttempt, ReplicaProgress, Role, Statement};
 use super::tombstones::Tombstone;
@@ -8,7 +8,7 @@
 use crate::{Ending, InFlightAttempt, Incarnation, Micros, Record, RepeatSafety, StatementKey};
 
 impl TakeoverNode {
-    /// A statement that this gateway has accepted. Returns the replicas that were selected.
+    /// Adds a statement that this gateway has accepted. Returns the replicas selected for it.
     pub fn add_statement(&mut self, now: Micros, record: Record) -> Vec<Incarnation> {
         let key = record.key.clone();
         if self.statements.contains_key(&key) {
@@ -31,11 +31,13 @@
         self.replica_list(&key).split_off(1)
     }
 
-    /// Whether the client of a statement that was accepted here at a time may be told so: the statement
-    /// survives this process from then on. That is the case once all replicas have it and the voters have
-    /// granted the lease within half a lease; or, if a replica is silent, once another one has it and the
-    /// lease was granted anew since. An owner that is partitioned learns of that only at the end of its
-    /// lease, and what it accepts until then nobody could act for before the client has given up.
+    /// Whether a statement accepted here at `since` survives this process, so that its acceptance may be
+    /// reported to the client.
+    ///
+    /// It does once all replicas have it and the voters have granted the lease within the last half lease;
+    /// or, if a replica does not answer, once another one has it and the lease was granted again after
+    /// `since`. An owner that is partitioned notices that only when its lease ends; without this rule it
+    /// would until then accept statements that no other gateway can act for before their clients give up.
     pub fn is_safely_replicated(&self, now: Micros, key: &StatementKey, since: Micros) -> bool {
         let Some(statement) = self.statements.get(key) else { return true };
         let Some(ownership) = statement.ownership() else { return true };
@@ -52,7 +54,7 @@
         granted_after(since) && (all_gone() || statement.successors().any(has_record))
     }
 
-    /// A statement for which this gateway may act now.
+    /// The statement, if this gateway may act for it now.
     fn actionable_statement(&mut self, now: Micros, key: &StatementKey) -> Option<&mut Statement> {
         let may_act = self.may_act(now);
         let statement = self.statements.get_mut(key)?;
@@ -60,7 +62,8 @@
         (may_act && is_active).then_some(statement)
     }
 
-    /// Before an attempt is written to its engine: `attempts` have been spent then, this one included.
+    /// Requests permission to send an attempt to its engine; `attempts` counts the attempts including this
+    /// one.
     pub fn request_attempt(
         &mut self,
         now: Micros,
@@ -89,7 +92,8 @@
         self.await_replicas(now, key)
     }
 
-    /// What waits is sent at once. If there is nothing to wait for, the permission is the answer.
+    /// Sends the record of a pending action to the replicas at once. Grants the action if it has nothing to
+    /// wait for.
     fn await_replicas(&mut self, now: Micros, key: &StatementKey) -> Permission {
         self.awaiting_replicas.insert(key.clone());
         let effects_before = self.effects.len();
@@ -109,8 +113,8 @@
         }
     }
 
-    /// Progress: the attempt that is in flight, if any, and the pages passed on. It is sent when there is
-    /// time.
+    /// Records progress: the attempt that is in flight, if any, and the pages delivered. It is sent
+    /// to the replicas after a short delay, together with later changes.
     pub fn record_progress(
         &mut self,
         now: Micros,
@@ -128,7 +132,7 @@
         self.queue_record(now, key, COALESCING_DELAY);
     }
 
-    /// Before an ending of the gateway's own is reported to the client.
+    /// Requests permission to report an ending that the gateway has decided.
     pub fn request_ending(&mut self, now: Micros, key: &StatementKey, ending: Ending) -> Permission {
         let Some(statement) = self.actionable_statement(now, key) else { return Permission::Denied };
         match &statement.record.ending {
@@ -140,13 +144,13 @@
             }
         }
         let version = statement.record.version;
-        let is_harmless = statement.record.repeat == RepeatSafety::Safe;
+        let is_repeat_safe = statement.record.repeat == RepeatSafety::Safe;
         let was_attempted = statement.record.attempts > 0;
         let Some(ownership) = statement.ownership_mut() else { return Permission::Denied };
         ownership.pending_attempt = None;
-        // After an attempt the ending waits for the replicas: a client that was told to try again must not
-        // have the statement run by a gateway that took it over and knows nothing of that.
-        if is_harmless && !was_attempted {
+        // After an attempt the ending waits for the replicas: once the client is told to retry, no gateway
+        // that takes the statement over may run it without knowing of the ending.
+        if is_repeat_safe && !was_attempted {
             self.queue_record(now, key, COALESCING_DELAY);
             return Permission::Granted;
         }
@@ -154,7 +158,7 @@
         self.await_replicas(now, key)
     }
 
-    /// The client has its ending, or never comes back.
+    /// Ends a statement whose client has received the ending or will not poll again.
     pub fn finish_statement(&mut self, now: Micros, key: &StatementKey) {
         let ownership = self.statements.get(key).and_then(Statement::ownership);
         if ownership.is_none_or(|ownership| ownership.resigning) {
@@ -172,8 +176,8 @@
         self.add_tombstone(key.clone(), Tombstone::Ended(statement.record.ending));
     }
 
-    /// A planned end of the gateway: every statement that has a replica goes to it, with
-    /// [`Effect::Relinquished`] each.
+    /// Starts the hand-over before a planned end of this process: every statement is handed to one of its
+    /// replicas, with an [`Effect::Relinquished`] for each.
     pub fn start_hand_over(&mut self, now: Micros) {
         self.handing_over = true;
         let owned = self.statements.iter().filter(|(_, statement)| statement.is_owned());
@@ -182,7 +186,7 @@
         self.advance(now);
     }
 
-    /// Whether nothing is owned any more after [`TakeoverNode::start_hand_over`].
+    /// Whether the hand-over is complete: this gateway owns no statement any more.
     pub fn hand_over_complete(&self) -> bool {
         self.handed_over
     }
--- a/crates/custody/src/node/receiving.rs
+++ b/crates/custody/src/node/receiving.rs
@@ -1,4 +1,4 @@
-//! Records that come from other gateways, to be kept as a replica.
+//! Records received from other gateways, which this gateway keeps as a replica.
 
 use super::statement::{Role, Statement};
 use super::tombstones::Tombstone;
@@ -6,30 +6,30 @@
 use crate::wire::{Message, Participant, RejectReason, Rejection, ReplicaEntry, ReplicaRecord};
 use crate::{Micros, Record, StatementKey};
 
-/// Statements whose records were rejected for lack of room and are never accepted later, as their owners
-/// count on that.
+/// Maximum number of statements remembered as declined for lack of room. Their owners rely on it that their
+/// records are never accepted later.
 const MAX_DECLINED: usize = 65_536;
 
 impl Statement {
-    /// How many members both replica lists begin with.
-    fn common_members(&self, replicas: &[ReplicaEntry]) -> usize {
+    /// The number of members with which both replica lists begin alike.
+    fn count_common_members(&self, replicas: &[ReplicaEntry]) -> usize {
         let pairs = self.replicas.iter().zip(replicas);
-        pairs.take_while(|(mine, theirs)| mine.participant == theirs.participant).count()
+        pairs.take_while(|(local, received)| local.participant == received.participant).count()
     }
 
-    /// Takes over which of the common members are excluded; returns those that are so only now.
+    /// Excludes the common members that are excluded in the received list; returns those excluded only now.
     fn merge_exclusions(&mut self, common: &[ReplicaEntry]) -> Vec<Participant> {
         let mut excluded = Vec::new();
-        for (mine, theirs) in self.replicas.iter_mut().zip(common) {
-            if theirs.excluded && !mine.excluded {
-                mine.excluded = true;
-                excluded.push(mine.participant.clone());
+        for (local, received) in self.replicas.iter_mut().zip(common) {
+            if received.excluded && !local.excluded {
+                local.excluded = true;
+                excluded.push(local.participant.clone());
             }
         }
         excluded
     }
 
-    /// Replaces the record by a newer one, and keeps the body if that one has none.
+    /// Replaces the record by a newer one, but keeps the body if that has none.
     fn replace_record(&mut self, now: Micros, record: Record, has_body: bool) {
         self.deadline = now.saturating_add(record.remaining_wait);
         let body = if has_body { record.body } else { std::mem::take(&mut self.record.body) };
@@ -49,7 +49,7 @@
     ) {
         let is_fenced = self.is_participant_fenced(&sender);
         let Some(peer) = self.peer_mut(&sender) else { return };
-        // A late or repeated batch would revive what has ended since.
+        // A late or repeated batch would revive statements that have ended since.
         if number <= peer.last_received || is_fenced {
             return;
         }
@@ -88,7 +88,8 @@
         if received.replicas[position].excluded {
             return Err(RejectReason::Obsolete);
         }
-        // Returned by this process and taken over by another one, which wants this one as a replica now.
+        // This process returned the statement, and the gateway that took it over selected this one as a
+        // replica.
         if self.is_returning(&key) && received.has_body {
             self.remove_statement(&key);
         }
@@ -100,8 +101,8 @@
     }
 
     /// The sender's position in the replica list that it sent. A process that returns a statement is listed
-    /// in an earlier term; that counts unless this gateway had the statement in its current term, or may have
-    /// forgotten that it ended.
+    /// in an earlier term. Such an entry is accepted unless this gateway gave the statement up in its current
+    /// term, or may have dropped the tombstone of its end.
     fn position_of_sender(
         &self,
         now: Micros,
@@ -126,7 +127,7 @@
         })
     }
 
-    /// The record of a statement that is not kept here yet.
+    /// Adds the record of a statement that is not kept here yet.
     fn add_replica_record(
         &mut self,
         now: Micros,
@@ -161,7 +162,8 @@
         Ok(())
     }
 
-    /// Without room a statement is declined for good. If that cannot be remembered, the sender may try again.
+    /// Declines a statement for lack of room, permanently. If there is no room to remember that, the sender
+    /// may try again.
     fn decline(&mut self, key: StatementKey, until: Micros) -> RejectReason {
         if self.declined.len() >= MAX_DECLINED {
             return RejectReason::Obsolete;
@@ -170,10 +172,10 @@
         RejectReason::NoRoom
     }
 
-    /// The record of a statement that is kept here already.
+    /// Merges the record of a statement that is kept here already.
     ///
-    /// Two replica lists differ only behind members that were never notified: whoever stands before those and
-    /// did not know of them has become the owner, and named others. What its record says holds then.
+    /// Two replica lists can differ only in members that were never notified: a member before them, which did
+    /// not know of them, has become the owner and selected others. The list of that owner is then in force.
     fn merge_record(
         &mut self,
         now: Micros,
@@ -182,11 +184,11 @@
     ) -> Result<(), RejectReason> {
         let key = received.record.key.clone();
         let Some(statement) = self.statements.get_mut(&key) else { return Err(RejectReason::Obsolete) };
-        let common = statement.common_members(&received.replicas);
+        let common = statement.count_common_members(&received.replicas);
         if common <= statement.position {
             return Err(RejectReason::Obsolete);
         }
-        // A sender that is excluded may only say so itself.
+        // From a sender that is excluded here, only its own resignation is accepted.
         let known_sender = statement.replicas[..common].get(sender_position);
         if known_sender.is_some_and(|entry| entry.excluded) && !received.replicas[sender_position].excluded {
             return Err(RejectReason::Obsolete);
@@ -197,7 +199,7 @@
             let is_newer = received.record.version > statement.record.version;
             if is_newer && self.fault != InjectedFault::ReplicaListForgotten {
                 let tail = &received.replicas[common..];
-                unreferenced.extend(self.replace_replicas_behind(&key, common, tail));
+                unreferenced.extend(self.replace_replicas_after(&key, common, tail));
                 unreferenced.retain(|who| tail.iter().all(|entry| entry.participant != *who));
             }
             if is_newer {
@@ -211,8 +213,8 @@
         Ok(())
     }
 
-    /// Replaces the members behind the common ones; returns those that were there.
-    fn replace_replicas_behind(
+    /// Replaces the members after the common ones; returns those replaced.
+    fn replace_replicas_after(
         &mut self,
         key: &StatementKey,
         common: usize,
--- a/crates/custody/src/node/retention.rs
+++ b/crates/custody/src/node/retention.rs
@@ -1,4 +1,4 @@
-//! How long records and what belongs to them are kept, and the index of statements by participant.
+//! Removal of statements and of expired state, and the index of statements by participant.
 
 use std::collections::BTreeSet;
 
@@ -8,10 +8,10 @@
 use crate::wire::{Message, Participant};
 use crate::{Incarnation, Micros, StatementKey};
 
-/// A participant in a replica list that has sent nothing for so long is asked for its term.
-const SILENT_AFTER: Micros = 5_000 * MILLISECOND;
-/// A process that is not listed and of which nothing is kept leaves after so long, and with it the number of
-/// its last batch.
+/// A participant of a replica list that has sent nothing for this time is asked for its term.
+const SILENCE_TIMEOUT: Micros = 5_000 * MILLISECOND;
+/// How long the state of a process, including the number of its last batch, is kept after its last message if
+/// the process is neither listed by membership nor referred to.
 const PEER_RETENTION: Micros = 600_000 * MILLISECOND;
 
 impl TakeoverNode {
@@ -23,7 +23,8 @@
         }
         self.takeover_ready.remove(&(statement.deadline, key.clone()));
         self.expiry.remove(&(statement.expires_at(), key.clone()));
-        // Returned statements are few; the time at which one leaves does not follow from its deadline.
+        // A returned statement expires at a time that cannot be derived from its deadline; there are few of
+        // them.
         let own_entry = &statement.replicas[statement.position];
         if statement.is_owned() && own_entry.participant != self.local {
             self.expiry.retain(|(_, other)| other != key);
@@ -42,7 +43,8 @@
         self.tombstones.add(self.latest_time, key, tombstone);
     }
 
-    /// A participant may act for a statement. This gateway's own place needs no reference.
+    /// Adds a participant that may act for a statement to the index, which does not cover this gateway
+    /// itself.
     pub(super) fn add_reference(&mut self, key: &StatementKey, who: &Participant) {
         if *who != self.local {
             self.statements_by_participant.entry(who.clone()).or_default().insert(key.clone());
@@ -57,7 +59,7 @@
         }
     }
 
-    /// A member of a statement's replica list never acts for it.
+    /// Excludes a member of a statement's replica list from acting for it.
     pub(super) fn exclude_replica(&mut self, key: &StatementKey, who: &Participant) {
         let statement = self.statements.get_mut(key);
         let entry = statement
@@ -68,7 +70,7 @@
         self.remove_reference(key, who);
     }
 
-    /// Drops what has reached its age, and asks for what may have been lost.
+    /// Drops expired state, and asks for announcements that may have been lost.
     pub(super) fn sweep(&mut self, now: Micros) {
         while let Some((at, key)) = self.expiry.first().cloned().filter(|(at, _)| *at <= now) {
             self.expiry.remove(&(at, key.clone()));
@@ -76,19 +78,20 @@
         }
         self.declined.retain(|_, until| now < *until);
         self.fencing_wanted.retain(|_, until| now < *until);
-        // A process may have become a candidate again of which membership has said nothing new: it announces
-        // its next term.
+        // A fenced process becomes a candidate again when it announces its next term, without any change of
+        // membership.
         self.review_statements_without_replicas(now);
         self.update_fencing_attempts(now);
         self.query_terms(now);
         self.forget_unneeded_processes(now);
     }
 
-    /// Asks for the terms of participants that are silent, and of candidates that were fenced: a fenced
-    /// process that runs has announced its next term, but that may have been lost.
+    /// Asks silent participants for their terms, and fenced candidates too: the announcement of a fenced
+    /// process's next term may have been lost.
     fn query_terms(&mut self, now: Micros) {
-        let is_silent =
-            |who: &&Participant| self.peers.get(who).is_none_or(|peer| peer.last_heard + SILENT_AFTER <= now);
+        let is_silent = |who: &&Participant| {
+            self.peers.get(who).is_none_or(|peer| peer.last_heard + SILENCE_TIMEOUT <= now)
+        };
         let silent = self.statements_by_participant.keys().filter(is_silent);
         let mut names: BTreeSet<String> = silent.map(|who| who.incarnation.name.clone()).collect();
         let fenced = self.candidates.iter().filter(|candidate| self.is_fenced(&candidate.incarnation, 0));
@@ -100,8 +103,8 @@
         let (members, wanted) = (&self.members, &self.fencing_wanted);
         let referenced = &self.statements_by_participant;
         let is_needed = |incarnation: &Incarnation| {
-            let mut named = referenced.keys().chain(wanted.keys());
-            members.contains_key(incarnation) || named.any(|who| who.incarnation == *incarnation)
+            let mut in_use = referenced.keys().chain(wanted.keys());
+            members.contains_key(incarnation) || in_use.any(|who| who.incarnation == *incarnation)
         };
         self.unlisted_since.retain(|incarnation, _| is_needed(incarnation));
         self.incompatible.retain(|incarnation| members.contains_key(incarnation));
--- a/crates/custody/src/node/selection.rs
+++ b/crates/custody/src/node/selection.rs
@@ -1,4 +1,5 @@
-//! Selection of a statement's replicas: at other sites first, spread by a hash of statement and process.
+//! Selection of a statement's replicas: processes at other sites first, then by a hash of statement and
+//! process, which spreads statements evenly.
 
 use std::collections::BTreeSet;
 
@@ -7,8 +8,8 @@
 use crate::wire::{Participant, ReplicaEntry, MAX_BODY_BYTES, MAX_REPLICAS};
 use crate::{Incarnation, Micros, StatementKey};
 
-/// A process that had no room is not selected for so long.
-const AVOID_FULL_FOR: Micros = 1_000 * MILLISECOND;
+/// How long a process that had no room is not selected.
+const FULL_COOLDOWN: Micros = 1_000 * MILLISECOND;
 
 /// A process that may become a replica.
 pub(super) struct Candidate {
@@ -17,7 +18,7 @@
     pub(super) incarnation: Incarnation,
 }
 
-/// A candidate in the order of preference for one statement.
+/// A candidate as ranked for one statement; the derived order is the order of preference.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct RankedCandidate<'a> {
     same_site: bool,
@@ -25,8 +26,8 @@
     incarnation: &'a Incarnation,
 }
 
-/// Mixes the bits of a number (splitmix64): the same in every program, as owners and their successors have to
-/// agree.
+/// Mixes the bits of a number (splitmix64). Must be the same in every program version: owners and their
+/// successors have to agree on the ranking.
 fn mix_bits(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ mixed >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -40,15 +41,15 @@
 }
 
 impl TakeoverNode {
-    /// Successors of this gateway that membership does not believe gone.
-    fn living_successors(&self, now: Micros, statement: &Statement) -> usize {
+    /// The number of successors that are not gone according to membership.
+    fn count_living_successors(&self, now: Micros, statement: &Statement) -> usize {
         let is_gone = |position: &usize| self.is_believed_gone(now, statement.incarnation_at(*position));
         statement.successors().filter(|position| !is_gone(position)).count()
     }
 
     /// Whether an owned statement has fewer replicas than it should.
     pub(super) fn needs_replicas(&self, now: Micros, statement: &Statement) -> bool {
-        statement.is_owned() && self.living_successors(now, statement) < self.settings.replicas
+        statement.is_owned() && self.count_living_successors(now, statement) < self.settings.replicas
     }
 
     pub(super) fn review_statements_without_replicas(&mut self, now: Micros) {
@@ -57,14 +58,14 @@
         self.to_review.extend(lacking);
     }
 
-    /// Selects replicas until there are enough, and appends them to the replica list.
+    /// Selects the missing replicas and appends them to the replica list.
     pub(super) fn select_replicas(&mut self, now: Micros, key: &StatementKey) {
         let selected = self.best_candidates(now, key);
         if selected.is_empty() {
             return;
         }
         let Some(statement) = self.statements.get_mut(key) else { return };
-        // The first replicas come with the statement itself; later ones with a version that names them.
+        // The first replicas are part of the first version; later ones need a new version.
         if statement.replicas.len() > 1 || statement.record.version > 1 {
             statement.record.version += 1;
         }
@@ -81,14 +82,14 @@
         selected.iter().for_each(|participant| self.add_reference(key, participant));
     }
 
-    /// As many candidates as a statement lacks, the best first.
+    /// As many candidates as the statement lacks replicas, best first.
     fn best_candidates(&self, now: Micros, key: &StatementKey) -> Vec<Participant> {
         let Some(statement) = self.statements.get(key) else { return Vec::new() };
         if statement.record.body.len() > MAX_BODY_BYTES {
             return Vec::new();
         }
         let mut ranked = self.rank_candidates(now, key, statement);
-        let lacking = self.settings.replicas.saturating_sub(self.living_successors(now, statement));
+        let lacking = self.settings.replicas.saturating_sub(self.count_living_successors(now, statement));
         let room = MAX_REPLICAS.saturating_sub(statement.replicas.len());
         let count = lacking.min(room).min(ranked.len());
         if count == 0 {
@@ -109,7 +110,7 @@
         statement: &Statement,
     ) -> Vec<RankedCandidate<'a>> {
         let full = self.full_processes(now);
-        // A fenced process has to announce its next term first.
+        // A fenced process is usable again once it has announced its next term.
         let is_usable = |incarnation: &Incarnation| {
             !self.incompatible.contains(incarnation)
                 && !full.contains(incarnation)
@@ -128,14 +129,14 @@
             .collect()
     }
 
-    /// Processes that had no room a short time ago.
+    /// Processes that had no room within the last [`FULL_COOLDOWN`].
     fn full_processes(&self, now: Micros) -> BTreeSet<&Incarnation> {
-        let is_full = |full_since: Option<Micros>| full_since.is_some_and(|at| now < at + AVOID_FULL_FOR);
+        let is_full = |full_since: Option<Micros>| full_since.is_some_and(|at| now < at + FULL_COOLDOWN);
         let full = self.peers.iter().filter(|(_, peer)| is_full(peer.full_since));
         full.map(|(who, _)| &who.incarnation).collect()
     }
 
-    /// Whether a process is in the replica list, other than in a fenced term.
+    /// Whether a process is in the replica list in a term that is not fenced.
     fn is_listed(&self, statement: &Statement, incarnation: &Incarnation) -> bool {
         statement.replicas.iter().any(|entry| {
             let is_past = entry.excluded && self.is_participant_fenced(&entry.participant);
--- a/crates/custody/src/node/statement.rs
+++ b/crates/custody/src/node/statement.rs
@@ -1,49 +1,49 @@
-//! One statement as it is kept here: as its owner, or as one of its replicas.
+//! The state of one statement, at its owner or at one of its replicas.
 
 use super::REPLICA_RETENTION;
 use crate::wire::{Participant, ReplicaEntry, ReplicaRecord};
 use crate::{Incarnation, Micros, Record};
 
-/// Bytes counted for a record beside its variable parts.
+/// Bytes counted for the fixed part of a record.
 const RECORD_OVERHEAD_BYTES: usize = 256;
-/// Bytes counted for a member of the replica list beside its name.
-const REPLICA_OVERHEAD_BYTES: usize = 48;
+/// Bytes counted for a member of the replica list, without its name.
+const MEMBER_OVERHEAD_BYTES: usize = 48;
 
-/// What an owner knows of one member of the replica list.
+/// The owner's view of one member of the replica list.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ReplicaProgress {
-    /// The version with which it came into the list, as this owner counts.
+    /// The version at which the member was added, or at which this owner took the statement over.
     pub(super) since_version: u64,
     pub(super) sent_version: u64,
     pub(super) acked_version: u64,
     pub(super) has_body: bool,
-    /// It may have been notified of the statement.
+    /// Whether the member may know of the statement: a record was sent to it.
     pub(super) notified: bool,
 }
 
-/// An attempt that may not start before a version is recorded at the replicas.
+/// An attempt that may not start until a version of the record is recorded at the replicas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct PendingAttempt {
-    /// Attempts spent, this one included.
+    /// The number of attempts including this one.
     pub(super) attempts: u32,
     pub(super) version: u64,
 }
 
-/// What only the owner of a statement keeps.
+/// State that only the owner of a statement has.
 #[derive(Debug, Default)]
 pub(super) struct Ownership {
-    /// For each member of the replica list, in its order.
+    /// The progress of each member of the replica list, in the order of the list.
     pub(super) progress: Vec<ReplicaProgress>,
     pub(super) pending_attempt: Option<PendingAttempt>,
-    /// An ending may not be reported before that version is recorded.
+    /// The version that has to be recorded before the ending may be reported.
     pub(super) pending_ending: Option<u64>,
-    /// Taken over with an ending: announced once that version is recorded.
+    /// The version that has to be recorded before the takeover of a statement with an ending is announced.
     pub(super) pending_takeover: Option<u64>,
-    /// Resigned; the statement stays until another gateway has it.
+    /// This gateway has resigned and keeps the statement until another gateway has it.
     pub(super) resigning: bool,
-    /// Another gateway may have been told of the resignation.
+    /// The resignation was sent, so another gateway may act on it.
     pub(super) resignation_sent: bool,
-    /// The missing replicas have been reported.
+    /// The lack of replicas was reported.
     pub(super) unreplicated: bool,
 }
 
@@ -53,13 +53,13 @@
         !self.resigning && self.pending_takeover.is_none()
     }
 
-    /// Whether something waits until a version is recorded.
+    /// Whether an action waits until a version is recorded.
     pub(super) fn is_pending(&self) -> bool {
         self.pending_attempt.is_some() || self.pending_ending.is_some() || self.pending_takeover.is_some()
     }
 }
 
-/// This gateway's part in a statement.
+/// This gateway's role for a statement.
 #[derive(Debug)]
 pub(super) enum Role {
     Owner(Box<Ownership>),
@@ -74,7 +74,7 @@
     pub(super) position: usize,
     pub(super) role: Role,
     pub(super) deadline: Micros,
-    /// When the times in the record were true.
+    /// The time to which the relative times in the record refer.
     pub(super) recorded_at: Micros,
 }
 
@@ -97,7 +97,7 @@
         self.ownership().is_some()
     }
 
-    /// When a replica's record is dropped. A late poll gets a definite answer until then.
+    /// When a replica drops the record; until then it gives late polls a definite answer.
     pub(super) fn expires_at(&self) -> Micros {
         self.deadline.saturating_add(REPLICA_RETENTION)
     }
@@ -107,7 +107,7 @@
         self.replicas.iter().position(|entry| entry.participant == *participant)
     }
 
-    /// Positions behind this gateway that may still act.
+    /// The positions after this gateway's whose members may still act for the statement.
     pub(super) fn successors(&self) -> impl Iterator<Item = usize> + '_ {
         (self.position + 1..self.replicas.len()).filter(|&position| !self.replicas[position].excluded)
     }
@@ -124,7 +124,8 @@
         self.successors().map(|position| self.incarnation_at(position).clone()).collect()
     }
 
-    /// Whether a member may be notified: those that stood in the list before it know of it, or never act.
+    /// Whether a member may be notified: every member that was in the list before it knows of it or is
+    /// excluded.
     pub(super) fn may_notify(&self, ownership: &Ownership, position: usize) -> bool {
         let before = usize::from(self.replicas[position].added_after).min(position);
         let since_version = ownership.progress[position].since_version;
@@ -134,7 +135,7 @@
         })
     }
 
-    /// Whether all that may act after this gateway have acknowledged a version.
+    /// Whether all notified successors have acknowledged a version.
     pub(super) fn is_recorded(&self, ownership: &Ownership, version: u64) -> bool {
         self.successors().all(|position| {
             let progress = &ownership.progress[position];
@@ -142,7 +143,7 @@
         })
     }
 
-    /// The record with its times as they are now.
+    /// The record with its relative times as of now.
     pub(super) fn record_at(&self, now: Micros) -> Record {
         let mut record = self.record.clone();
         record.remaining_wait = self.deadline.saturating_sub(now);
@@ -152,7 +153,7 @@
         record
     }
 
-    /// The record as it is sent now.
+    /// The record to send to a replica now.
     pub(super) fn replica_record(&self, now: Micros, with_body: bool) -> ReplicaRecord {
         let mut record = self.record_at(now);
         if !with_body {
@@ -161,14 +162,14 @@
         ReplicaRecord { record, has_body: with_body, replicas: self.replicas.clone() }
     }
 
-    /// The memory that the statement is counted with.
+    /// The size that is counted for this statement towards the memory limit.
     pub(super) fn size_in_bytes(&self) -> usize {
         let attempt = self.record.in_flight.as_ref();
         let next_bytes = |next: &Option<String>| next.as_ref().map_or(0, String::len);
         let attempt_bytes = attempt.map_or(0, |attempt| attempt.engine.len() + next_bytes(&attempt.next_uri));
         let name_bytes = |entry: &ReplicaEntry| entry.participant.incarnation.name.len();
         let replica_bytes: usize =
-            self.replicas.iter().map(|entry| name_bytes(entry) + REPLICA_OVERHEAD_BYTES).sum();
+            self.replicas.iter().map(|entry| name_bytes(entry) + MEMBER_OVERHEAD_BYTES).sum();
         self.record.body.len() + attempt_bytes + replica_bytes + RECORD_OVERHEAD_BYTES
     }
 }
--- a/crates/custody/src/node/status.rs
+++ b/crates/custody/src/node/status.rs
@@ -1,4 +1,4 @@
-//! What is known here of statements, for the caller and for operators.
+//! Queries of the caller and of operators about statements.
 
 use super::statement::Statement;
 use super::tombstones::Tombstone;
@@ -6,26 +6,26 @@
 use crate::wire::{Participant, ReplicaEntry};
 use crate::{Incarnation, StatementKey};
 
-/// How much is kept here.
+/// The amount of state that a gateway holds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Statements that this gateway owns.
     pub owned: usize,
-    /// Records kept for other gateways.
+    /// Records held for other gateways.
     pub replica_records: usize,
-    /// Bytes of them.
+    /// Total size of these records.
     pub replica_bytes: usize,
-    /// Owned statements with something that waits until it is recorded at the replicas.
+    /// Owned statements with an action that waits until it is recorded at the replicas.
     pub awaiting_replicas: usize,
 }
 
 impl TakeoverNode {
-    /// The processes in a statement's replica list, its first owner first.
+    /// The processes in a statement's replica list, starting with its first owner.
     pub fn replica_list(&self, key: &StatementKey) -> Vec<Incarnation> {
         self.replica_list_with_terms(key).into_iter().map(|(incarnation, _)| incarnation).collect()
     }
 
-    /// The same, each with the term in which it is listed.
+    /// The processes in a statement's replica list, each with the term in which it is listed.
     pub fn replica_list_with_terms(&self, key: &StatementKey) -> Vec<(Incarnation, u32)> {
         let Some(statement) = self.statements.get(key) else { return Vec::new() };
         let with_term = |entry: &ReplicaEntry| {
@@ -35,7 +35,7 @@
         statement.replicas.iter().map(with_term).collect()
     }
 
-    /// Where a statement is.
+    /// Which gateway has a statement, as far as this one knows.
     pub fn locate(&self, key: &StatementKey) -> StatementLocation {
         if let Some(statement) = self.statements.get(key) {
             return self.locate_kept(statement);
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Of a statement that left no trace here only its key tells something.
+    /// Locates a statement of which nothing is kept here, by the incarnation that accepted it and its number.
     fn locate_by_number(&self, key: &StatementKey) -> StatementLocation {
         let accepted_by = &key.accepted_by;
         if *accepted_by == self.local.incarnation {
@@ -90,14 +90,15 @@
         !is_gone && !self.fenced_through.contains_key(incarnation)
     }
 
-    /// Whether a statement is only offered to others, by this process that owned it in an earlier term.
+    /// Whether this process owned the statement in an earlier term and is only returning it to other
+    /// gateways.
     pub fn is_returning(&self, key: &StatementKey) -> bool {
         let Some(statement) = self.statements.get(key) else { return false };
         let resigning = statement.ownership().is_some_and(|ownership| ownership.resigning);
         resigning && statement.replicas[statement.position].participant != self.local
     }
 
-    /// How much is kept here.
+    /// The amount of state that this gateway holds.
     pub fn usage(&self) -> Usage {
         Usage {
             owned: self.statements.len() - self.replica_usage.records,
@@ -107,7 +108,7 @@
         }
     }
 
-    /// A statement's replica list in words, for reports of failed simulations.
+    /// A description of a statement's replica list, for reports of failed simulations.
     pub fn describe(&self, key: &StatementKey) -> String {
         let Some(statement) = self.statements.get(key) else { return "nothing".into() };
         let entries = statement.replicas.iter().enumerate();
--- a/crates/custody/src/node/takeover.rs
+++ b/crates/custody/src/node/takeover.rs
@@ -1,5 +1,4 @@
-//! Who owns a statement after something has changed: takeover, resignation, and the return of what only a
-//! fenced process knows.
+//! Changes of ownership: takeover, resignation, and the return of statements that only a fenced process has.
 
 use super::statement::{Ownership, PendingAttempt, ReplicaProgress, Role, Statement};
 use super::tombstones::Tombstone;
@@ -7,22 +6,22 @@
 use crate::wire::Participant;
 use crate::{Micros, StatementKey};
 
-/// The owner's position in the replica list is in the upper bits of a version: a later owner's versions are
-/// higher.
+/// The upper bits of a version are the owner's position in the replica list, so that the versions of a later
+/// owner are higher.
 const OWNER_POSITION_SHIFT: u32 = 40;
-/// An earlier member of the list that says nothing of a statement for so long may not have it: the record is
-/// passed to it.
+/// How long a replica waits for a record from the first member of the list that can act, before it forwards
+/// its own record to that member, which may not have one.
 pub(super) const FORWARD_DELAY: Micros = 1_000 * MILLISECOND;
 
-/// What the owner of a statement may do now that its replicas know enough.
-struct Progress {
+/// The pending actions of an owner that are recorded at its replicas and may be done now.
+struct RecordedActions {
     attempt: Option<PendingAttempt>,
     ending: bool,
     takeover: bool,
 }
 
 impl TakeoverNode {
-    /// Looks at a statement after something has changed.
+    /// Reviews a statement after a change and does what follows from it.
     pub(super) fn review_statement(&mut self, now: Micros, key: &StatementKey) {
         self.to_review.remove(key);
         self.exclude_fenced_replicas(key);
@@ -45,7 +44,7 @@
         fenced.iter().for_each(|who| self.exclude_replica(key, who));
     }
 
-    /// Others have the statement, or may have it.
+    /// Removes a statement that other gateways have or may have.
     fn remove_moved(&mut self, key: &StatementKey) {
         let Some(statement) = self.remove_statement(key) else { return };
         let replicas = statement.successor_incarnations();
@@ -61,7 +60,7 @@
             self.takeover_ready.insert((statement.deadline, key.clone()));
             self.forward_at.remove(key);
         } else if owner_position == first as u64 {
-            // Its owner runs, or is not known to be gone.
+            // The owner that sent the record is not excluded, so it still owns the statement.
             self.forward_at.remove(key);
         } else {
             self.forward_at.entry(key.clone()).or_insert(now + FORWARD_DELAY);
@@ -73,8 +72,8 @@
         let Some(ownership) = statement.ownership() else { return };
         let resigning = ownership.resigning;
         let has_successor = statement.has_successor();
-        // Whoever may have taken the statement over may have named others: after a resignation was sent none
-        // are added.
+        // After a resignation was sent, no replicas are added: another gateway may have taken the statement
+        // over and selected its own.
         if resigning && ownership.resignation_sent && !has_successor {
             return self.remove_moved(key);
         }
@@ -91,7 +90,7 @@
         self.continue_pending(now, key);
     }
 
-    /// A statement from which this gateway resigned leaves once a successor has acknowledged that.
+    /// Removes a statement from which this gateway has resigned once a successor has acknowledged that.
     fn review_resigned(&mut self, now: Micros, key: &StatementKey) {
         let Some(statement) = self.statements.get(key) else { return };
         let Some(ownership) = statement.ownership() else { return };
@@ -114,7 +113,8 @@
         }
     }
 
-    /// Whether a successor that is not believed gone has the record. It cannot decline it any more.
+    /// Whether a successor that is not gone according to membership has the record, and so cannot decline it
+    /// any more.
     fn has_living_replica(&self, now: Micros, key: &StatementKey) -> bool {
         let Some(statement) = self.statements.get(key) else { return false };
         let Some(ownership) = statement.ownership() else { return false };
@@ -124,18 +124,18 @@
         })
     }
 
-    /// Permits what waited for the replicas, and sends them what they lack.
+    /// Permits pending actions that are recorded, and sends the replicas the newest record.
     fn continue_pending(&mut self, now: Micros, key: &StatementKey) {
         let may_act = self.may_act(now);
         let Some(statement) = self.statements.get(key) else { return };
         let Some(ownership) = statement.ownership() else { return };
-        // The first record of a statement is what its client waits for.
+        // The client waits until the first record of its statement is replicated.
         let is_new = ownership.progress.iter().all(|progress| !progress.notified);
         let is_pending = ownership.is_pending();
         let delay = if is_pending || is_new { 0 } else { COALESCING_DELAY };
         if is_pending && may_act {
-            let progress = Self::recorded_progress(statement, ownership);
-            self.permit(now, key, &progress);
+            let actions = Self::recorded_actions(statement, ownership);
+            self.permit(now, key, &actions);
         }
         if !is_pending {
             self.awaiting_replicas.remove(key);
@@ -143,8 +143,9 @@
         self.queue_record(now, key, delay);
     }
 
-    /// What is recorded at all successors. An attempt needs one of them at least, if there is any.
-    fn recorded_progress(statement: &Statement, ownership: &Ownership) -> Progress {
+    /// The pending actions that are recorded at all notified successors. An attempt must also be recorded at
+    /// one successor at least, if there is any.
+    fn recorded_actions(statement: &Statement, ownership: &Ownership) -> RecordedActions {
         let is_recorded = |version: u64| statement.is_recorded(ownership, version);
         let has_replica = |version: u64| {
             let mut successors = statement.successors();
@@ -152,22 +153,22 @@
         };
         let is_protected = |version: u64| has_replica(version) || !statement.has_successor();
         let attempt = ownership.pending_attempt;
-        Progress {
+        RecordedActions {
             attempt: attempt.filter(|attempt| is_recorded(attempt.version) && is_protected(attempt.version)),
             ending: ownership.pending_ending.is_some_and(is_recorded),
             takeover: ownership.pending_takeover.is_some_and(is_recorded),
         }
     }
 
-    fn permit(&mut self, now: Micros, key: &StatementKey, progress: &Progress) {
+    fn permit(&mut self, now: Micros, key: &StatementKey, actions: &RecordedActions) {
         let Some(statement) = self.statements.get_mut(key) else { return };
-        let record = progress.takeover.then(|| Box::new(statement.record_at(now)));
+        let record = actions.takeover.then(|| Box::new(statement.record_at(now)));
         let Some(ownership) = statement.ownership_mut() else { return };
-        if let Some(attempt) = progress.attempt {
+        if let Some(attempt) = actions.attempt {
             ownership.pending_attempt = None;
             self.effects.push_back(Effect::StartAttempt(key.clone(), attempt.attempts));
         }
-        if progress.ending {
+        if actions.ending {
             ownership.pending_ending = None;
             self.effects.push_back(Effect::ReportEnding(key.clone()));
         }
@@ -180,7 +181,8 @@
         }
     }
 
-    /// Everybody before this gateway in the replica list never acts: it owns the statement from now on.
+    /// Takes a statement over: all members before this gateway in the replica list are excluded, so it is the
+    /// owner from now on.
     pub(super) fn take_over(&mut self, now: Micros, key: &StatementKey) {
         let Some(statement) = self.statements.get_mut(key) else { return };
         let (bytes, expires_at) = (statement.size_in_bytes(), statement.expires_at());
@@ -188,7 +190,7 @@
         statement.record.version = version;
         let progress =
             ReplicaProgress { since_version: version, notified: true, ..ReplicaProgress::default() };
-        // An ending that is found is recorded anew before it may be reported.
+        // An ending in the record has to be recorded at this owner's successors before it may be reported.
         let has_ending = statement.record.ending.is_some();
         statement.role = Role::Owner(Box::new(Ownership {
             progress: vec![progress; statement.replicas.len()],
@@ -208,7 +210,7 @@
         self.review_statement(now, key);
     }
 
-    /// Resigns from a statement, so that the next in its replica list takes it over.
+    /// Resigns from a statement, so that the next member of its replica list takes it over.
     fn resign_statement(&mut self, now: Micros, key: &StatementKey) {
         let Some(statement) = self.statements.get_mut(key) else { return };
         statement.replicas[statement.position].excluded = true;
@@ -226,9 +228,9 @@
         self.queue_record(now, key, 0);
     }
 
-    /// A statement that this process owned in a fenced term, and that nobody is known to have: its successors
-    /// may never have heard of it, as in a network partition. They are sent what it knew, with its own place
-    /// in the list given up. A gateway that knows more keeps to that.
+    /// Returns a statement that this process owned in a fenced term and that no other gateway is known to
+    /// have: in a network partition its successors may never have received it. They are sent its record, in
+    /// which this process is excluded from the replica list. A gateway with a newer record keeps that.
     pub(super) fn return_statement(&mut self, now: Micros, key: &StatementKey) {
         let last_valid_at = self.lease.last_valid_at;
         let Some(statement) = self.statements.get_mut(key) else { return };
@@ -237,7 +239,7 @@
         statement.record.version += 1;
         let never_notified = Self::withdraw_from_never_notified(statement);
         let Some(ownership) = statement.ownership_mut() else { return };
-        // An attempt that still waited for its record was never written.
+        // An attempt that was still waiting to be recorded was never sent to an engine.
         if ownership.pending_attempt.take().is_some_and(|attempt| attempt.attempts == 1) {
             statement.record.in_flight = None;
             statement.record.attempts = 0;
@@ -247,10 +249,12 @@
         self.to_review.insert(key.clone());
     }
 
-    /// Prepares a statement's ownership for its return. Whoever was notified may have taken it over without
-    /// acknowledging, and may have named others. So it is returned to those that were notified, who have
-    /// heard of that before it was acted on, and to no others; to any gateway if nobody was. Returns the
-    /// members that leave the replica list.
+    /// Prepares a statement's ownership for its return, and returns the members removed from the replica
+    /// list.
+    ///
+    /// A notified member may have taken the statement over without acknowledging it, and may have selected
+    /// replicas of its own. The statement is therefore returned to the notified members only, as a takeover
+    /// is known to them before it is acted on; or to any gateway if no member was notified.
     fn withdraw_from_never_notified(statement: &mut Statement) -> Vec<Participant> {
         let Some(ownership) = statement.ownership_mut() else { return Vec::new() };
         ownership.resigning = true;
--- a/crates/custody/src/node/tombstones.rs
+++ b/crates/custody/src/node/tombstones.rs
@@ -1,27 +1,28 @@
-//! Tombstones: statements that ended here or moved to other gateways, so that late messages revive nothing.
+//! Tombstones of statements that ended here or moved to other gateways, so that late messages do not revive
+//! them.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::{Ending, Incarnation, Micros, StatementKey};
 
-/// Tombstones that are remembered, at most; the oldest leaves first.
+/// Maximum number of tombstones; the oldest is dropped first.
 const MAX_TOMBSTONES: usize = 16_384;
 
-/// What became of a statement.
+/// Why a statement is not kept here any more.
 #[derive(Debug, Clone)]
 pub(super) enum Tombstone {
-    /// It ended; with a gateway's own ending, where that is known.
+    /// It ended; with the ending if a gateway decided it and it is known here.
     Ended(Option<Ending>),
-    /// Other gateways may have it; given away in that term of this process.
+    /// These gateways may have it; this process gave it up in that term.
     Moved { in_term: u32, replicas: Vec<Incarnation> },
 }
 
 #[derive(Default)]
 pub(super) struct Tombstones {
     by_key: BTreeMap<StatementKey, Tombstone>,
-    /// When each was added, the oldest first.
+    /// Keys and the times at which their tombstones were added, oldest first.
     order: VecDeque<(StatementKey, Micros)>,
-    /// When the newest of those was added that had to leave.
+    /// When the newest of the dropped tombstones was added.
     newest_dropped: Option<Micros>,
 }
 
@@ -42,12 +43,12 @@
         }
     }
 
-    /// The statement is kept here again.
+    /// Removes the tombstone of a statement that is kept here again.
     pub(super) fn remove(&mut self, key: &StatementKey) {
         self.by_key.remove(key);
     }
 
-    /// Whether all tombstones of the last `span` are remembered.
+    /// Whether no tombstone of the last `span` was dropped.
     pub(super) fn are_complete_for(&self, now: Micros, span: Micros) -> bool {
         self.newest_dropped.is_none_or(|added_at| now > added_at + span)
     }
--- a/crates/custody/src/node/transmission.rs
+++ b/crates/custody/src/node/transmission.rs
@@ -1,4 +1,4 @@
-//! Batches of records on their way to other gateways: queues, acknowledgements, failures and retransmission.
+//! Transmission of records to other gateways in batches: queues, acknowledgements, failures, retransmission.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,18 +11,18 @@
 };
 use crate::{Micros, StatementKey};
 
-/// Bytes of a batch; the record that passes them is its last one.
+/// Size from which no further record is added to a batch.
 const MAX_BATCH_BYTES: usize = 256 << 10;
-/// Bytes that a member of a replica list is counted with in a batch.
+/// Bytes counted in a batch for a member of a replica list.
 const REPLICA_ENTRY_BYTES: usize = 128;
-/// Batches to one process that are not acknowledged yet.
-const MAX_IN_FLIGHT: usize = 32;
-/// A batch that is not acknowledged for so long, and for its transfer, counts as lost.
+/// Maximum number of batches to one process that are not acknowledged yet.
+const MAX_IN_FLIGHT_BATCHES: usize = 32;
+/// Time after which a batch that is not acknowledged counts as lost, in addition to its transfer time.
 const ACKNOWLEDGE_TIMEOUT: Micros = 100 * MILLISECOND;
-/// The transfer of a batch is expected to take a microsecond for so many bytes.
+/// Transfer rate that is assumed for batches.
 const BYTES_PER_MICROSECOND: u64 = 10;
-/// Losses in a row after which the timeout doubles no further.
-const MAX_DOUBLINGS: u32 = 4;
+/// Maximum number of times that the timeout is doubled, once for each consecutive loss.
+const MAX_TIMEOUT_DOUBLINGS: u32 = 4;
 
 /// A version of a record that was sent.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
 struct BatchContents {
     records: Vec<ReplicaRecord>,
     sent: Vec<SentRecord>,
-    /// What the records are counted with.
+    /// The size counted for the records.
     bytes: usize,
 }
 
@@ -48,25 +48,26 @@
     ended: Vec<StatementKey>,
 }
 
-/// A process to which batches are sent, or from which they come.
+/// A process to which batches are sent or from which they are received.
 #[derive(Debug, Default)]
 pub(super) struct Peer {
-    /// The number of the last batch from there, and of the last one to there.
+    /// The number of the last batch received from the process.
     pub(super) last_received: u64,
+    /// The number of the last batch sent to the process.
     last_sent: u64,
     in_flight: BTreeMap<u64, InFlightBatch>,
     queued_records: BTreeSet<StatementKey>,
     queued_endings: BTreeSet<StatementKey>,
-    /// When the queues are sent.
+    /// When the queued records and endings are sent.
     send_at: Option<Micros>,
     consecutive_losses: u32,
     pub(super) last_heard: Micros,
-    /// When it rejected a record for lack of room.
+    /// When the process last rejected a record for lack of room.
     pub(super) full_since: Option<Micros>,
 }
 
 impl Peer {
-    /// Forgets everything but the numbers of batches and when the process was heard.
+    /// Resets everything except the batch numbers and the time of the last message.
     pub(super) fn clear_queues(&mut self) {
         *self = Peer {
             last_received: self.last_received,
@@ -81,7 +82,7 @@
     }
 
     fn may_send(&self, now: Micros) -> bool {
-        self.send_at.is_some_and(|at| at <= now) && self.in_flight.len() < MAX_IN_FLIGHT
+        self.send_at.is_some_and(|at| at <= now) && self.in_flight.len() < MAX_IN_FLIGHT_BATCHES
     }
 
     fn has_lost_batch(&self, now: Micros) -> bool {
@@ -93,19 +94,20 @@
     }
 
     pub(super) fn next_wake(&self) -> Option<Micros> {
-        let send_at = self.send_at.filter(|_| self.in_flight.len() < MAX_IN_FLIGHT);
+        let send_at = self.send_at.filter(|_| self.in_flight.len() < MAX_IN_FLIGHT_BATCHES);
         let lost_at = self.in_flight.values().map(|batch| batch.lost_at).min();
         send_at.into_iter().chain(lost_at).min()
     }
 
-    /// Queues a record, to be sent at a time; a process that does not acknowledge is not sent more for it.
+    /// Queues a record to be sent at a time. If batches are being lost, it waits for the scheduled
+    /// retransmission instead.
     fn queue_record(&mut self, key: StatementKey, at: Micros) {
         self.queued_records.insert(key);
         let at = if self.consecutive_losses > 0 { self.send_at.unwrap_or(at) } else { at };
         self.send_by(at);
     }
 
-    /// Queues an ending, to be sent with what is due, or at a time.
+    /// Queues an ending, to be sent with the next batch, or at a time if none is scheduled.
     pub(super) fn queue_ending(&mut self, key: StatementKey, at: Micros) {
         self.queued_endings.insert(key);
         self.send_at.get_or_insert(at);
@@ -119,7 +121,8 @@
         std::iter::from_fn(|| self.queued_endings.pop_first()).take(MAX_BATCH_ITEMS).collect()
     }
 
-    /// Numbers grow with the clock: they go on where they were even if this peer was forgotten in between.
+    /// The number of the next batch. Numbers grow with the clock, so that they keep growing even if this
+    /// peer's state was dropped in between.
     fn next_number(&mut self, now: Micros) -> u64 {
         self.last_sent = now.max(self.last_sent + 1);
         self.last_sent
@@ -134,9 +137,9 @@
         Some(self.peers.entry(who.clone()).or_default())
     }
 
-    // --- Queues ---
+    // Queues.
 
-    /// Queues a statement's record for the successors that may be notified and do not have the newest
+    /// Queues a statement's record for the successors that may be notified and were not sent the newest
     /// version.
     pub(super) fn queue_record(&mut self, now: Micros, key: &StatementKey, delay: Micros) {
         let Some(statement) = self.statements.get(key) else { return };
@@ -161,7 +164,7 @@
         self.fault == InjectedFault::ReplicaListNotAwaited
     }
 
-    /// Passes records to the first member of their replica lists that may not know of them.
+    /// Forwards records to the first member of their replica lists that can act, as it may not have them.
     pub(super) fn forward_records(&mut self, now: Micros) {
         let due = self.forward_at.iter().filter(|(_, at)| **at <= now);
         let due: Vec<StatementKey> = due.map(|(key, _)| key.clone()).take(REVIEWS_PER_TURN).collect();
@@ -180,7 +183,7 @@
         }
     }
 
-    // --- Batches ---
+    // Batches.
 
     pub(super) fn send_due_batches(&mut self, now: Micros) {
         let due = self.peers.iter().filter(|(_, peer)| peer.is_due(now));
@@ -191,7 +194,7 @@
         }
     }
 
-    /// Sends what is queued for one process, in the order in which batches are numbered.
+    /// Sends the queued records and endings of one process in numbered batches.
     fn send_batches(&mut self, now: Micros, to: &Participant) {
         while self.peers.get(to).is_some_and(|peer| peer.may_send(now)) {
             let BatchContents { records, sent, bytes } = self.next_records(now, to);
@@ -214,7 +217,7 @@
         }
     }
 
-    /// The records of the next batch, taken from the queue.
+    /// Takes the records of the next batch from the queue.
     fn next_records(&mut self, now: Micros, to: &Participant) -> BatchContents {
         let mut contents = BatchContents::default();
         let Some(peer) = self.peers.get_mut(to) else { return contents };
@@ -232,7 +235,8 @@
         contents
     }
 
-    /// A statement's record for one member of its replica list, if it lacks one and may be notified.
+    /// A statement's record for one member of its replica list, unless an owner has sent it this version
+    /// already or may not notify it yet.
     fn record_to_send(&mut self, now: Micros, to: &Participant, key: &StatementKey) -> Option<ReplicaRecord> {
         let notifies_at_once = self.notifies_at_once();
         let statement = self.statements.get_mut(key)?;
@@ -257,7 +261,7 @@
         Some(record)
     }
 
-    // --- Acknowledgements and failures ---
+    // Acknowledgements and failures.
 
     pub(super) fn handle_acknowledgement(
         &mut self,
@@ -279,12 +283,12 @@
             rejected.iter().map(|rejection| (rejection.index, rejection.reason)).collect();
         for (index, sent) in batch.records.into_iter().enumerate() {
             let rejection = rejected.get(&(index as u16)).copied();
-            self.handle_record_answer(now, sender, sent, rejection);
+            self.handle_record_result(now, sender, sent, rejection);
         }
     }
 
-    /// A record was accepted by another gateway, or rejected.
-    fn handle_record_answer(
+    /// Handles the acceptance or rejection of one record by another gateway.
+    fn handle_record_result(
         &mut self,
         now: Micros,
         sender: &Participant,
@@ -295,7 +299,7 @@
         let Some(statement) = self.statements.get_mut(&key) else { return };
         let Some(position) = statement.position_of(sender) else { return };
         if rejection == Some(RejectReason::Ended) {
-            return self.end_elsewhere(key);
+            return self.remove_ended_elsewhere(key);
         }
         match &mut statement.role {
             Role::Owner(ownership) => {
@@ -312,7 +316,7 @@
                     Some(_) => {}
                 }
             }
-            // It has the record now, and goes on with the statement.
+            // The first member of the list has the record now and can continue the statement.
             Role::Replica => drop(self.forward_at.remove(&key)),
         }
         if rejection == Some(RejectReason::NoRoom) {
@@ -321,8 +325,8 @@
         self.review_statement(now, &key);
     }
 
-    /// Another gateway knows that a statement has ended.
-    fn end_elsewhere(&mut self, key: StatementKey) {
+    /// Removes a statement that has ended at another gateway.
+    fn remove_ended_elsewhere(&mut self, key: StatementKey) {
         let Some(statement) = self.remove_statement(&key) else { return };
         if statement.ownership().is_some_and(Ownership::is_active) {
             self.effects.push_back(Effect::Relinquished(key.clone()));
@@ -330,7 +334,7 @@
         self.add_tombstone(key, Tombstone::Ended(statement.record.ending));
     }
 
-    /// Records could not be sent to a gateway.
+    /// Handles a failure to send records to a gateway: all batches in flight to it count as lost.
     pub fn handle_send_failure(&mut self, now: Micros, to: &str) {
         let of_gateway = self.peers.keys().filter(|who| who.incarnation.name == to);
         let of_gateway: Vec<Participant> = of_gateway.cloned().collect();
@@ -350,7 +354,7 @@
         if lost.is_empty() {
             return;
         }
-        peer.consecutive_losses = (peer.consecutive_losses + 1).min(MAX_DOUBLINGS);
+        peer.consecutive_losses = (peer.consecutive_losses + 1).min(MAX_TIMEOUT_DOUBLINGS);
         peer.send_at = Some(now + ((ACKNOWLEDGE_TIMEOUT / 4) << peer.consecutive_losses));
         let mut records = Vec::new();
         for number in lost {
--- a/crates/custody/src/voter.rs
+++ b/crates/custody/src/voter.rs
@@ -144,7 +144,8 @@
         encode_marks(&fences)
     }
 
-    /// Handles another voter's answer to the query made at `asked_at`: its marks, empty if it has none stored.
+    /// Handles another voter's answer to the query made at `asked_at`: its marks, empty if it has none
+    /// stored.
     ///
     /// Only answers to queries made after the startup silence count: by then every quorum that relied on a
     /// fence which this voter has lost is complete, so that its other members know that fence.
@@ -287,7 +288,8 @@
         Some(self.encoded_fences())
     }
 
-    /// Handles the completion of a write. Returns the fences to report, each with the gateway to report it to.
+    /// Handles the completion of a write. Returns the fences to report, each with the gateway to report it
+    /// to.
     pub fn write_completed(&mut self, now: Micros) -> Vec<(String, FenceMark)> {
         self.is_writing = false;
         self.has_stored = true;
--- a/crates/custody/src/wire/codec.rs
+++ b/crates/custody/src/wire/codec.rs
@@ -121,8 +121,8 @@
     fn attempt(&mut self, attempt: &InFlightAttempt) {
         self.u32(attempt.number);
         self.text(&attempt.engine);
-        // A URI that is too long is omitted: a gateway that takes over then cannot find the running statement,
-        // which it reports.
+        // A URI that is too long is omitted: a gateway that takes over then cannot find the running
+        // statement, which it reports.
         let next_uri = attempt.next_uri.as_ref().filter(|uri| uri.len() <= MAX_TEXT_BYTES);
         self.flag(next_uri.is_some());
         next_uri.into_iter().for_each(|uri| self.text(uri));
--- a/crates/custody/src/wire/stored_marks.rs
+++ b/crates/custody/src/wire/stored_marks.rs
@@ -40,7 +40,7 @@
             StoredMarksError::Format(n) => {
                 write!(
                     f,
-                    "the list of fenced processes has format {n}, but this program supports only {STORED_FORMAT}"
+                    "the list of fenced processes has format {n}; this program supports only {STORED_FORMAT}"
                 )
             }
             StoredMarksError::Damaged => write!(f, "the list of fenced processes is truncated or corrupted"),
--- a/crates/custody/src/wire/tests.rs
+++ b/crates/custody/src/wire/tests.rs
@@ -1,5 +1,5 @@
-//! Checks the encoded bytes of each message and of the stored marks, as gateways of different versions have to
-//! understand each other.
+//! Checks the encoded bytes of each message and of the stored marks, as gateways of different versions have
+//! to understand each other.
 
 use super::stored_marks::{decode_marks, encode_marks, Fence, StoredMarksError};
 use super::*;
--- a/crates/custody/tests/takeover.rs
+++ b/crates/custody/tests/takeover.rs
@@ -1,5 +1,5 @@
-//! Three gateways whose messages arrive at once: replication, fencing, takeover, and what is malformed, late or
-//! without room.
+//! Three gateways whose messages arrive at once: replication, fencing, takeover, and what is malformed, late
+//! or without room.
 
 use violetward_custody::{
     Effect, InFlightAttempt, Incarnation, Member, MemberState, Permission, Record, RepeatSafety, Settings,
