--- a/crates/custody/examples/fleet.rs
+++ b/crates/custody/examples/fleet.rs
@@ -1,5 +1,5 @@
-//! What takeover costs: a fleet at rest and with statements, one gateway killed, and all of them restarted in
-//! turn.
+//! Measures the cost of takeover: messages of an idle fleet and of statements, takeovers after one gateway is
+//! killed, and the CPU time of a statement.
 
 use std::time::Instant;
 
@@ -9,20 +9,23 @@
     TakeoverNode,
 };
 
+/// One second in microseconds.
 const SECOND: u64 = 1_000_000;
 
-fn at(times: &[u64], part: usize) -> f64 {
+/// A percentile of times in microseconds, in milliseconds.
+fn percentile_ms(times: &[u64], percent: usize) -> f64 {
     let mut times = times.to_vec();
     times.sort_unstable();
-    times.get(times.len().saturating_sub(1) * part / 100).map_or(0.0, |&t| t as f64 / 1_000.0)
+    times.get(times.len().saturating_sub(1) * percent / 100).map_or(0.0, |&time| time as f64 / 1_000.0)
 }
 
-fn sent(fleet: &Fleet) -> [u64; 4] {
+/// Datagrams, their bytes, sends of records and their bytes.
+fn traffic(fleet: &Fleet) -> [u64; 4] {
     let counts = fleet.counts();
     [counts.datagrams, counts.datagram_bytes, counts.record_sends, counts.record_bytes]
 }
 
-fn fleet(gateways: usize, unsafe_percent: u64, statements: usize) {
+fn measure_fleet(gateways: usize, unsafe_percent: u64, statements: usize) {
     let case = Case {
         gateways,
         voters: 5,
@@ -37,42 +40,52 @@
     };
     let mut fleet = Fleet::new(case, 7);
     fleet.run(10 * SECOND);
-    let start = sent(&fleet);
+    let start = traffic(&fleet);
     fleet.run(30 * SECOND);
-    let rest: Vec<f64> =
-        sent(&fleet).iter().zip(start).map(|(a, b)| (a - b) as f64 / 30.0 / gateways as f64).collect();
+    let idle_per_gateway_second: Vec<f64> =
+        traffic(&fleet).iter().zip(start).map(|(a, b)| (a - b) as f64 / 30.0 / gateways as f64).collect();
     println!(
-        "{gateways} gateways at rest, a gateway and second: {:.1} datagrams, {:.0} octets",
-        rest[0], rest[1]
+        "{gateways} idle gateways, per gateway and second: {:.1} datagrams, {:.0} bytes",
+        idle_per_gateway_second[0], idle_per_gateway_second[1]
     );
-    let start = sent(&fleet);
+    let start = traffic(&fleet);
     fleet.schedule_statements(statements, 0, 10 * SECOND);
     fleet.run(40 * SECOND);
-    let cost: Vec<f64> = sent(&fleet).iter().zip(start).map(|(a, b)| (a - b) as f64).collect();
-    let less = |i: usize| (cost[i] - rest[i] * 40.0 * gateways as f64) / statements as f64;
+    let cost: Vec<f64> = traffic(&fleet).iter().zip(start).map(|(a, b)| (a - b) as f64).collect();
+    let per_statement =
+        |i: usize| (cost[i] - idle_per_gateway_second[i] * 40.0 * gateways as f64) / statements as f64;
+    let intent_delays = &fleet.counts().intent_delays;
     println!(
-        "{statements} statements, {unsafe_percent} of 100 unsafe, each: {:.1} datagrams of {:.0} octets, {:.1} sendings of {:.0} octets; intent to word {:.1} ms, {:.1} ms (99th)",
-        less(0), less(1) / less(0), less(2), less(3) / less(2).max(0.01), at(&fleet.counts().intent_delays, 50), at(&fleet.counts().intent_delays, 99)
+        "{statements} statements, {unsafe_percent} % unsafe, each: {:.1} datagrams of {:.0} bytes, \
+         {:.1} sends of {:.0} bytes; intent to permission {:.1} ms (median), {:.1} ms (99th percentile)",
+        per_statement(0),
+        per_statement(1) / per_statement(0),
+        per_statement(2),
+        per_statement(3) / per_statement(2).max(0.01),
+        percentile_ms(intent_delays, 50),
+        percentile_ms(intent_delays, 99)
     );
     fleet.schedule_statements(statements, 0, 2 * SECOND);
     fleet.run(2 * SECOND);
-    let before = fleet.owned_statements();
-    let n = (0..gateways).max_by_key(|&n| before[n]).unwrap_or(0);
-    fleet.kill_process(n);
+    let owned = fleet.owned_statements();
+    let killed = (0..gateways).max_by_key(|&gateway| owned[gateway]).unwrap_or(0);
+    fleet.kill_process(killed);
     fleet.run(6 * SECOND);
-    let after = &fleet.counts().takeover_delays;
+    let takeover_delays = &fleet.counts().takeover_delays;
     println!(
-        "g{n} killed with {} in hand: {} adopted, {:.0} ms after its fall at the median, {:.0} ms the last",
-        before[n],
-        after.len(),
-        at(after, 50),
-        at(after, 100)
+        "g{killed} killed while it owned {} statements: {} taken over, {:.0} ms \
+         (median) and {:.0} ms (last) after the kill",
+        owned[killed],
+        takeover_delays.len(),
+        percentile_ms(takeover_delays, 50),
+        percentile_ms(takeover_delays, 100)
     );
     fleet.run(40 * SECOND);
-    let lost = fleet.finish().map(|counts| [counts.accepted, counts.ended, counts.lost]);
-    println!("taken, ended, lost: {lost:?}");
+    let outcome = fleet.finish().map(|counts| [counts.accepted, counts.ended, counts.lost]);
+    println!("accepted, ended, lost: {outcome:?}");
 }
 
+/// Gateways in the fleet of the CPU time measurement.
 const MICROBENCH_GATEWAYS: usize = 300;
 /// The gateway that accepts the statements.
 const OWNER: usize = 9;
@@ -81,7 +94,7 @@
     Incarnation { name: format!("g{gateway}"), number: gateway as u64 + 1 }
 }
 
-/// Gateways whose messages arrive at once.
+/// Gateways whose messages are delivered immediately.
 struct DirectFleet {
     nodes: Vec<TakeoverNode>,
     now: u64,
@@ -129,20 +142,20 @@
         self.deliver_from(gateway);
     }
 
-    /// Carries out the effects of a gateway, and of those that its messages reach.
+    /// Carries out the effects of a gateway, and of the gateways that its messages reach.
     fn deliver_from(&mut self, first: usize) {
-        let mut touched = vec![first];
-        while let Some(gateway) = touched.pop() {
+        let mut pending = vec![first];
+        while let Some(gateway) = pending.pop() {
             while let Some(effect) = self.nodes[gateway].next_effect() {
                 match effect {
                     Effect::SendDatagram(to, bytes) | Effect::SendRecords(to, bytes) => {
                         let to: usize = to[1..].parse().unwrap_or(0);
                         self.nodes[to].handle_message(self.now, &format!("g{gateway}"), &bytes);
-                        touched.push(to);
+                        pending.push(to);
                     }
                     Effect::StoreMarks(_) => {
                         self.nodes[gateway].marks_stored(self.now);
-                        touched.push(gateway);
+                        pending.push(gateway);
                     }
                     _ => {}
                 }
@@ -150,7 +163,7 @@
         }
     }
 
-    /// A statement from its acceptance to its end.
+    /// Runs a statement from its acceptance to its end.
     fn run_statement(&mut self, number: u64, repeat: RepeatSafety) {
         self.now += 1_000;
         let key = StatementKey { accepted_by: incarnation(OWNER), number };
@@ -181,20 +194,23 @@
     }
 }
 
-/// What a statement costs its owner and its replicas, in microseconds.
-fn microseconds(repeat: RepeatSafety, count: u64) {
+/// Measures the CPU time that a statement costs its owner and its replicas.
+fn measure_statement(repeat: RepeatSafety, count: u64) {
     let mut fleet = DirectFleet::new();
     let started = Instant::now();
     (1..=count).for_each(|number| fleet.run_statement(number, repeat));
-    let each = started.elapsed().as_secs_f64() * 1e6 / count as f64;
-    println!("{repeat:?}: {each:.1} microseconds a statement, at its owner and its replicas together");
+    let micros_per_statement = started.elapsed().as_secs_f64() * 1e6 / count as f64;
+    println!(
+        "{repeat:?} to repeat: {micros_per_statement:.1} microseconds per statement, \
+         at its owner and its replicas together"
+    );
 }
 
 fn main() {
     for (gateways, statements) in [(24, 3_000), (300, 3_000)] {
-        fleet(gateways, 0, statements);
-        fleet(gateways, 100, statements);
+        measure_fleet(gateways, 0, statements);
+        measure_fleet(gateways, 100, statements);
     }
-    microseconds(RepeatSafety::Safe, 20_000);
-    microseconds(RepeatSafety::Unsafe, 20_000);
+    measure_statement(RepeatSafety::Safe, 20_000);
+    measure_statement(RepeatSafety::Unsafe, 20_000);
 }
--- a/crates/custody/examples/histories.rs
+++ b/crates/custody/examples/histories.rs
@@ -1,5 +1,5 @@
-//! Plays drawn histories and prints what happened: `histories [FROM [TO [FAULT]]]`. With an injected fault,
-//! by its number, until it is found.
+//! Simulates randomly drawn histories and prints totals: `histories [FIRST_SEED [END_SEED [FAULT]]]`.
+//! `FAULT` is the index of a fault to inject; the run then stops at the first history that detects it.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
@@ -21,59 +21,66 @@
     InjectedFault::VotesWithoutMarks,
 ];
 
-fn at(times: &mut [u64], part: usize) -> f64 {
+/// A percentile of times in microseconds, in milliseconds.
+fn percentile_ms(times: &mut [u64], percent: usize) -> f64 {
     times.sort_unstable();
-    times.get(times.len().saturating_sub(1) * part / 100).map_or(0.0, |&t| t as f64 / 1_000.0)
+    times.get(times.len().saturating_sub(1) * percent / 100).map_or(0.0, |&time| time as f64 / 1_000.0)
 }
 
 fn main() {
-    let args: Vec<u64> = std::env::args().skip(1).filter_map(|a| a.parse().ok()).collect();
-    let arg = |i: usize, or| args.get(i).copied().unwrap_or(or);
+    let args: Vec<u64> = std::env::args().skip(1).filter_map(|arg| arg.parse().ok()).collect();
+    let arg = |index: usize, default| args.get(index).copied().unwrap_or(default);
     let fault = FAULTS[arg(2, 0) as usize % FAULTS.len()];
-    let (next, to) = (AtomicU64::new(arg(0, 0)), arg(1, 1_000));
-    let (all, broken) = (Mutex::new(Counts::default()), Mutex::new(Vec::new()));
+    let (next_seed, end_seed) = (AtomicU64::new(arg(0, 0)), arg(1, 1_000));
+    let (totals, failures) = (Mutex::new(Counts::default()), Mutex::new(Vec::new()));
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get().div_ceil(2));
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| loop {
-                let seed = next.fetch_add(1, Ordering::Relaxed);
-                let found = broken.lock().is_ok_and(|b| !b.is_empty());
-                if seed >= to || (fault != InjectedFault::None && found) {
+                let seed = next_seed.fetch_add(1, Ordering::Relaxed);
+                let is_detected = failures.lock().is_ok_and(|failures| !failures.is_empty());
+                if seed >= end_seed || (fault != InjectedFault::None && is_detected) {
                     break;
                 }
-                let is_drawn = fault == InjectedFault::None;
-                let shape = if is_drawn { Case::drawn(seed) } else { Case::default() };
+                let draws_shape = fault == InjectedFault::None;
+                let shape = if draws_shape { Case::drawn(seed) } else { Case::default() };
                 let case = Case { injected_fault: fault, ..shape };
-                match (play(&case, seed), all.lock(), broken.lock()) {
-                    (Ok(counts), Ok(mut all), _) => all.add(counts),
-                    (Err(why), _, Ok(mut broken)) => broken.push((seed, why)),
+                match (play(&case, seed), totals.lock(), failures.lock()) {
+                    (Ok(counts), Ok(mut totals), _) => totals.add(counts),
+                    (Err(why), _, Ok(mut failures)) => failures.push((seed, why)),
                     _ => {}
                 }
             });
         }
     });
-    let (mut all, broken) = (all.into_inner().unwrap_or_default(), broken.into_inner().unwrap_or_default());
-    println!("| {fault:?} | histories {} to {to} |", arg(0, 0));
+    let mut totals = totals.into_inner().unwrap_or_default();
+    let failures = failures.into_inner().unwrap_or_default();
+    println!("| fault: {fault:?} | seeds {} to {end_seed} |", arg(0, 0));
     println!("| --- | --- |");
     println!(
-        "| statements taken, ended, lost with all that had them | {}, {}, {} |",
-        all.accepted, all.ended, all.lost
+        "| statements accepted, ended, lost with all gateways that had them | {}, {}, {} |",
+        totals.accepted, totals.ended, totals.lost
     );
     println!(
-        "| attempts, adopted, dropped, intents that waited | {}, {}, {}, {} |",
-        all.attempts, all.takeovers, all.relinquished, all.awaited_intents
+        "| attempts, takeovers, statements relinquished, intents that waited | {}, {}, {}, {} |",
+        totals.attempts, totals.takeovers, totals.relinquished, totals.awaited_intents
     );
-    let faults = [all.kills, all.pauses, all.partitions, all.false_suspicions, all.hand_overs];
-    println!("| kills, stops, cuts, wrong beliefs, planned ends | {faults:?} |");
-    let sent = [all.datagrams, all.datagram_bytes, all.record_sends, all.record_bytes];
-    println!("| datagrams and octets, sendings and octets | {sent:?} |");
-    let (after, intent) = (&mut all.takeover_delays, &mut all.intent_delays);
+    let fault_counts =
+        [totals.kills, totals.pauses, totals.partitions, totals.false_suspicions, totals.hand_overs];
+    println!("| kills, pauses, partitions, false suspicions, hand-overs | {fault_counts:?} |");
+    let sent = [totals.datagrams, totals.datagram_bytes, totals.record_sends, totals.record_bytes];
+    println!("| datagrams and their bytes, sends of records and their bytes | {sent:?} |");
+    let (takeover_delays, intent_delays) = (&mut totals.takeover_delays, &mut totals.intent_delays);
     println!(
-        "| from the fall to the adoption, ms, median and 99th | {:.0}, {:.0} |",
-        at(after, 50),
-        at(after, 99)
+        "| failure to takeover, ms, median and 99th percentile | {:.0}, {:.0} |",
+        percentile_ms(takeover_delays, 50),
+        percentile_ms(takeover_delays, 99)
     );
-    println!("| from intent to word, ms, median and 99th | {:.1}, {:.1} |", at(intent, 50), at(intent, 99));
-    println!("| broken | {} |", broken.len());
-    broken.iter().take(5).for_each(|(seed, why)| println!("seed {seed}: {why}"));
+    println!(
+        "| intent to permission, ms, median and 99th percentile | {:.1}, {:.1} |",
+        percentile_ms(intent_delays, 50),
+        percentile_ms(intent_delays, 99)
+    );
+    println!("| failed histories | {} |", failures.len());
+    failures.iter().take(5).for_each(|(seed, why)| println!("seed {seed}: {why}"));
 }
--- a/crates/custody/tests/takeover.rs
+++ b/crates/custody/tests/takeover.rs
@@ -1,15 +1,16 @@
-//! Three gateways whose messages arrive at once: replication, fencing, takeover, and what is malformed, late
-//! or without room.
+//! The state machines of three gateways whose messages are delivered immediately: replication, fencing,
+//! takeover, and messages that are malformed, late or find no room.
 
 use violetward_custody::{
     Effect, InFlightAttempt, Incarnation, Member, MemberState, Permission, Record, RepeatSafety, Settings,
     StatementKey, StoredMarksError, TakeoverNode, Usage,
 };
 
+/// One second in microseconds.
 const SECOND: u64 = 1_000_000;
 
-fn incarnation(n: usize) -> Incarnation {
-    Incarnation { name: format!("g{n}"), number: 100 + n as u64 }
+fn incarnation(gateway: usize) -> Incarnation {
+    Incarnation { name: format!("g{gateway}"), number: 100 + gateway as u64 }
 }
 
 fn key(number: u64) -> StatementKey {
@@ -41,84 +42,93 @@
     }
 }
 
-/// Three gateways whose messages arrive at once.
-struct Three {
-    all: Vec<TakeoverNode>,
+/// Three gateways whose messages are delivered immediately.
+struct ThreeGateways {
+    nodes: Vec<TakeoverNode>,
     now: u64,
-    /// All other effects, by whom; and all records that were sent.
-    done: Vec<(usize, Effect)>,
-    sent: Vec<(usize, String, Vec<u8>)>,
-    /// Nothing passes between this one and the others.
+    /// The effects of each gateway that were not carried out here.
+    effects: Vec<(usize, Effect)>,
+    /// The records that were sent: sender, receiver and bytes.
+    sent_records: Vec<(usize, String, Vec<u8>)>,
+    /// The gateway that no message passes to or from.
     partitioned: Option<usize>,
 }
 
-impl Three {
-    fn new(most: usize) -> Three {
+impl ThreeGateways {
+    fn new(max_replica_records: usize) -> ThreeGateways {
         let members: Vec<Member> = (0..3)
-            .map(|n| Member { incarnation: incarnation(n), site: format!("s{n}"), state: MemberState::Alive })
+            .map(|gateway| Member {
+                incarnation: incarnation(gateway),
+                site: format!("s{gateway}"),
+                state: MemberState::Alive,
+            })
             .collect();
-        let node = |n: usize| {
+        let node = |gateway: usize| {
             let settings = Settings {
-                incarnation: incarnation(n),
-                site: format!("s{n}"),
-                voters: (0..3).map(|v| format!("g{v}")).collect(),
+                incarnation: incarnation(gateway),
+                site: format!("s{gateway}"),
+                voters: (0..3).map(|voter| format!("g{voter}")).collect(),
                 lease: 3 * SECOND,
                 drift_ppm: 200,
                 action_margin: 0,
                 replicas: 2,
-                max_replica_records: most,
+                max_replica_records,
                 max_replica_bytes: 1 << 20,
             };
             let mut node = TakeoverNode::new(settings, None, SECOND).expect("a first start");
             node.update_members(SECOND, members.clone());
             node
         };
-        let mut three = Three {
-            all: (0..3).map(node).collect(),
+        let mut gateways = ThreeGateways {
+            nodes: (0..3).map(node).collect(),
             now: SECOND,
-            done: Vec::new(),
-            sent: Vec::new(),
+            effects: Vec::new(),
+            sent_records: Vec::new(),
             partitioned: None,
         };
-        three.run(SECOND);
-        assert!(three.all.iter().all(|c| c.may_act(three.now)));
-        three
+        gateways.run(SECOND);
+        assert!(gateways.nodes.iter().all(|node| node.may_act(gateways.now)));
+        gateways
     }
 
     fn deliver_all(&mut self) {
-        let mut n = 0;
-        while n < 3 {
-            let Some(effect) = self.all[n].next_effect() else {
-                n += 1;
+        let mut gateway = 0;
+        while gateway < 3 {
+            let Some(effect) = self.nodes[gateway].next_effect() else {
+                gateway += 1;
                 continue;
             };
             match effect {
-                Effect::SendDatagram(to, bytes) => self.deliver_message(&format!("g{n}"), &to, &bytes),
+                Effect::SendDatagram(to, bytes) => self.deliver_message(&format!("g{gateway}"), &to, &bytes),
                 Effect::SendRecords(to, bytes) => {
-                    self.deliver_message(&format!("g{n}"), &to, &bytes);
-                    self.sent.push((n, to, bytes));
+                    self.deliver_message(&format!("g{gateway}"), &to, &bytes);
+                    self.sent_records.push((gateway, to, bytes));
                 }
-                Effect::StoreMarks(_) => self.all[n].marks_stored(self.now),
-                other => self.done.push((n, other)),
+                Effect::StoreMarks(_) => self.nodes[gateway].marks_stored(self.now),
+                other => self.effects.push((gateway, other)),
             }
-            n = 0;
+            gateway = 0;
         }
     }
 
     fn deliver_message(&mut self, from: &str, to: &str, bytes: &[u8]) {
-        let n: usize = to[1..].parse().expect("a number");
-        if self.partitioned.is_some_and(|cut| cut == n || from == format!("g{cut}")) {
+        let gateway: usize = to[1..].parse().expect("a number");
+        if self
+            .partitioned
+            .is_some_and(|partitioned| partitioned == gateway || from == format!("g{partitioned}"))
+        {
             return;
         }
-        self.all[n].handle_message(self.now, from, bytes);
+        self.nodes[gateway].handle_message(self.now, from, bytes);
     }
 
-    /// What the membership of one of them believes of the others.
-    fn set_membership(&mut self, n: usize, others: [(usize, MemberState); 2]) {
-        let of = |(o, state)| Member { incarnation: incarnation(o), site: format!("s{o}"), state };
-        let mut members: Vec<Member> = others.map(of).into();
-        members.push(of((n, MemberState::Alive)));
-        self.all[n].update_members(self.now, members);
+    /// Sets the states of the other two gateways according to the membership of one gateway.
+    fn set_membership(&mut self, gateway: usize, others: [(usize, MemberState); 2]) {
+        let member =
+            |(other, state)| Member { incarnation: incarnation(other), site: format!("s{other}"), state };
+        let mut members: Vec<Member> = others.map(member).into();
+        members.push(member((gateway, MemberState::Alive)));
+        self.nodes[gateway].update_members(self.now, members);
         self.deliver_all();
     }
 
@@ -126,123 +136,136 @@
         let until = self.now + span;
         while self.now < until {
             self.now += 5_000;
-            (0..3).for_each(|n| self.all[n].wake(self.now));
+            (0..3).for_each(|gateway| self.nodes[gateway].wake(self.now));
             self.deliver_all();
         }
     }
 }
 
 #[test]
-fn an_intent_waits_for_both_replicas() {
-    let mut three = Three::new(100);
-    assert_eq!(three.all[0].add_statement(three.now, record(1)).len(), 2);
-    assert_eq!(three.all[0].request_attempt(three.now, &key(1), 1, attempt()), Permission::Pending);
-    three.deliver_all();
-    assert!(three.done.contains(&(0, Effect::StartAttempt(key(1), 1))));
-    assert_eq!((three.all[1].usage().replica_records, three.all[2].usage().replica_records), (1, 1));
+fn an_unsafe_attempt_waits_until_both_replicas_have_its_intent() {
+    let mut gateways = ThreeGateways::new(100);
+    assert_eq!(gateways.nodes[0].add_statement(gateways.now, record(1)).len(), 2);
+    assert_eq!(gateways.nodes[0].request_attempt(gateways.now, &key(1), 1, attempt()), Permission::Pending);
+    gateways.deliver_all();
+    assert!(gateways.effects.contains(&(0, Effect::StartAttempt(key(1), 1))));
+    assert_eq!(
+        (gateways.nodes[1].usage().replica_records, gateways.nodes[2].usage().replica_records),
+        (1, 1)
+    );
 }
 
 #[test]
-fn a_gateway_of_another_message_format_is_told_and_is_no_replica() {
-    let mut three = Three::new(100);
-    // A message of a later format is answered with the supported one, and changes nothing.
-    three.all[0].handle_message(three.now, "g1", &[9, 6, 1, 2, 3]);
-    let answer =
-        std::iter::from_fn(|| three.all[0].next_effect()).find(|e| matches!(e, Effect::SendDatagram(..)));
+fn a_gateway_with_another_message_format_gets_a_reply_and_is_not_used_as_a_replica() {
+    let mut gateways = ThreeGateways::new(100);
+    // A message of a later format is answered with the supported format, and changes nothing.
+    gateways.nodes[0].handle_message(gateways.now, "g1", &[9, 6, 1, 2, 3]);
+    let answer = std::iter::from_fn(|| gateways.nodes[0].next_effect())
+        .find(|effect| matches!(effect, Effect::SendDatagram(..)));
     assert_eq!(answer, Some(Effect::SendDatagram("g1".into(), vec![1, 255])));
-    three.all[0].add_statement(three.now, record(1));
-    three.all[0].request_attempt(three.now, &key(1), 1, attempt());
-    // One replica has the record; the other one supports another format only, and is not awaited.
-    while let Some(effect) = three.all[0].next_effect() {
+    gateways.nodes[0].add_statement(gateways.now, record(1));
+    gateways.nodes[0].request_attempt(gateways.now, &key(1), 1, attempt());
+    // One replica has the record; the attempt does not wait for the other, which supports another format
+    // only.
+    while let Some(effect) = gateways.nodes[0].next_effect() {
         match effect {
-            Effect::SendRecords(to, bytes) if to == "g2" => three.deliver_message("g0", "g2", &bytes),
-            Effect::SendRecords(..) => three.all[0].handle_message(three.now, "g1", &[0, 255]),
+            Effect::SendRecords(to, bytes) if to == "g2" => gateways.deliver_message("g0", "g2", &bytes),
+            Effect::SendRecords(..) => gateways.nodes[0].handle_message(gateways.now, "g1", &[0, 255]),
             _ => {}
         }
     }
-    three.deliver_all();
-    assert!(three.done.contains(&(0, Effect::StartAttempt(key(1), 1))));
-    assert_eq!(three.all[1].usage().replica_records, 0);
+    gateways.deliver_all();
+    assert!(gateways.effects.contains(&(0, Effect::StartAttempt(key(1), 1))));
+    assert_eq!(gateways.nodes[1].usage().replica_records, 0);
 }
 
 #[test]
-fn malformed_bytes_change_nothing_and_stop_nobody() {
-    let mut three = Three::new(100);
-    three.all[0].add_statement(three.now, record(1));
-    three.all[0].request_attempt(three.now, &key(1), 1, attempt());
-    three.deliver_all();
-    let sent: Vec<Vec<u8>> = three.sent.iter().map(|s| s.2.clone()).collect();
+fn malformed_messages_change_nothing() {
+    let mut gateways = ThreeGateways::new(100);
+    gateways.nodes[0].add_statement(gateways.now, record(1));
+    gateways.nodes[0].request_attempt(gateways.now, &key(1), 1, attempt());
+    gateways.deliver_all();
+    let sent: Vec<Vec<u8>> = gateways.sent_records.iter().map(|(_, _, bytes)| bytes.clone()).collect();
     for bytes in sent {
         for cut in 0..bytes.len() {
-            three.all[1].handle_message(three.now, "g0", &bytes[..cut]);
+            gateways.nodes[1].handle_message(gateways.now, "g0", &bytes[..cut]);
         }
-        // A length that is not there must not be believed.
+        // A length beyond the end of the message is rejected.
         for at in 14..bytes.len() {
-            let mut turned = bytes.clone();
-            turned[at] = 0xff;
-            three.all[2].handle_message(three.now, "g7", &turned);
+            let mut corrupted = bytes.clone();
+            corrupted[at] = 0xff;
+            gateways.nodes[2].handle_message(gateways.now, "g7", &corrupted);
         }
     }
-    assert_eq!(three.all[1].usage().replica_records, 1);
-    let before = three.all[2].usage().replica_records;
-    assert_eq!(before, 1, "a stranger is in no replica list");
+    assert_eq!(gateways.nodes[1].usage().replica_records, 1);
+    let before = gateways.nodes[2].usage().replica_records;
+    assert_eq!(before, 1, "a gateway that is in no replica list cannot change the record");
 }
 
 #[test]
-fn a_late_batch_revives_nothing() {
-    let mut three = Three::new(100);
-    three.all[0].add_statement(three.now, record(1));
-    three.all[0].request_attempt(three.now, &key(1), 1, attempt());
-    three.deliver_all();
-    let late = three.sent.clone();
-    three.all[0].finish_statement(three.now, &key(1));
-    three.run(SECOND);
-    assert_eq!((three.all[1].usage().replica_records, three.all[2].usage().replica_records), (0, 0));
+fn a_late_batch_does_not_revive_a_finished_statement() {
+    let mut gateways = ThreeGateways::new(100);
+    gateways.nodes[0].add_statement(gateways.now, record(1));
+    gateways.nodes[0].request_attempt(gateways.now, &key(1), 1, attempt());
+    gateways.deliver_all();
+    let late = gateways.sent_records.clone();
+    gateways.nodes[0].finish_statement(gateways.now, &key(1));
+    gateways.run(SECOND);
+    assert_eq!(
+        (gateways.nodes[1].usage().replica_records, gateways.nodes[2].usage().replica_records),
+        (0, 0)
+    );
     for (from, to, bytes) in late {
-        three.deliver_message(&format!("g{from}"), &to, &bytes);
+        gateways.deliver_message(&format!("g{from}"), &to, &bytes);
     }
-    assert_eq!((three.all[1].usage().replica_records, three.all[2].usage().replica_records), (0, 0));
+    assert_eq!(
+        (gateways.nodes[1].usage().replica_records, gateways.nodes[2].usage().replica_records),
+        (0, 0)
+    );
 }
 
 #[test]
-fn a_replica_without_room_declines_and_the_statement_goes_on() {
-    let mut three = Three::new(2);
+fn a_replica_without_room_declines_and_attempts_are_still_permitted() {
+    let mut gateways = ThreeGateways::new(2);
     for number in 1..=5 {
-        three.all[0].add_statement(three.now, record(number));
-        let permission = three.all[0].request_attempt(three.now, &key(number), 1, attempt());
-        three.deliver_all();
-        three.run(SECOND / 10);
-        // Once both have declined they are not even asked.
-        let is_permitted_later = three.done.contains(&(0, Effect::StartAttempt(key(number), 1)));
+        gateways.nodes[0].add_statement(gateways.now, record(number));
+        let permission = gateways.nodes[0].request_attempt(gateways.now, &key(number), 1, attempt());
+        gateways.deliver_all();
+        gateways.run(SECOND / 10);
+        // Once both have declined, no replica is selected for a while.
+        let is_permitted_later = gateways.effects.contains(&(0, Effect::StartAttempt(key(number), 1)));
         assert_eq!(
             (permission, is_permitted_later),
             if number < 4 { (Permission::Pending, true) } else { (Permission::Granted, false) },
-            "{number}"
+            "statement {number}"
         );
     }
-    assert_eq!((three.all[1].usage().replica_records, three.all[2].usage().replica_records), (2, 2));
-    assert!(three.done.contains(&(0, Effect::Unreplicated(key(5)))));
+    assert_eq!(
+        (gateways.nodes[1].usage().replica_records, gateways.nodes[2].usage().replica_records),
+        (2, 2)
+    );
+    assert!(gateways.effects.contains(&(0, Effect::Unreplicated(key(5)))));
 }
 
 #[test]
-fn stored_marks_that_are_damaged_or_foreign_are_rejected() {
-    let mut three = Three::new(2);
+fn damaged_and_foreign_stored_marks_are_rejected() {
+    let mut gateways = ThreeGateways::new(2);
     let gone = |state| Member { incarnation: incarnation(2), site: "s2".into(), state };
-    three.all[0].add_statement(three.now, record(1));
-    three.run(SECOND);
-    three.all[1].update_members(three.now, vec![gone(MemberState::Dead)]);
-    let mut kept = None;
+    gateways.nodes[0].add_statement(gateways.now, record(1));
+    gateways.run(SECOND);
+    gateways.nodes[1].update_members(gateways.now, vec![gone(MemberState::Dead)]);
+    let mut stored = None;
     for _ in 0..400 {
-        three.now += 5_000;
-        three.all[1].wake(three.now);
-        while let Some(effect) = three.all[1].next_effect() {
+        gateways.now += 5_000;
+        gateways.nodes[1].wake(gateways.now);
+        while let Some(effect) = gateways.nodes[1].next_effect() {
             if let Effect::StoreMarks(bytes) = effect {
-                three.all[1].marks_stored(three.now);
-                kept = Some(bytes);
+                gateways.nodes[1].marks_stored(gateways.now);
+                stored = Some(bytes);
             }
         }
     }
-    let kept = kept.expect("marks are stored");
+    let stored = stored.expect("marks are stored");
     let start = |bytes: &[u8]| {
         let settings = Settings {
             incarnation: Incarnation { name: "g1".into(), number: 7 },
@@ -257,104 +280,108 @@
         };
         TakeoverNode::new(settings, Some(bytes), 0).err()
     };
-    assert_eq!(start(&kept), None);
-    for at in 0..kept.len() {
-        let mut turned = kept.clone();
-        turned[at] ^= 4;
-        assert!(start(&turned).is_some(), "bit of octet {at}");
-        assert!(start(&kept[..at]).is_some(), "cut at {at}");
+    assert_eq!(start(&stored), None);
+    for at in 0..stored.len() {
+        let mut corrupted = stored.clone();
+        corrupted[at] ^= 4;
+        assert!(start(&corrupted).is_some(), "bit flipped in byte {at}");
+        assert!(start(&stored[..at]).is_some(), "truncated to {at} bytes");
     }
     assert_eq!(start(b"something else"), Some(StoredMarksError::Foreign));
 }
 
 #[test]
-fn a_process_that_looks_dead_is_fenced_only_by_a_quorum_and_once_its_lease_has_run_out() {
-    let mut three = Three::new(100);
-    three.partitioned = Some(1);
-    three.set_membership(1, [(0, MemberState::Dead), (2, MemberState::Dead)]);
-    three.all[1].request_fencing(three.now, &incarnation(0), 0);
-    three.run(20 * SECOND);
-    assert!(!three.all[1].is_fenced(&incarnation(0), 0), "the partitioned one cannot know");
-    assert!(three.all[0].may_act(three.now), "it goes on");
-    three.partitioned = Some(0);
-    three.set_membership(1, [(0, MemberState::Dead), (2, MemberState::Alive)]);
-    three.all[1].request_fencing(three.now, &incarnation(0), 0);
-    three.run(SECOND);
-    assert!(three.all[0].may_act(three.now), "its lease still runs");
-    assert!(!three.all[1].is_fenced(&incarnation(0), 0));
-    three.run(4 * SECOND);
-    assert!(!three.all[0].may_act(three.now));
-    assert!(three.all[1].is_fenced(&incarnation(0), 0));
-    assert!(!three.all[1].is_fenced(&incarnation(0), 1), "its next term is another matter");
+fn a_process_that_looks_dead_is_fenced_only_by_a_quorum_and_once_its_lease_has_expired() {
+    let mut gateways = ThreeGateways::new(100);
+    gateways.partitioned = Some(1);
+    gateways.set_membership(1, [(0, MemberState::Dead), (2, MemberState::Dead)]);
+    gateways.nodes[1].request_fencing(gateways.now, &incarnation(0), 0);
+    gateways.run(20 * SECOND);
+    assert!(!gateways.nodes[1].is_fenced(&incarnation(0), 0), "a partitioned gateway has no quorum");
+    assert!(gateways.nodes[0].may_act(gateways.now), "the gateway on the other side keeps its lease");
+    gateways.partitioned = Some(0);
+    gateways.set_membership(1, [(0, MemberState::Dead), (2, MemberState::Alive)]);
+    gateways.nodes[1].request_fencing(gateways.now, &incarnation(0), 0);
+    gateways.run(SECOND);
+    assert!(gateways.nodes[0].may_act(gateways.now), "its lease is still valid");
+    assert!(!gateways.nodes[1].is_fenced(&incarnation(0), 0));
+    gateways.run(4 * SECOND);
+    assert!(!gateways.nodes[0].may_act(gateways.now));
+    assert!(gateways.nodes[1].is_fenced(&incarnation(0), 0));
+    assert!(!gateways.nodes[1].is_fenced(&incarnation(0), 1), "its next term is not fenced");
 }
 
 #[test]
-fn a_fenced_process_returns_what_nobody_else_has_heard_of() {
-    let mut three = Three::new(100);
-    three.partitioned = Some(0);
-    three.all[0].add_statement(three.now, record(1));
-    assert_eq!(three.all[0].request_attempt(three.now, &key(1), 1, attempt()), Permission::Pending);
-    three.set_membership(1, [(0, MemberState::Dead), (2, MemberState::Alive)]);
-    three.all[1].request_fencing(three.now, &incarnation(0), 0);
-    three.run(6 * SECOND);
-    assert!(three.all[1].is_fenced(&incarnation(0), 0));
-    assert_eq!(three.all[1].usage(), Usage::default());
-    three.partitioned = None;
-    three.set_membership(1, [(0, MemberState::Alive), (2, MemberState::Alive)]);
-    three.run(4 * SECOND);
+fn a_fenced_process_returns_statements_that_no_other_gateway_has() {
+    let mut gateways = ThreeGateways::new(100);
+    gateways.partitioned = Some(0);
+    gateways.nodes[0].add_statement(gateways.now, record(1));
+    assert_eq!(gateways.nodes[0].request_attempt(gateways.now, &key(1), 1, attempt()), Permission::Pending);
+    gateways.set_membership(1, [(0, MemberState::Dead), (2, MemberState::Alive)]);
+    gateways.nodes[1].request_fencing(gateways.now, &incarnation(0), 0);
+    gateways.run(6 * SECOND);
+    assert!(gateways.nodes[1].is_fenced(&incarnation(0), 0));
+    assert_eq!(gateways.nodes[1].usage(), Usage::default());
+    gateways.partitioned = None;
+    gateways.set_membership(1, [(0, MemberState::Alive), (2, MemberState::Alive)]);
+    gateways.run(4 * SECOND);
     let taken_over = |done: &(usize, Effect)| match done {
-        (n, Effect::TakenOver(record)) if *n > 0 && record.key == key(1) => {
+        (gateway, Effect::TakenOver(record)) if *gateway > 0 && record.key == key(1) => {
             Some((record.attempts, record.in_flight.is_none()))
         }
         _ => None,
     };
-    // The attempt that had no permission was never made.
-    assert_eq!(three.done.iter().filter_map(taken_over).collect::<Vec<_>>(), [(0, true)]);
-    assert!(three.done.contains(&(0, Effect::Relinquished(key(1)))));
-    assert!(!three.done.iter().any(|d| matches!(d, (_, Effect::StartAttempt(..)))));
+    // The attempt was never permitted, so the record that was taken over has none.
+    assert_eq!(gateways.effects.iter().filter_map(taken_over).collect::<Vec<_>>(), [(0, true)]);
+    assert!(gateways.effects.contains(&(0, Effect::Relinquished(key(1)))));
+    assert!(!gateways.effects.iter().any(|effect| matches!(effect, (_, Effect::StartAttempt(..)))));
 }
 
 #[test]
-fn a_statement_is_acknowledged_to_its_client_once_others_have_it() {
-    let mut three = Three::new(100);
-    three.all[0].add_statement(three.now, record(1));
-    assert!(!three.all[0].is_safely_replicated(three.now, &key(1), three.now));
-    // The first record is not held back like later ones.
-    three.run(5_000);
-    assert!(three.all[0].is_safely_replicated(three.now, &key(1), three.now));
-    // One replica is silent: the other one and a lease that was granted anew suffice.
-    three.partitioned = Some(2);
-    let since = three.now;
-    three.all[0].add_statement(since, record(2));
-    three.run(5_000);
-    assert!(!three.all[0].is_safely_replicated(three.now, &key(2), since));
-    three.run(3 * SECOND / 2);
-    assert!(three.all[0].is_safely_replicated(three.now, &key(2), since));
-    // Partitioned from all, whether membership knows of that or not.
-    three.partitioned = Some(0);
-    let since = three.now;
-    three.all[0].add_statement(since, record(3));
-    three.run(2 * SECOND);
-    assert!(!three.all[0].is_safely_replicated(three.now, &key(3), since));
-    three.set_membership(0, [(1, MemberState::Dead), (2, MemberState::Dead)]);
-    three.all[0].add_statement(three.now, record(4));
-    assert!(!three.all[0].is_safely_replicated(three.now, &key(3), since));
-    assert!(!three.all[0].is_safely_replicated(three.now, &key(4), three.now));
+fn a_statement_is_safely_replicated_once_others_have_it() {
+    let mut gateways = ThreeGateways::new(100);
+    gateways.nodes[0].add_statement(gateways.now, record(1));
+    assert!(!gateways.nodes[0].is_safely_replicated(gateways.now, &key(1), gateways.now));
+    // The first record is sent without the delay of later ones.
+    gateways.run(5_000);
+    assert!(gateways.nodes[0].is_safely_replicated(gateways.now, &key(1), gateways.now));
+    // One replica does not answer: the other one and a lease granted again since then suffice.
+    gateways.partitioned = Some(2);
+    let since = gateways.now;
+    gateways.nodes[0].add_statement(since, record(2));
+    gateways.run(5_000);
+    assert!(!gateways.nodes[0].is_safely_replicated(gateways.now, &key(2), since));
+    gateways.run(3 * SECOND / 2);
+    assert!(gateways.nodes[0].is_safely_replicated(gateways.now, &key(2), since));
+    // Partitioned from both others, before and after membership notices that.
+    gateways.partitioned = Some(0);
+    let since = gateways.now;
+    gateways.nodes[0].add_statement(since, record(3));
+    gateways.run(2 * SECOND);
+    assert!(!gateways.nodes[0].is_safely_replicated(gateways.now, &key(3), since));
+    gateways.set_membership(0, [(1, MemberState::Dead), (2, MemberState::Dead)]);
+    gateways.nodes[0].add_statement(gateways.now, record(4));
+    assert!(!gateways.nodes[0].is_safely_replicated(gateways.now, &key(3), since));
+    assert!(!gateways.nodes[0].is_safely_replicated(gateways.now, &key(4), gateways.now));
 }
 
 #[test]
-fn statements_of_a_restarted_process_are_taken_over_once_its_lease_has_run_out() {
-    let mut three = Three::new(100);
-    three.all[0].add_statement(three.now, record(1));
-    three.run(SECOND / 10);
-    three.partitioned = Some(0);
-    // It was restarted at once, and nobody believed it dead before.
-    let new = Incarnation { number: 200, ..incarnation(0) };
-    for n in [1, 2] {
-        let of = |incarnation| Member { incarnation, site: "s0".into(), state: MemberState::Alive };
-        three.all[n].update_members(three.now, vec![of(incarnation(1)), of(incarnation(2)), of(new.clone())]);
+fn statements_of_a_restarted_process_are_taken_over_once_its_lease_has_expired() {
+    let mut gateways = ThreeGateways::new(100);
+    gateways.nodes[0].add_statement(gateways.now, record(1));
+    gateways.run(SECOND / 10);
+    gateways.partitioned = Some(0);
+    // The process was restarted at once, without having been declared dead.
+    let restarted = Incarnation { number: 200, ..incarnation(0) };
+    for gateway in [1, 2] {
+        let member = |incarnation| Member { incarnation, site: "s0".into(), state: MemberState::Alive };
+        gateways.nodes[gateway].update_members(
+            gateways.now,
+            vec![member(incarnation(1)), member(incarnation(2)), member(restarted.clone())],
+        );
     }
-    three.run(3 * SECOND + SECOND / 5);
-    let taken_over = |d: &&(usize, Effect)| matches!(&d.1, Effect::TakenOver(record) if record.key == key(1));
-    assert_eq!(three.done.iter().filter(taken_over).count(), 1);
+    gateways.run(3 * SECOND + SECOND / 5);
+    let taken_over =
+        |effect: &&(usize, Effect)| matches!(&effect.1, Effect::TakenOver(record) if record.key == key(1));
+    assert_eq!(gateways.effects.iter().filter(taken_over).count(), 1);
 }
