--- a/crates/custody/src/lease.rs
+++ b/crates/custody/src/lease.rs
@@ -1,7 +1,8 @@
 //! The lease of this process, and the durations that account for clock drift.
 //!
 //! A holder counts a lease from the time of its request, shortened by the drift; a voter counts it from the
-//! receipt of the request, lengthened by the drift. The holder's lease therefore always ends first.
+//! receipt of the request, lengthened by the drift. On any clock within the allowed drift, the holder's
+//! lease therefore ends first.
 
 use std::collections::BTreeMap;
 
--- a/crates/custody/src/node/fencing.rs
+++ b/crates/custody/src/node/fencing.rs
@@ -73,19 +73,20 @@
         self.is_participant_fenced(&self.participant_in_newest_term(incarnation, term))
     }
 
-    pub(super) fn is_participant_fenced(&self, who: &Participant) -> bool {
-        self.fenced_through.get(&who.incarnation).is_some_and(|through| who.term <= *through)
+    pub(super) fn is_participant_fenced(&self, participant: &Participant) -> bool {
+        self.fenced_through.get(&participant.incarnation).is_some_and(|through| participant.term <= *through)
     }
 
     /// Requests that a process be fenced if it is gone according to membership. The request stays in force
     /// for 30 seconds.
     pub fn request_fencing(&mut self, now: Micros, incarnation: &Incarnation, term: u32) {
-        let who = self.participant_in_newest_term(incarnation, term);
-        let has_room = self.fencing_wanted.len() < MAX_PEERS || self.fencing_wanted.contains_key(&who);
-        if self.is_participant_fenced(&who) || !has_room {
+        let participant = self.participant_in_newest_term(incarnation, term);
+        let has_room =
+            self.fencing_wanted.len() < MAX_PEERS || self.fencing_wanted.contains_key(&participant);
+        if self.is_participant_fenced(&participant) || !has_room {
             return;
         }
-        self.fencing_wanted.insert(who, now + REQUEST_LIFETIME);
+        self.fencing_wanted.insert(participant, now + REQUEST_LIFETIME);
         self.update_fencing_attempts(now);
         self.advance(now);
     }
@@ -94,21 +95,23 @@
     /// requested by the caller, and stops for those that are neither any more.
     pub(super) fn update_fencing_attempts(&mut self, now: Micros) {
         let (referenced, wanted) = (&self.statements_by_participant, &self.fencing_wanted);
-        for who in referenced.keys().chain(wanted.keys()) {
-            if !self.members.contains_key(&who.incarnation) && !self.members.is_empty() {
-                self.unlisted_since.entry(who.incarnation.clone()).or_insert(now);
+        for participant in referenced.keys().chain(wanted.keys()) {
+            if !self.members.contains_key(&participant.incarnation) && !self.members.is_empty() {
+                self.unlisted_since.entry(participant.incarnation.clone()).or_insert(now);
             }
         }
-        let needs_fence = |who: &&Participant| {
-            self.is_believed_gone(now, &who.incarnation) && !self.is_participant_fenced(who)
+        let needs_fence = |participant: &&Participant| {
+            self.is_believed_gone(now, &participant.incarnation) && !self.is_participant_fenced(participant)
         };
-        let gone: Vec<Participant> =
+        let unfenced: Vec<Participant> =
             referenced.keys().chain(wanted.keys()).filter(needs_fence).cloned().collect();
-        for who in gone {
-            self.fencing.entry(who).or_default();
+        for participant in unfenced {
+            self.fencing.entry(participant).or_default();
         }
         let (referenced, wanted) = (&self.statements_by_participant, &self.fencing_wanted);
-        self.fencing.retain(|who, _| referenced.contains_key(who) || wanted.contains_key(who));
+        self.fencing.retain(|participant, _| {
+            referenced.contains_key(participant) || wanted.contains_key(participant)
+        });
     }
 
     pub(super) fn finish_fencing(&mut self, now: Micros) {
@@ -117,24 +120,24 @@
             .fencing
             .iter()
             .filter(|(_, attempt)| is_finished(attempt))
-            .map(|(who, _)| who.clone())
+            .map(|(participant, _)| participant.clone())
             .collect();
-        for who in finished {
-            self.fencing.remove(&who);
-            let statements = self.statements_by_participant.get(&who).map_or(0, |keys| keys.len());
-            let Incarnation { name, number } = &who.incarnation;
+        for participant in finished {
+            self.fencing.remove(&participant);
+            let statements = self.statements_by_participant.get(&participant).map_or(0, |keys| keys.len());
+            let Incarnation { name, number } = &participant.incarnation;
             self.log(format!("{name} ({number:016x}) is fenced; {statements} statements here refer to it"));
-            self.record_fenced(&who);
+            self.record_fenced(&participant);
         }
     }
 
     /// Records that a participant and its earlier terms are fenced, and queues the statements that refer to
     /// them for review.
-    pub(super) fn record_fenced(&mut self, who: &Participant) {
-        let through = self.fenced_through.entry(who.incarnation.clone()).or_insert(who.term);
-        *through = who.term.max(*through);
-        let first = Participant { incarnation: who.incarnation.clone(), term: 0 };
-        let last = Participant { incarnation: who.incarnation.clone(), term: *through };
+    pub(super) fn record_fenced(&mut self, participant: &Participant) {
+        let through = self.fenced_through.entry(participant.incarnation.clone()).or_insert(participant.term);
+        *through = participant.term.max(*through);
+        let first = Participant { incarnation: participant.incarnation.clone(), term: 0 };
+        let last = Participant { incarnation: participant.incarnation.clone(), term: *through };
         let fenced = self.statements_by_participant.range(first.clone()..=last.clone());
         self.to_review.extend(fenced.flat_map(|(_, keys)| keys.iter().cloned()));
         // Batch numbers are kept, so that a late batch from there is not taken for a new one.
@@ -161,7 +164,7 @@
                 self.handle_fence_request(now, &voter, missing);
                 continue;
             }
-            for part in split_into_datagrams(missing, |who| who) {
+            for part in split_into_datagrams(missing, |participant| participant) {
                 self.send_message(&voter, &Message::FenceRequest(part));
             }
         }
@@ -176,7 +179,7 @@
             attempt.is_request_due(now) && attempt.needs_mark_of(now, voter, lease)
         };
         let missing = self.fencing.iter().filter(|(_, attempt)| is_missing(attempt));
-        missing.map(|(who, _)| who.clone()).collect()
+        missing.map(|(participant, _)| participant.clone()).collect()
     }
 
     pub(super) fn handle_fence_marks(&mut self, now: Micros, voter: &str, marks: Vec<FenceMark>) {
@@ -230,9 +233,9 @@
         }
     }
 
-    pub(super) fn handle_fence_request(&mut self, now: Micros, from: &str, who: Vec<Participant>) {
+    pub(super) fn handle_fence_request(&mut self, now: Micros, from: &str, participants: Vec<Participant>) {
         let Some(voter) = &mut self.voter else { return };
-        let marks = voter.fence(now, from, who);
+        let marks = voter.fence(now, from, participants);
         self.begin_storing_marks();
         self.send_marks(now, from, marks);
     }
--- a/crates/custody/src/node/leases.rs
+++ b/crates/custody/src/node/leases.rs
@@ -88,8 +88,11 @@
     /// Ends this term and begins the next one. Other gateways may own the statements of this term by now;
     /// those that no other gateway is known to have are returned, the others are dropped.
     fn begin_next_term(&mut self, now: Micros) {
-        let others: BTreeSet<String> =
-            self.statements_by_participant.keys().map(|who| who.incarnation.name.clone()).collect();
+        let others: BTreeSet<String> = self
+            .statements_by_participant
+            .keys()
+            .map(|participant| participant.incarnation.name.clone())
+            .collect();
         let keys: Vec<StatementKey> = self.statements.keys().cloned().collect();
         self.local.term += 1;
         self.declined.clear();
--- a/crates/custody/src/node/membership.rs
+++ b/crates/custody/src/node/membership.rs
@@ -88,7 +88,8 @@
         }
         let (members, referenced) = (&self.members, &self.statements_by_participant);
         let is_needed = |known: &Incarnation| {
-            members.contains_key(known) || referenced.keys().any(|who| who.incarnation == *known)
+            members.contains_key(known)
+                || referenced.keys().any(|participant| participant.incarnation == *known)
         };
         self.newest_terms.retain(|known, _| is_needed(known));
         self.newest_terms.len() < MAX_PEERS
@@ -105,12 +106,13 @@
         let listed: Vec<Incarnation> =
             self.members.keys().filter(|incarnation| incarnation.name == name).cloned().collect();
         self.incompatible.extend(listed);
-        let is_incompatible = |who: &Participant| self.incompatible.contains(&who.incarnation);
+        let is_incompatible =
+            |participant: &Participant| self.incompatible.contains(&participant.incarnation);
         let excluded: Vec<(Participant, BTreeSet<StatementKey>)> = self
             .statements_by_participant
             .iter()
-            .filter(|(who, _)| who.incarnation.name == name && is_incompatible(who))
-            .map(|(who, keys)| (who.clone(), keys.clone()))
+            .filter(|(participant, _)| participant.incarnation.name == name && is_incompatible(participant))
+            .map(|(participant, keys)| (participant.clone(), keys.clone()))
             .collect();
         for (participant, keys) in excluded {
             keys.iter().for_each(|key| self.exclude_replica(key, &participant));
--- a/crates/custody/src/node/messages.rs
+++ b/crates/custody/src/node/messages.rs
@@ -10,7 +10,7 @@
     pub fn handle_message(&mut self, now: Micros, from: &str, bytes: &[u8]) {
         let (process, message) = match Message::decode(bytes) {
             Ok(decoded) => decoded,
-            Err(why) => return self.handle_undecodable(now, from, why),
+            Err(error) => return self.handle_undecodable(now, from, error),
         };
         let incarnation = Incarnation { name: from.to_owned(), number: process.incarnation_number };
         if !self.learn_term(&incarnation, process.term) {
@@ -24,8 +24,8 @@
         self.advance(now);
     }
 
-    fn handle_undecodable(&mut self, now: Micros, from: &str, why: DecodeError) {
-        match why {
+    fn handle_undecodable(&mut self, now: Micros, from: &str, error: DecodeError) {
+        match error {
             DecodeError::Malformed => {}
             DecodeError::UnknownFormat(format) => {
                 self.log(format!(
@@ -62,7 +62,9 @@
             Message::StoredMarks { asked_at, marks } => {
                 self.learn_stored_marks(now, &from, asked_at, &marks);
             }
-            Message::FenceRequest(who) => self.handle_fence_request(now, &from, who),
+            Message::FenceRequest(participants) => {
+                self.handle_fence_request(now, &from, participants);
+            }
             Message::FenceMarks(marks) => self.handle_fence_marks(now, &from, marks),
             Message::Batch { to, number, records, ended } => {
                 if self.is_local(to) {
@@ -84,9 +86,9 @@
     }
 
     /// Votes on a lease request as a voter.
-    pub(super) fn vote_on_lease(&mut self, now: Micros, who: &Participant) -> LeaseAnswer {
+    pub(super) fn vote_on_lease(&mut self, now: Micros, participant: &Participant) -> LeaseAnswer {
         let voter = self.voter.as_mut();
-        let answer = voter.map_or(LeaseAnswer::NoAnswer, |voter| voter.request_lease(now, who));
+        let answer = voter.map_or(LeaseAnswer::NoAnswer, |voter| voter.request_lease(now, participant));
         self.begin_storing_marks();
         answer
     }
--- a/crates/custody/src/node/receiving.rs
+++ b/crates/custody/src/node/receiving.rs
@@ -200,7 +200,7 @@
             if is_newer && self.fault != InjectedFault::ReplicaListForgotten {
                 let tail = &received.replicas[common..];
                 unreferenced.extend(self.replace_replicas_after(&key, common, tail));
-                unreferenced.retain(|who| tail.iter().all(|entry| entry.participant != *who));
+                unreferenced.retain(|participant| tail.iter().all(|entry| entry.participant != *participant));
             }
             if is_newer {
                 self.replace_record(now, &key, received.record, received.has_body);
@@ -208,7 +208,7 @@
             let bytes = self.statements.get(&key).map_or(0, Statement::size_in_bytes);
             self.replica_usage.bytes = self.replica_usage.bytes + bytes - bytes_before;
         }
-        unreferenced.iter().for_each(|who| self.remove_reference(&key, who));
+        unreferenced.iter().for_each(|participant| self.remove_reference(&key, participant));
         self.to_review.insert(key);
         Ok(())
     }
--- a/crates/custody/src/node/retention.rs
+++ b/crates/custody/src/node/retention.rs
@@ -45,29 +45,30 @@
 
     /// Adds a participant that may act for a statement to the index, which does not cover this gateway
     /// itself.
-    pub(super) fn add_reference(&mut self, key: &StatementKey, who: &Participant) {
-        if *who != self.local {
-            self.statements_by_participant.entry(who.clone()).or_default().insert(key.clone());
+    pub(super) fn add_reference(&mut self, key: &StatementKey, participant: &Participant) {
+        if *participant != self.local {
+            self.statements_by_participant.entry(participant.clone()).or_default().insert(key.clone());
         }
     }
 
-    pub(super) fn remove_reference(&mut self, key: &StatementKey, who: &Participant) {
-        let Some(keys) = self.statements_by_participant.get_mut(who) else { return };
+    pub(super) fn remove_reference(&mut self, key: &StatementKey, participant: &Participant) {
+        let Some(keys) = self.statements_by_participant.get_mut(participant) else { return };
         keys.remove(key);
         if keys.is_empty() {
-            self.statements_by_participant.remove(who);
+            self.statements_by_participant.remove(participant);
         }
     }
 
     /// Excludes a member of a statement's replica list from acting for it.
-    pub(super) fn exclude_replica(&mut self, key: &StatementKey, who: &Participant) {
+    pub(super) fn exclude_replica(&mut self, key: &StatementKey, participant: &Participant) {
         let statement = self.statements.get_mut(key);
-        let entry = statement
-            .and_then(|statement| statement.replicas.iter_mut().find(|entry| entry.participant == *who));
+        let entry = statement.and_then(|statement| {
+            statement.replicas.iter_mut().find(|entry| entry.participant == *participant)
+        });
         if let Some(entry) = entry {
             entry.excluded = true;
         }
-        self.remove_reference(key, who);
+        self.remove_reference(key, participant);
     }
 
     /// Drops expired state, and asks for announcements that may have been lost.
@@ -89,11 +90,12 @@
     /// Asks silent participants for their terms, and fenced candidates too: the announcement of a fenced
     /// process's next term may have been lost.
     fn query_terms(&mut self, now: Micros) {
-        let is_silent = |who: &&Participant| {
-            self.peers.get(who).is_none_or(|peer| peer.last_heard + SILENCE_TIMEOUT <= now)
+        let is_silent = |participant: &&Participant| {
+            self.peers.get(participant).is_none_or(|peer| peer.last_heard + SILENCE_TIMEOUT <= now)
         };
         let silent = self.statements_by_participant.keys().filter(is_silent);
-        let mut names: BTreeSet<String> = silent.map(|who| who.incarnation.name.clone()).collect();
+        let mut names: BTreeSet<String> =
+            silent.map(|participant| participant.incarnation.name.clone()).collect();
         let fenced = self.candidates.iter().filter(|candidate| self.is_fenced(&candidate.incarnation, 0));
         names.extend(fenced.map(|candidate| candidate.incarnation.name.clone()));
         names.iter().for_each(|name| self.send_message(name, &Message::TermQuery));
@@ -104,11 +106,14 @@
         let referenced = &self.statements_by_participant;
         let is_needed = |incarnation: &Incarnation| {
             let mut in_use = referenced.keys().chain(wanted.keys());
-            members.contains_key(incarnation) || in_use.any(|who| who.incarnation == *incarnation)
+            members.contains_key(incarnation)
+                || in_use.any(|participant| participant.incarnation == *incarnation)
         };
         self.unlisted_since.retain(|incarnation, _| is_needed(incarnation));
         self.incompatible.retain(|incarnation| members.contains_key(incarnation));
-        self.peers.retain(|who, peer| is_needed(&who.incarnation) || now < peer.last_heard + PEER_RETENTION);
+        self.peers.retain(|participant, peer| {
+            is_needed(&participant.incarnation) || now < peer.last_heard + PEER_RETENTION
+        });
         if self.fenced_through.len() > MAX_PEERS {
             self.fenced_through.retain(|incarnation, _| is_needed(incarnation));
         }
--- a/crates/custody/src/node/selection.rs
+++ b/crates/custody/src/node/selection.rs
@@ -133,7 +133,7 @@
     fn full_processes(&self, now: Micros) -> BTreeSet<&Incarnation> {
         let is_full = |full_since: Option<Micros>| full_since.is_some_and(|at| now < at + FULL_COOLDOWN);
         let full = self.peers.iter().filter(|(_, peer)| is_full(peer.full_since));
-        full.map(|(who, _)| &who.incarnation).collect()
+        full.map(|(participant, _)| &participant.incarnation).collect()
     }
 
     /// Whether a process is in the replica list in a term that is not fenced.
--- a/crates/custody/src/node/status.rs
+++ b/crates/custody/src/node/status.rs
@@ -59,8 +59,8 @@
             _ => {}
         }
         let may_act = |entry: &&ReplicaEntry| {
-            let gone = self.is_believed_gone(self.latest_time, &entry.participant.incarnation);
-            !entry.excluded && !self.is_participant_fenced(&entry.participant) && !gone
+            let is_gone = self.is_believed_gone(self.latest_time, &entry.participant.incarnation);
+            !entry.excluded && !self.is_participant_fenced(&entry.participant) && !is_gone
         };
         match statement.replicas.iter().find(may_act) {
             Some(entry) if entry.participant == self.local => StatementLocation::TakingOver,
--- a/crates/custody/src/node/takeover.rs
+++ b/crates/custody/src/node/takeover.rs
@@ -41,7 +41,7 @@
         let fenced =
             entries.filter(|entry| !entry.excluded && self.is_participant_fenced(&entry.participant));
         let fenced: Vec<Participant> = fenced.map(|entry| entry.participant.clone()).collect();
-        fenced.iter().for_each(|who| self.exclude_replica(key, who));
+        fenced.iter().for_each(|participant| self.exclude_replica(key, participant));
     }
 
     /// Removes a statement that other gateways have or may have.
@@ -244,7 +244,7 @@
             statement.record.in_flight = None;
             statement.record.attempts = 0;
         }
-        never_notified.iter().for_each(|who| self.remove_reference(key, who));
+        never_notified.iter().for_each(|participant| self.remove_reference(key, participant));
         self.expiry.insert((until, key.clone()));
         self.to_review.insert(key.clone());
     }
--- a/crates/custody/src/node/transmission.rs
+++ b/crates/custody/src/node/transmission.rs
@@ -130,11 +130,11 @@
 }
 
 impl TakeoverNode {
-    pub(super) fn peer_mut(&mut self, who: &Participant) -> Option<&mut Peer> {
-        if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(who) {
+    pub(super) fn peer_mut(&mut self, participant: &Participant) -> Option<&mut Peer> {
+        if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(participant) {
             return None;
         }
-        Some(self.peers.entry(who.clone()).or_default())
+        Some(self.peers.entry(participant.clone()).or_default())
     }
 
     // Queues.
@@ -153,8 +153,8 @@
         });
         let receivers: Vec<Participant> =
             successors.map(|position| statement.replicas[position].participant.clone()).collect();
-        for who in receivers {
-            if let Some(peer) = self.peer_mut(&who) {
+        for participant in receivers {
+            if let Some(peer) = self.peer_mut(&participant) {
                 peer.queue_record(key.clone(), now + delay);
             }
         }
@@ -172,11 +172,11 @@
             self.forward_at.insert(key.clone(), now + 2 * FORWARD_DELAY);
             let Some(statement) = self.statements.get(&key) else { continue };
             let Some(first) = statement.replicas.iter().find(|entry| !entry.excluded) else { continue };
-            let who = first.participant.clone();
-            if self.is_believed_gone(now, &who.incarnation) {
+            let participant = first.participant.clone();
+            if self.is_believed_gone(now, &participant.incarnation) {
                 continue;
             }
-            if let Some(peer) = self.peer_mut(&who) {
+            if let Some(peer) = self.peer_mut(&participant) {
                 peer.queued_records.insert(key);
                 peer.send_at.get_or_insert(now);
             }
@@ -187,10 +187,10 @@
 
     pub(super) fn send_due_batches(&mut self, now: Micros) {
         let due = self.peers.iter().filter(|(_, peer)| peer.is_due(now));
-        let due: Vec<Participant> = due.map(|(who, _)| who.clone()).collect();
-        for who in due {
-            self.requeue_lost_batches(now, &who);
-            self.send_batches(now, &who);
+        let due: Vec<Participant> = due.map(|(participant, _)| participant.clone()).collect();
+        for participant in due {
+            self.requeue_lost_batches(now, &participant);
+            self.send_batches(now, &participant);
         }
     }
 
@@ -336,13 +336,13 @@
 
     /// Handles a failure to send records to a gateway: all batches in flight to it count as lost.
     pub fn handle_send_failure(&mut self, now: Micros, to: &str) {
-        let of_gateway = self.peers.keys().filter(|who| who.incarnation.name == to);
+        let of_gateway = self.peers.keys().filter(|participant| participant.incarnation.name == to);
         let of_gateway: Vec<Participant> = of_gateway.cloned().collect();
-        for who in of_gateway {
-            if let Some(peer) = self.peers.get_mut(&who) {
+        for participant in of_gateway {
+            if let Some(peer) = self.peers.get_mut(&participant) {
                 peer.in_flight.values_mut().for_each(|batch| batch.lost_at = now);
             }
-            self.requeue_lost_batches(now, &who);
+            self.requeue_lost_batches(now, &participant);
         }
     }
 
--- a/crates/custody/src/sim.rs
+++ b/crates/custody/src/sim.rs
@@ -1,11 +1,11 @@
-//! Whole fleets under a virtual clock, with a model of gateways, engines and clients around each state
-//! machine. Datagrams and batches get lost, late, repeated and out of order; clocks drift by all that is
-//! allowed; processes are killed, paused, started again, and leave; links are cut in one direction and in
+//! Simulation of whole fleets under a virtual clock, with a model of gateways, engines and clients around
+//! each state machine. Datagrams and batches are lost, delayed, repeated and reordered; clocks drift by the
+//! allowed maximum; processes are killed, paused, restarted and leave; links are cut in one direction or
 //! both; membership is late and sometimes wrong.
 //!
-//! Checked at each step: no two processes may act for one statement at the same true time; what is unsafe to
-//! repeat is written to an engine once; one ending is reported. After the faults: whoever still has a
-//! statement brings it to an end by its deadline.
+//! At each step the simulation checks that no two processes may act for one statement at the same true time,
+//! that a statement that is unsafe to repeat is sent to an engine once, and that one ending is reported.
+//! After the faults it checks that each statement that some gateway still has ends by its deadline.
 
 mod case;
 mod clients;
@@ -28,11 +28,11 @@
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000 * MILLISECOND;
 /// The true time at which a history starts.
-const START: Micros = 1_000 * SECOND;
-/// How long a history goes on after its faults, so that everything that survives ends.
+const START_TIME: Micros = 1_000 * SECOND;
+/// How long a history continues after its faults, so that all surviving statements end.
 const SETTLING_SPAN: Micros = 30 * SECOND;
-/// Leases after the faults by which they have been found out.
-const LEASES_TO_DETECT: u64 = 8;
+/// Number of lease durations after the end of the faults within which every gateway has detected them.
+const DETECTION_LEASES: u64 = 8;
 
 /// A simulated fleet.
 pub struct Fleet {
@@ -40,22 +40,22 @@
     /// The true time.
     now: Micros,
     processes: Vec<Process>,
-    /// Whether the link from one gateway to another one is cut.
+    /// Whether the link from one gateway to another is cut, by sender and receiver.
     cut_links: Vec<Vec<bool>>,
     loss_per_mille: u64,
     events: BinaryHeap<Reverse<ScheduledEvent>>,
     scheduled_events: u64,
     random_state: u64,
     statements: BTreeMap<StatementKey, ClientStatement>,
-    /// Gateways that act for a statement if they may.
+    /// Gateways that act for a statement while their leases allow it.
     owners: BTreeMap<StatementKey, BTreeSet<usize>>,
-    /// When the last bytes of a stream from one gateway to another arrive.
+    /// By sender and receiver, when the last bytes sent over their stream arrive.
     streams: BTreeMap<(usize, usize), Micros>,
     counts: Counts,
-    /// The first violation of what is promised.
+    /// The first violation of a checked property.
     violation: Option<String>,
     faults_over: bool,
-    /// A voter has lost its disk: no other one does.
+    /// A voter has lost its disk; no other voter will.
     disk_lost: bool,
 }
 
@@ -67,10 +67,10 @@
     name[1..].parse().unwrap_or(0)
 }
 
-/// Plays one history.
+/// Runs one history.
 ///
 /// # Errors
-/// The first violation in it.
+/// The first violation of a checked property.
 pub fn play(case: &Case, seed: u64) -> Result<Counts, String> {
     let mut fleet = Fleet::new(case.clone(), seed);
     let span = case.fault_span;
@@ -81,14 +81,14 @@
         fleet.schedule(at, gateway, Event::InjectFault);
     }
     fleet.schedule(fleet.now + span, 0, Event::EndFaults);
-    fleet.run(span + LEASES_TO_DETECT * case.lease);
+    fleet.run(span + DETECTION_LEASES * case.lease);
     fleet.mark_survivors();
     fleet.run(SETTLING_SPAN);
     fleet.finish()
 }
 
 impl Fleet {
-    /// Gateways that have just started for the first time.
+    /// Creates a fleet whose gateways start for the first time.
     pub fn new(case: Case, seed: u64) -> Fleet {
         let count = case.gateways;
         let drift = case.drift_ppm as i64;
@@ -99,7 +99,7 @@
             Process::not_started(if runs_fast { drift } else { -drift }, count)
         };
         let mut fleet = Fleet {
-            now: START,
+            now: START_TIME,
             processes: (0..count).map(process).collect(),
             cut_links: vec![vec![false; count]; count],
             loss_per_mille,
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Every gateway in turn hands over, leaves and comes back, one each `interval`.
+    /// Schedules a rolling restart: every `interval` one gateway hands over, leaves and starts again.
     pub fn schedule_rolling_restart(&mut self, interval: Micros) {
         for gateway in 0..self.processes.len() {
             let at = self.now + interval * gateway as u64;
@@ -141,17 +141,17 @@
         }
     }
 
-    /// Statements that each gateway owns.
+    /// The number of statements that each gateway owns.
     pub fn owned_statements(&self) -> Vec<usize> {
         self.processes.iter().map(|process| process.statements.len()).collect()
     }
 
-    /// What was counted.
+    /// The counts so far.
     pub fn counts(&self) -> &Counts {
         &self.counts
     }
 
-    /// Lets a span pass.
+    /// Runs the simulation for a span.
     pub fn run(&mut self, span: Micros) {
         let until = self.now + span;
         let is_due = |next: &Reverse<ScheduledEvent>| next.0.at <= until;
@@ -162,10 +162,12 @@
         self.now = until;
     }
 
-    /// All faults are over and found out: who has a statement now has to bring it to its end.
+    /// Marks the statements that some gateway has now, after all faults are over and detected: these have to
+    /// end.
     pub fn mark_survivors(&mut self) {
         for (key, statement) in &mut self.statements {
-            // What is only offered may be refused: whoever knew more is gone.
+            // A statement that is only being returned does not count: the other gateways may reject it, and
+            // those that had a newer record are gone.
             let has_statement = |process: &Process| {
                 let node = process.node.as_ref();
                 node.is_some_and(|node| !node.replica_list(key).is_empty() && !node.is_returning(key))
@@ -174,10 +176,10 @@
         }
     }
 
-    /// What happened, at the end.
+    /// Ends the simulation and returns its counts.
     ///
     /// # Errors
-    /// The first violation at any time, or a surviving statement without an end.
+    /// The first violation of a checked property, or a surviving statement that has not ended.
     pub fn finish(mut self) -> Result<Counts, String> {
         let is_open = |statement: &ClientStatement| !statement.client_has_ending;
         let stuck = self.statements.iter().find(|(_, statement)| is_open(statement) && statement.survives);
@@ -201,12 +203,12 @@
         };
         let gateways: Vec<String> = self.processes.iter().enumerate().map(describe).collect();
         let (repeat, deadline) = (statement.repeat, statement.deadline);
-        format!("{key:?} has no end ({repeat:?}, deadline {deadline}): {gateways:?}")
+        format!("{key:?} has not ended ({repeat:?}, deadline {deadline}): {gateways:?}")
     }
 
-    /// Records a violation; the first one counts.
+    /// Records a violation unless there is one already.
     fn violate(&mut self, what: String) {
-        let milliseconds = (self.now - START) / MILLISECOND;
+        let milliseconds = (self.now - START_TIME) / MILLISECOND;
         self.violation.get_or_insert(format!("at {milliseconds} ms: {what}"));
     }
 
@@ -218,21 +220,21 @@
         (self.random() % count.max(1) as u64) as usize
     }
 
-    /// Whether one of so many draws hits.
-    fn one_in(&mut self, draws: u64) -> bool {
-        self.random() % draws == 0
+    /// Draws true with a probability of `1 / count`.
+    fn one_in(&mut self, count: u64) -> bool {
+        self.random() % count == 0
     }
 
-    /// A time between two spans from now.
+    /// Draws a time between two delays from now.
     fn random_time(&mut self, from: Micros, to: Micros) -> Micros {
         self.now + from + self.random() % (to - from).max(1)
     }
 
-    /// A gateway's clock.
+    /// The time of a gateway's clock, which has an offset and a rate of its own.
     fn clock(&self, gateway: usize) -> Micros {
-        let hours = 3_600 * SECOND * (gateway as u64 * 7 % 5);
+        let offset = 3_600 * SECOND * (gateway as u64 * 7 % 5);
         let rate = 1_000_000 + i128::from(self.processes[gateway].clock_error_ppm);
-        hours + (self.now as i128 * rate / 1_000_000) as Micros
+        offset + (self.now as i128 * rate / 1_000_000) as Micros
     }
 
     fn schedule(&mut self, at: Micros, gateway: usize, event: Event) {
--- a/crates/custody/src/sim/case.rs
+++ b/crates/custody/src/sim/case.rs
@@ -1,38 +1,38 @@
-//! What a simulated history is drawn from, and what is counted in it.
+//! The parameters of a simulated history, and its counts.
 
 use super::{MILLISECOND, SECOND};
 use crate::{InjectedFault, Micros};
 
-/// What one history is drawn from.
+/// The parameters of one history.
 #[derive(Debug, Clone)]
 pub struct Case {
-    /// Gateways; the first ones vote.
+    /// Number of gateways; the first ones are voters.
     pub gateways: usize,
-    /// How many of them vote.
+    /// Number of voters.
     pub voters: usize,
-    /// Sites that they are spread over.
+    /// Number of sites over which the gateways are distributed.
     pub sites: usize,
     /// Nominal duration of a lease.
     pub lease: Micros,
-    /// Parts of a million by which clocks run too fast and too slow, in turn.
+    /// Rate in parts per million by which the clocks alternately run fast and slow.
     pub drift_ppm: u64,
-    /// Statements, accepted within the first three quarters of `fault_span`.
+    /// Number of statements, accepted within the first three quarters of `fault_span`.
     pub statements: usize,
-    /// Faults, within `fault_span`.
+    /// Number of faults within `fault_span`.
     pub faults: usize,
-    /// How long faults last.
+    /// How long faults occur.
     pub fault_span: Micros,
-    /// Datagrams of a thousand that get lost, at most.
+    /// Maximum number of lost datagrams per thousand.
     pub max_loss_per_mille: u64,
-    /// Replicas of a statement beside its owner.
+    /// Number of replicas of a statement, not counting its owner.
     pub replicas: usize,
-    /// Records that a gateway keeps for others, at most.
+    /// Maximum number of records that a gateway holds for others.
     pub max_replica_records: usize,
-    /// Bytes of a statement's body.
+    /// Size of a statement's body.
     pub body_bytes: usize,
-    /// Statements of a hundred that are unsafe to repeat.
+    /// Percentage of statements that are unsafe to repeat.
     pub unsafe_percent: u64,
-    /// An injected fault of the state machine.
+    /// The fault injected into the state machine.
     pub injected_fault: InjectedFault,
 }
 
@@ -58,8 +58,8 @@
 }
 
 impl Case {
-    /// A case whose shape is drawn too: small and larger fleets, one to three replicas, gateways without room
-    /// for records, calm and bad networks.
+    /// Draws the parameters from a seed: 3 to 12 gateways, one to three replicas, gateways with little room
+    /// for records, networks with and without loss.
     pub fn drawn(seed: u64) -> Case {
         let mut random_state = seed ^ 0x5eed;
         let mut one_of =
@@ -82,16 +82,16 @@
     }
 }
 
-/// What happened in a history.
+/// Counts of what happened in a history.
 #[derive(Debug, Clone, Default)]
 pub struct Counts {
     /// Statements that gateways accepted.
     pub accepted: u64,
-    /// Statements whose clients got an ending.
+    /// Statements whose clients received an ending.
     pub ended: u64,
-    /// Statements whose clients got none.
+    /// Statements whose clients received no ending.
     pub lost: u64,
-    /// Attempts that were written to an engine.
+    /// Attempts that were sent to an engine.
     pub attempts: u64,
     /// Statements that were taken over.
     pub takeovers: u64,
@@ -105,26 +105,26 @@
     pub pauses: u64,
     /// Network partitions, of one direction or both.
     pub partitions: u64,
-    /// Living processes that another one believed dead.
+    /// Running processes that another one wrongly believed dead.
     pub false_suspicions: u64,
-    /// Planned ends.
+    /// Hand-overs before a planned end of a process.
     pub hand_overs: u64,
-    /// Datagrams, and their bytes.
+    /// Datagrams sent.
     pub datagrams: u64,
-    /// See `datagrams`.
+    /// Bytes of these datagrams.
     pub datagram_bytes: u64,
-    /// Times that records were sent, and their bytes.
+    /// Messages sent over streams, most of them batches of records.
     pub record_sends: u64,
-    /// See `record_sends`.
+    /// Bytes of these messages.
     pub record_bytes: u64,
-    /// From an owner's fall to the takeover, each.
+    /// For each takeover from a killed owner, the time since the owner failed.
     pub takeover_delays: Vec<Micros>,
-    /// From an unsafe intent to its permission, each.
+    /// For each intent that had to wait, the time until its permission.
     pub intent_delays: Vec<Micros>,
 }
 
 impl Counts {
-    /// Adds another history's.
+    /// Adds the counts of another history.
     pub fn add(&mut self, other: Counts) {
         self.accepted += other.accepted;
         self.ended += other.ended;
--- a/crates/custody/src/sim/clients.rs
+++ b/crates/custody/src/sim/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that poll for the end of their statements, and the checks of what is promised.
+//! Clients that poll for the endings of their statements, and the checks of ownership and endings.
 
 use super::events::Event;
 use super::process::Process;
@@ -6,33 +6,33 @@
 use super::{gateway_number, Fleet, MILLISECOND, SECOND};
 use crate::{Ending, Micros, RepeatSafety, StatementKey, StatementLocation};
 
-/// Between two polls of a client.
+/// Time between two polls of a client.
 const POLL_INTERVAL: Micros = 250 * MILLISECOND;
-/// A poll that was redirected follows after so long.
+/// Time until a client follows a redirect.
 const REDIRECT_DELAY: Micros = 30 * MILLISECOND;
-/// A client polls for so long after its deadline.
-const POLLS_AFTER_DEADLINE: Micros = 10 * SECOND;
+/// How long a client continues to poll after its deadline.
+const POLLING_AFTER_DEADLINE: Micros = 10 * SECOND;
 
-/// An attempt that was written to an engine.
-struct WrittenAttempt {
+/// An attempt that was sent to an engine.
+struct SentAttempt {
     number: u32,
     finishes_at: Micros,
     succeeds: bool,
 }
 
-/// A statement as its client and its engines know it.
+/// A statement from the view of its client and its engines.
 pub(super) struct ClientStatement {
     pub(super) repeat: RepeatSafety,
     pub(super) deadline: Micros,
-    attempts: Vec<WrittenAttempt>,
-    /// The end that was reported; an inner `None` is the engine's result.
+    attempts: Vec<SentAttempt>,
+    /// The ending that was reported; an inner `None` stands for the engine's result.
     reported: Option<Option<Ending>>,
     pub(super) client_has_ending: bool,
-    /// The gateway that the client asks next.
-    asked_gateway: usize,
-    /// Owner and replicas, as the client's token names them.
+    /// The gateway that the client polls next.
+    polled_gateway: usize,
+    /// The owner and the replicas that the client's token names.
     token: Vec<usize>,
-    /// A gateway had it after all faults had ended and been found out.
+    /// Whether a gateway had the statement after all faults were over and detected.
     pub(super) survives: bool,
     pub(super) owner: usize,
 }
@@ -50,14 +50,15 @@
             attempts: Vec::new(),
             reported: None,
             client_has_ending: false,
-            asked_gateway: gateway,
+            polled_gateway: gateway,
             token,
             survives: false,
             owner: gateway,
         }
     }
 
-    /// An attempt is written to an engine. Returns what is wrong with that.
+    /// Records that an attempt is sent to an engine. Returns how that violates a checked property, if it
+    /// does.
     pub(super) fn add_attempt(
         &mut self,
         number: u32,
@@ -65,9 +66,9 @@
         succeeds: bool,
     ) -> Option<&'static str> {
         let is_second = !self.attempts.is_empty();
-        self.attempts.push(WrittenAttempt { number, finishes_at, succeeds });
+        self.attempts.push(SentAttempt { number, finishes_at, succeeds });
         match (self.repeat == RepeatSafety::Unsafe && is_second, self.client_has_ending) {
-            (true, true) => Some("a second time, after its end"),
+            (true, true) => Some("a second time, after its ending was reported"),
             (true, false) => Some("a second time"),
             (false, _) => None,
         }
@@ -78,7 +79,7 @@
         attempt.map(|attempt| attempt.finishes_at)
     }
 
-    /// Whether an attempt has finished well.
+    /// Whether an attempt has succeeded.
     pub(super) fn has_result(&self, number: u32, now: Micros) -> bool {
         let newest = self.attempts.iter().rev().find(|attempt| attempt.number == number);
         newest.is_some_and(|attempt| attempt.succeeds && attempt.finishes_at <= now)
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Checks that nobody but this gateway may act for a statement now, if this one may.
+    /// Checks that no other owner may act for a statement now if this gateway may.
     pub(super) fn check_only_actor(&mut self, key: &StatementKey, gateway: usize) {
         let may_act = |of: usize| {
             let clock = self.clock(of);
@@ -109,59 +110,60 @@
         }
     }
 
-    /// A client asks a gateway for the end of its statement.
+    /// A client polls a gateway for the ending of its statement.
     pub(super) fn client_polls(&mut self, key: &StatementKey) {
         let Some(statement) = self.statements.get(key) else { return };
-        if statement.client_has_ending || self.now > statement.deadline + POLLS_AFTER_DEADLINE {
+        if statement.client_has_ending || self.now > statement.deadline + POLLING_AFTER_DEADLINE {
             return;
         }
-        let asked = statement.asked_gateway;
+        let polled = statement.polled_gateway;
         let token = statement.token.clone();
-        // One that knows nothing of it, or does not answer, is left for one that the token names, or for any.
-        let other = match self.random_below(4) {
+        // If the gateway does not know the statement or does not answer, the client polls one that its token
+        // names, or sometimes any other.
+        let alternative = match self.random_below(4) {
             0 => self.random_below(self.processes.len()),
             _ => token[self.random_below(token.len())],
         };
-        let process = &self.processes[asked];
+        let process = &self.processes[polled];
         let answers = process.node.is_some() && process.paused_until <= self.now;
         let (next, delay) =
-            if answers { self.answer_poll(asked, key, other) } else { (other, POLL_INTERVAL) };
+            if answers { self.answer_poll(polled, key, alternative) } else { (alternative, POLL_INTERVAL) };
         let still_open = |statement: &&mut ClientStatement| !statement.client_has_ending;
         if let Some(statement) = self.statements.get_mut(key).filter(still_open) {
-            statement.asked_gateway = next;
+            statement.polled_gateway = next;
             self.schedule(self.now + delay, 0, Event::ClientPolls(key.clone()));
         }
     }
 
-    /// A gateway answers a poll. Returns whom the client asks next, and after how long.
-    fn answer_poll(&mut self, asked: usize, key: &StatementKey, other: usize) -> (usize, Micros) {
-        let clock = self.clock(asked);
-        let process = &self.processes[asked];
+    /// A gateway answers a poll. Returns the gateway that the client polls next, and after which delay.
+    fn answer_poll(&mut self, polled: usize, key: &StatementKey, alternative: usize) -> (usize, Micros) {
+        let clock = self.clock(polled);
+        let process = &self.processes[polled];
         let may_act = process.node.as_ref().is_some_and(|node| node.may_act(clock));
         let (mut next, delay) = match process.node.as_ref().map(|node| node.locate(key)) {
             Some(StatementLocation::Remote(incarnation)) => {
                 (gateway_number(&incarnation.name), REDIRECT_DELAY)
             }
-            // It passes the poll on to whoever runs, as far as it reaches them.
+            // The gateway forwards the poll to the owner if it can reach it.
             Some(StatementLocation::Unknown | StatementLocation::Ended(_)) => {
-                let reached_owner = self.reached_owner(asked, key);
-                (reached_owner.unwrap_or(other), POLL_INTERVAL)
+                let owner = self.reachable_owner(polled, key);
+                (owner.unwrap_or(alternative), POLL_INTERVAL)
             }
-            Some(StatementLocation::Local | StatementLocation::TakingOver) | None => (asked, POLL_INTERVAL),
+            Some(StatementLocation::Local | StatementLocation::TakingOver) | None => (polled, POLL_INTERVAL),
         };
         if self.one_in(10) {
-            next = other;
+            next = alternative;
         }
-        let stage = self.processes[asked].statements.get(key).map(|statement| statement.stage.clone());
-        if let (true, Some(Stage::Ended(end))) = (may_act, stage) {
-            self.report_ending(asked, key, end);
+        let stage = self.processes[polled].statements.get(key).map(|statement| statement.stage.clone());
+        if let (true, Some(Stage::Ended(ending))) = (may_act, stage) {
+            self.report_ending(polled, key, ending);
         }
         (next, delay)
     }
 
-    /// The first gateway that owns a statement and can be reached from one.
-    fn reached_owner(&self, from: usize, key: &StatementKey) -> Option<usize> {
-        let is_reached = |gateway: usize, process: &Process| {
+    /// The first gateway that owns a statement and is reachable from another gateway.
+    fn reachable_owner(&self, from: usize, key: &StatementKey) -> Option<usize> {
+        let is_reachable = |gateway: usize, process: &Process| {
             let is_cut = self.cut_links[from][gateway] || self.cut_links[gateway][from];
             !is_cut && process.paused_until <= self.now
         };
@@ -169,24 +171,24 @@
             process.node.as_ref().is_some_and(|node| node.locate(key) == StatementLocation::Local)
         };
         let mut gateways = self.processes.iter().enumerate();
-        gateways.find(|(gateway, process)| is_reached(*gateway, process) && owns(process)).map(|(n, _)| n)
+        gateways.find(|(gateway, process)| is_reachable(*gateway, process) && owns(process)).map(|(n, _)| n)
     }
 
-    /// A gateway reports the end of a statement to its client.
-    fn report_ending(&mut self, gateway: usize, key: &StatementKey, end: Option<Ending>) {
+    /// A gateway reports the ending of a statement to its client.
+    fn report_ending(&mut self, gateway: usize, key: &StatementKey, ending: Option<Ending>) {
         self.check_only_actor(key, gateway);
         let is_lost = self.one_in(10);
         let Some(statement) = self.statements.get_mut(key) else { return };
         let reported_before = statement.reported.clone();
-        // An engine's result is reported by the engine's own pages, and counts once the client has it.
-        // Without an attempt nothing may have run: then only what the client gets counts.
-        let is_recorded = statement.repeat == RepeatSafety::Unsafe || !statement.attempts.is_empty();
-        if (end.is_some() && is_recorded) || !is_lost {
-            statement.reported = Some(end.clone());
+        // An ending that a gateway decided counts as reported as soon as it is sent if the replicas recorded
+        // it first. An engine's result, or an ending without an attempt, counts only once the client has it.
+        let was_recorded = statement.repeat == RepeatSafety::Unsafe || !statement.attempts.is_empty();
+        if (ending.is_some() && was_recorded) || !is_lost {
+            statement.reported = Some(ending.clone());
         }
         statement.client_has_ending = !is_lost;
-        if let Some(before) = reported_before.filter(|before| *before != end) {
-            self.violate(format!("{key:?} had {before:?} and gets {end:?} by g{gateway}"));
+        if let Some(before) = reported_before.filter(|before| *before != ending) {
+            self.violate(format!("{key:?}: g{gateway} reports {ending:?} after {before:?} was reported"));
         }
         if !is_lost {
             self.counts.ended += 1;
--- a/crates/custody/src/sim/events.rs
+++ b/crates/custody/src/sim/events.rs
@@ -1,10 +1,10 @@
-//! Events of the simulation and what they do.
+//! Events of the simulation and their handling.
 
 use super::process::Process;
 use super::{Fleet, MILLISECOND, SECOND};
 use crate::{Micros, StatementKey};
 
-/// Something that happens at a gateway, or to a statement's client.
+/// An event at a gateway or at a statement's client.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Event {
     MessageArrives {
@@ -18,7 +18,7 @@
     MarksStored {
         incarnation_number: u64,
     },
-    /// A gateway goes on with a statement, unless it has planned another step since.
+    /// A gateway continues a statement, unless it has scheduled another step since.
     Proceed {
         incarnation_number: u64,
         key: StatementKey,
@@ -41,19 +41,19 @@
     InjectFault,
     HandOver,
     PauseUntil(Micros),
-    MendLinks,
+    RestoreLinks,
     StartProcess,
     EndFaults,
     ExitProcess,
 }
 
 impl Event {
-    /// Whether it happens at a paused process too, as it is no event of the process itself.
+    /// Whether the event happens even while the process is paused, as it does not involve the process.
     fn is_external(&self) -> bool {
         matches!(
             self,
             Event::EndFaults
-                | Event::MendLinks
+                | Event::RestoreLinks
                 | Event::InjectFault
                 | Event::PauseUntil(_)
                 | Event::ClientPolls(_)
@@ -61,7 +61,7 @@
     }
 }
 
-/// An event and when it happens; events of one time happen in the order in which they were scheduled.
+/// An event and its time; events of the same time happen in the order in which they were scheduled.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ScheduledEvent {
     pub(super) at: Micros,
@@ -93,7 +93,7 @@
             Event::SendFails { to } => {
                 self.with_node(gateway, |node, clock| node.handle_send_failure(clock, &to));
             }
-            // Another one has been scheduled since.
+            // The wake-up was rescheduled.
             Event::Wake if self.processes[gateway].wake_at != at => return,
             Event::Wake => self.wake(gateway),
             Event::MarksStored { incarnation_number } => self.marks_stored(gateway, incarnation_number),
@@ -124,7 +124,7 @@
             Event::PauseUntil(until) => self.pause(gateway, until),
             Event::ExitProcess => self.exit_process(gateway),
             Event::StartProcess => self.restart_process(gateway),
-            Event::MendLinks => self.mend_links(),
+            Event::RestoreLinks => self.restore_links(),
             Event::EndFaults => self.end_faults(),
         }
         self.carry_out_effects(gateway);
@@ -165,7 +165,7 @@
         }
     }
 
-    fn mend_links(&mut self) {
+    fn restore_links(&mut self) {
         self.cut_links.iter_mut().for_each(|row| row.fill(false));
         (0..self.processes.len()).for_each(|other| self.schedule_observations(other));
     }
--- a/crates/custody/src/sim/faults.rs
+++ b/crates/custody/src/sim/faults.rs
@@ -4,17 +4,17 @@
 use super::{gateway_number, Fleet, MILLISECOND, SECOND};
 use crate::{Micros, StatementKey};
 
-/// Faults are drawn as one of so many kinds; some kinds have more than one number.
-const FAULT_KINDS: u64 = 18;
+/// Number of values from which a fault is drawn; some faults have several values.
+const FAULT_VALUES: u64 = 18;
 
 impl Fleet {
-    /// Draws a fault that begins at a gateway.
+    /// Draws a fault and injects it at a gateway.
     pub(super) fn inject_fault(&mut self, gateway: usize) {
         let ends_at = self.random_time(200 * MILLISECOND, 5 * SECOND);
-        match self.random() % FAULT_KINDS {
+        match self.random() % FAULT_VALUES {
             0 => {
                 self.kill_process(gateway);
-                self.kill_successor_of(gateway, ends_at);
+                self.kill_successor(gateway, ends_at);
                 self.schedule(ends_at, gateway, Event::StartProcess);
             }
             1 | 2 => {
@@ -22,21 +22,21 @@
                 self.schedule(ends_at, gateway, Event::StartProcess);
             }
             3 => self.kill_process(gateway),
-            4 => self.kill_and_pause_successors(gateway, ends_at),
+            4 => self.kill_and_pause_others(gateway, ends_at),
             5..=7 => self.schedule(self.now, gateway, Event::PauseUntil(ends_at)),
             8 => self.partition(|other| other == gateway, ends_at, gateway),
             9 => self.partition(|other| other % 2 == gateway % 2, ends_at, gateway),
             10 | 11 => self.cut_one_link(gateway, ends_at),
             12 | 13 => self.suspect_falsely(gateway),
             14 => self.restart_voters(gateway, ends_at),
-            15 if self.one_in(8) => self.restart_most(gateway),
+            15 if self.one_in(8) => self.restart_most_gateways(gateway),
             17 => self.lose_disk(gateway),
             _ => self.start_hand_over(gateway),
         }
     }
 
-    /// The replica that would take over one of a killed gateway's statements is killed too.
-    fn kill_successor_of(&mut self, gateway: usize, ends_at: Micros) {
+    /// Kills the replica that would take over one of a killed gateway's statements.
+    fn kill_successor(&mut self, gateway: usize, ends_at: Micros) {
         let open = self
             .statements
             .iter()
@@ -54,8 +54,8 @@
         Some(gateway_number(&replica_list[1].name))
     }
 
-    /// At about the time of a takeover those that may do it are paused.
-    fn kill_and_pause_successors(&mut self, gateway: usize, ends_at: Micros) {
+    /// Kills a gateway, and pauses two gateways at about the time of the takeover.
+    fn kill_and_pause_others(&mut self, gateway: usize, ends_at: Micros) {
         self.kill_process(gateway);
         for _ in 0..2 {
             let paused = self.random_below(self.processes.len());
@@ -78,14 +78,14 @@
             }
         }
         (0..count).for_each(|other| self.schedule_observations(other));
-        self.schedule(ends_at, gateway, Event::MendLinks);
+        self.schedule(ends_at, gateway, Event::RestoreLinks);
     }
 
     fn cut_one_link(&mut self, gateway: usize, ends_at: Micros) {
         self.counts.partitions += 1;
         let other = self.random_below(self.processes.len());
         self.cut_links[gateway][other] = gateway != other;
-        self.schedule(ends_at, gateway, Event::MendLinks);
+        self.schedule(ends_at, gateway, Event::RestoreLinks);
     }
 
     fn suspect_falsely(&mut self, gateway: usize) {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// All voters are restarted, and somebody believes an owner dead at that moment.
+    /// Restarts all voters while one gateway wrongly believes another dead.
     fn restart_voters(&mut self, gateway: usize, ends_at: Micros) {
         let member = self.random_below(self.processes.len());
         self.believe_dead(gateway, member, ends_at);
@@ -113,7 +113,7 @@
         }
     }
 
-    fn restart_most(&mut self, gateway: usize) {
+    fn restart_most_gateways(&mut self, gateway: usize) {
         let count = self.processes.len();
         for other in (0..count).filter(|other| other % 10 != gateway % 10) {
             self.kill_process(other);
@@ -122,7 +122,8 @@
         }
     }
 
-    /// A voter loses its disk, once: more at a time than a quorum has to spare is not survived.
+    /// A voter loses its disk. This happens at most once, as the protocol does not survive the loss of more
+    /// disks at a time than the quorum can spare.
     fn lose_disk(&mut self, gateway: usize) {
         let voter = gateway % self.case.voters;
         if !self.disk_lost && self.case.voters > 1 {
--- a/crates/custody/src/sim/network.rs
+++ b/crates/custody/src/sim/network.rs
@@ -1,4 +1,4 @@
-//! The effects of state machines, and the network between them.
+//! Execution of the state machines' effects, and the network between the gateways.
 
 use super::events::Event;
 use super::statements::Stage;
@@ -7,7 +7,7 @@
 use crate::{Effect, Micros, StatementKey, TakeoverNode};
 
 impl Fleet {
-    /// Carries out the effects of a gateway's state machine, and schedules when it is woken.
+    /// Carries out the effects of a gateway's state machine, and schedules its next wake-up.
     pub(super) fn carry_out_effects(&mut self, gateway: usize) {
         while let Some(effect) = self.next_effect(gateway) {
             self.carry_out(gateway, effect);
@@ -24,7 +24,7 @@
     fn carry_out(&mut self, gateway: usize, effect: Effect) {
         match effect {
             Effect::StoreMarks(bytes) => {
-                // A process that is killed before that has not stored them.
+                // A process that is killed before the event has not stored the marks.
                 let at = self.random_time(MILLISECOND, 10 * MILLISECOND);
                 let incarnation_number = self.processes[gateway].incarnation_number;
                 self.schedule(at, gateway, Event::MarksStored { incarnation_number });
@@ -62,7 +62,8 @@
         }
     }
 
-    /// By the true clock, and a little late rather than early.
+    /// Schedules the wake-up of a gateway in true time, slightly late so that it is never early by the
+    /// gateway's clock.
     fn schedule_wake(&mut self, gateway: usize) {
         let clock = self.clock(gateway);
         let Some(due) = self.processes[gateway].node.as_ref().and_then(TakeoverNode::next_wake) else {
@@ -72,8 +73,8 @@
             return;
         }
         let span = due.saturating_sub(clock);
-        let for_drift = span / 8 * self.case.drift_ppm / 100_000;
-        let at = self.now + span + for_drift + MILLISECOND / 4;
+        let drift_allowance = span / 8 * self.case.drift_ppm / 100_000;
+        let at = self.now + span + drift_allowance + MILLISECOND / 4;
         if at < self.processes[gateway].wake_at {
             self.processes[gateway].wake_at = at;
             self.schedule(at, gateway, Event::Wake);
@@ -91,7 +92,7 @@
         }
     }
 
-    /// A gateway whose lease is valid again has to be the only one that may act for its statements.
+    /// When a gateway's lease becomes valid, checks that no other gateway may act for its statements.
     fn check_lease(&mut self, gateway: usize) {
         let clock = self.clock(gateway);
         let Some(node) = &self.processes[gateway].node else { return };
@@ -119,7 +120,7 @@
     fn send_records(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         let is_broken = self.cut_links[from][to] || self.processes[to].node.is_none();
         if is_broken || self.random() % 1_000 < self.loss_per_mille / 4 {
-            // Some senders learn that, some hear nothing.
+            // Only some of the senders learn of the failure.
             if self.one_in(2) {
                 let at = self.random_time(MILLISECOND, 200 * MILLISECOND);
                 self.schedule(at, from, Event::SendFails { to: gateway_name(to) });
--- a/crates/custody/src/sim/process.rs
+++ b/crates/custody/src/sim/process.rs
@@ -1,4 +1,4 @@
-//! One gateway's process: its start and end, and what membership lets it see.
+//! A gateway's process: its start and end, and its view of the membership.
 
 use std::collections::BTreeMap;
 
@@ -7,9 +7,10 @@
 use super::{gateway_name, Fleet, MILLISECOND, SECOND};
 use crate::{Incarnation, Member, MemberState, Micros, Settings, StatementKey, TakeoverNode};
 
-/// Incarnations of a gateway that another one's membership lists, at most.
+/// Maximum number of incarnations of a gateway that the membership of another gateway lists.
 const MAX_LISTED_INCARNATIONS: usize = 3;
-/// After such times membership finds out what became of a gateway: in each case between one and two of them.
+/// Base delays after which membership observes a change of a gateway. Each observation happens between one
+/// and two times its base delay.
 const DETECTION_TIMES: [Micros; 3] = [300 * MILLISECOND, 1_200 * MILLISECOND, 3 * SECOND];
 
 /// An incarnation of another gateway, as membership observes it.
@@ -19,7 +20,7 @@
     state: MemberState,
 }
 
-/// A gateway: its process, if it runs, and what outlives that.
+/// A gateway: its process, if it runs, and the state that survives the process.
 pub(super) struct Process {
     pub(super) node: Option<TakeoverNode>,
     pub(super) incarnation_number: u64,
@@ -27,18 +28,18 @@
     pub(super) unwritten_marks: Option<Vec<u8>>,
     pub(super) clock_error_ppm: i64,
     pub(super) paused_until: Micros,
-    /// The event of that time wakes it; others were replaced.
+    /// The time of the current wake-up event; events of other times are outdated.
     pub(super) wake_at: Micros,
-    /// The observed incarnations of each other gateway, the newest last.
+    /// The observed incarnations of each other gateway, newest last.
     pub(super) observed: Vec<Vec<Observation>>,
     pub(super) statements: BTreeMap<StatementKey, LocalStatement>,
     pub(super) may_act: bool,
-    /// The number of its last statement.
+    /// The number of the last statement accepted.
     pub(super) last_number: u64,
     pub(super) is_handing_over: bool,
     pub(super) has_left: bool,
-    /// When it was killed or paused.
-    pub(super) fell_at: Micros,
+    /// When the process was last killed or paused.
+    pub(super) failed_at: Micros,
 }
 
 impl Process {
@@ -57,7 +58,7 @@
             last_number: 0,
             is_handing_over: false,
             has_left: false,
-            fell_at: 0,
+            failed_at: 0,
         }
     }
 }
@@ -100,20 +101,20 @@
         process.wake_at = Micros::MAX;
         match TakeoverNode::with_injected_fault(settings, process.disk.as_deref(), now, fault) {
             Ok(node) => process.node = Some(node),
-            Err(why) => return self.violate(format!("g{gateway} cannot start: {why}")),
+            Err(error) => return self.violate(format!("g{gateway} cannot start: {error}")),
         }
         self.carry_out_effects(gateway);
     }
 
-    /// A process is killed.
+    /// Kills a gateway's process.
     pub fn kill_process(&mut self, gateway: usize) {
         let process = &mut self.processes[gateway];
         if process.node.take().is_none() {
             return;
         }
         let is_paused = process.paused_until > self.now;
-        if !is_paused || process.fell_at < process.paused_until {
-            process.fell_at = self.now;
+        if !is_paused || process.failed_at < process.paused_until {
+            process.failed_at = self.now;
         }
         process.paused_until = 0;
         let statements = std::mem::take(&mut process.statements);
@@ -126,7 +127,7 @@
         if self.processes[gateway].node.is_some() && !self.faults_over {
             self.counts.pauses += 1;
             self.processes[gateway].paused_until = until;
-            self.processes[gateway].fell_at = self.now;
+            self.processes[gateway].failed_at = self.now;
             self.schedule_observations(gateway);
         }
     }
@@ -140,7 +141,7 @@
         self.carry_out_effects(gateway);
     }
 
-    /// Gateways find out late what became of one, and it of them.
+    /// Schedules the delayed observations that other gateways make of one, and it of them.
     pub(super) fn schedule_observations(&mut self, gateway: usize) {
         for other in (0..self.processes.len()).filter(|&other| other != gateway) {
             for time in DETECTION_TIMES {
@@ -152,7 +153,7 @@
         }
     }
 
-    /// A gateway's membership observes another gateway, or wrongly believes it dead.
+    /// Updates what a gateway's membership observes of another gateway, or wrongly believes of it.
     pub(super) fn observe_member(&mut self, gateway: usize, member: usize, believed_dead: bool) {
         let is_cut = self.cut_links[gateway][member] && self.cut_links[member][gateway];
         let other = &self.processes[member];
@@ -177,7 +178,7 @@
         }
     }
 
-    /// A gateway's state machine learns what its membership observes.
+    /// Passes the members that a gateway observes to its state machine.
     pub(super) fn update_members(&mut self, gateway: usize) {
         let mut members = Vec::new();
         for (member, observed) in self.processes[gateway].observed.iter().enumerate() {
--- a/crates/custody/src/sim/statements.rs
+++ b/crates/custody/src/sim/statements.rs
@@ -1,4 +1,4 @@
-//! A model of the gateway around the state machine: it accepts statements, starts attempts at engines, and
+//! A model of the gateway around the state machine, which accepts statements, starts attempts at engines, and
 //! decides endings.
 
 use super::clients::ClientStatement;
@@ -6,19 +6,19 @@
 use super::{gateway_number, Fleet, MILLISECOND, SECOND};
 use crate::{Ending, InFlightAttempt, Micros, Permission, Record, RepeatSafety, StatementKey};
 
-/// Attempts of one statement, at most.
+/// Maximum number of attempts of one statement.
 const MAX_ATTEMPTS: u32 = 4;
 /// How long an attempt may take.
 const ATTEMPT_TIMEOUT: Micros = 5 * SECOND;
-/// So long before its deadline a statement is given up.
+/// How long before its deadline a statement is given up.
 const GIVE_UP_BEFORE: Micros = 400 * MILLISECOND;
-/// So long before its deadline a waiting statement is looked at again.
+/// How long before its deadline a waiting statement is checked.
 const CHECK_BEFORE: Micros = 300 * MILLISECOND;
 
-/// How far a gateway is with a statement.
+/// The stage of a statement at its gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// An attempt is to be started.
+    /// An attempt can be started.
     Ready,
     /// An attempt waits for its permission, since that time.
     AwaitingPermission(Micros),
@@ -26,7 +26,7 @@
     InFlight,
     /// An ending waits for its permission.
     AwaitingEnding(Ending),
-    /// There is an end for the client: the gateway's own, or the engine's result.
+    /// The ending can be reported: one that the gateway decided, or `None` for the engine's result.
     Ended(Option<Ending>),
 }
 
@@ -37,7 +37,7 @@
     attempts: u32,
     deadline: Micros,
     repeat: RepeatSafety,
-    /// Counts the planned steps: an earlier one is void.
+    /// The number of the step scheduled last; earlier steps are outdated.
     pub(super) step: u32,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl Fleet {
-    /// Plans the next step with a statement, in place of the one that was planned.
+    /// Schedules the next step of a statement in place of the one scheduled before.
     fn schedule_step(&mut self, gateway: usize, key: &StatementKey, delay: Micros) {
         let incarnation_number = self.processes[gateway].incarnation_number;
         if let Some(statement) = self.processes[gateway].statements.get_mut(key) {
@@ -110,7 +110,7 @@
         self.carry_out_effects(gateway);
     }
 
-    /// A gateway owns a statement from now on, and goes on with it by its record.
+    /// A gateway has taken a statement over, and continues it from its record.
     pub(super) fn taken_over(&mut self, gateway: usize, record: &Record) {
         let key = record.key.clone();
         self.counts.takeovers += 1;
@@ -141,30 +141,30 @@
         let Some(statement) = self.statements.get_mut(key) else { return };
         let owner_before = std::mem::replace(&mut statement.owner, gateway);
         let process = &self.processes[owner_before];
-        if process.fell_at > 0 && process.node.is_none() {
-            self.counts.takeover_delays.push(self.now - process.fell_at);
+        if process.failed_at > 0 && process.node.is_none() {
+            self.counts.takeover_delays.push(self.now - process.failed_at);
         }
     }
 
-    /// What a takeover does with an attempt that may have run.
+    /// Handles an attempt that may have run when its statement was taken over.
     fn resume_attempt(&mut self, gateway: usize, record: &Record, attempt: &InFlightAttempt) {
         let key = &record.key;
         if attempt.next_uri.is_some() {
             return self.poll_engine_again(gateway, record, attempt.number);
         }
         if record.repeat == RepeatSafety::Unsafe {
-            return self.decide_ending(gateway, key, Ending::Failed(format!("lost, says g{gateway}")));
+            return self.decide_ending(gateway, key, Ending::Failed(format!("lost, node g{gateway}")));
         }
         self.set_stage(gateway, key, Stage::Ready);
         self.schedule_step(gateway, key, 10 * MILLISECOND);
     }
 
-    /// The engine's address of the next page is known: polling goes on there.
+    /// Continues to poll an engine whose URI of the next page is known.
     fn poll_engine_again(&mut self, gateway: usize, record: &Record, attempt: u32) {
         let key = &record.key;
         let statement = self.statements.get(key);
         let Some(finished_at) = statement.and_then(|statement| statement.attempt_finishes_at(attempt)) else {
-            return self.violate(format!("{key:?}: an attempt that was never written has a next page"));
+            return self.violate(format!("{key:?}: an attempt that was never sent has a next page"));
         };
         let incarnation_number = self.processes[gateway].incarnation_number;
         let at = finished_at.max(self.now) + 10 * MILLISECOND;
@@ -174,17 +174,17 @@
         self.schedule_step(gateway, key, deadline.saturating_sub(self.now + CHECK_BEFORE));
     }
 
-    /// A gateway goes on with a statement.
+    /// Does the next step of a statement at its gateway.
     pub(super) fn proceed(&mut self, gateway: usize, key: &StatementKey) {
         let Some(statement) = self.processes[gateway].statements.get(key).cloned() else { return };
         let is_late = self.now + GIVE_UP_BEFORE >= statement.deadline;
-        let failed = |why: &str| Ending::Failed(format!("{why}, says g{gateway}"));
+        let failed = |reason: &str| Ending::Failed(format!("{reason}, node g{gateway}"));
         match statement.stage {
             Stage::Ready | Stage::InFlight | Stage::AwaitingPermission(_) if is_late => {
                 self.decide_ending(gateway, key, failed("too late"));
             }
             Stage::Ready if statement.attempts >= MAX_ATTEMPTS => {
-                self.decide_ending(gateway, key, failed("in vain"));
+                self.decide_ending(gateway, key, failed("gave up"));
             }
             Stage::Ready => self.request_attempt(gateway, key, &statement),
             Stage::AwaitingEnding(ending) => self.decide_ending(gateway, key, ending),
@@ -223,7 +223,7 @@
         }
     }
 
-    /// An attempt may be written to its engine.
+    /// Starts an attempt that is permitted.
     pub(super) fn start_attempt(&mut self, gateway: usize, key: &StatementKey, attempts: u32) {
         let clock = self.clock(gateway);
         let may_act = self.processes[gateway].node.as_ref().is_some_and(|node| node.may_act(clock));
@@ -243,18 +243,18 @@
         let deadline = statement.deadline;
         self.check_only_actor(key, gateway);
         self.counts.attempts += 1;
-        self.write_attempt(gateway, key, attempts - 1);
+        self.send_attempt(gateway, key, attempts - 1);
         self.schedule_check_before(gateway, key, deadline);
     }
 
-    /// An attempt is written to its engine, which answers twice: when it has accepted it, and when it is
-    /// finished.
-    fn write_attempt(&mut self, gateway: usize, key: &StatementKey, attempt: u32) {
+    /// Sends an attempt to its engine, which answers twice: when it has accepted the attempt and when the
+    /// attempt is finished.
+    fn send_attempt(&mut self, gateway: usize, key: &StatementKey, attempt: u32) {
         let finished_at = self.random_time(20 * MILLISECOND, 2 * SECOND);
         let succeeds = !self.one_in(8);
         let Some(statement) = self.statements.get_mut(key) else { return };
         if let Some(violation) = statement.add_attempt(attempt, finished_at, succeeds) {
-            self.violate(format!("g{gateway} writes {key:?} {violation}"));
+            self.violate(format!("g{gateway} sends {key:?} to an engine {violation}"));
         }
         let incarnation_number = self.processes[gateway].incarnation_number;
         let accepted_at = self.random_time(5 * MILLISECOND, 20 * MILLISECOND);
@@ -264,7 +264,7 @@
         }
     }
 
-    /// An engine has accepted an attempt, or has finished it.
+    /// Handles an engine's answer that it has accepted or finished an attempt.
     pub(super) fn engine_answers(&mut self, gateway: usize, key: &StatementKey, number: u32, finished: bool) {
         let process = &self.processes[gateway];
         let Some(statement) = process.statements.get(key).filter(|_| process.node.is_some()) else { return };
@@ -280,7 +280,7 @@
             if has_result {
                 self.set_stage(gateway, key, Stage::Ended(None));
             } else if repeat == RepeatSafety::Unsafe {
-                self.decide_ending(gateway, key, Ending::Failed(format!("broken, says g{gateway}")));
+                self.decide_ending(gateway, key, Ending::Failed(format!("failed, node g{gateway}")));
             } else {
                 self.set_stage(gateway, key, Stage::Ready);
                 self.schedule_step(gateway, key, 10 * MILLISECOND);
--- a/crates/custody/src/voter.rs
+++ b/crates/custody/src/voter.rs
@@ -171,15 +171,15 @@
     }
 
     /// Handles a participant's request for a lease.
-    pub fn request_lease(&mut self, now: Micros, who: &Participant) -> LeaseAnswer {
-        let fence = self.fences.get(&who.incarnation);
-        if let Some(fence) = fence.filter(|fence| fence.through_term >= who.term) {
+    pub fn request_lease(&mut self, now: Micros, participant: &Participant) -> LeaseAnswer {
+        let fence = self.fences.get(&participant.incarnation);
+        if let Some(fence) = fence.filter(|fence| fence.through_term >= participant.term) {
             return LeaseAnswer::Fenced(fence.through_term);
         }
         if !self.has_stored || self.is_recovering() || now < self.silent_until {
             return LeaseAnswer::NoAnswer;
         }
-        let Participant { incarnation: Incarnation { name, number: incarnation_number }, term } = who;
+        let Participant { incarnation: Incarnation { name, number: incarnation_number }, term } = participant;
         let new = Grant {
             incarnation_number: *incarnation_number,
             term: *term,
@@ -215,9 +215,9 @@
     }
 
     /// Fences a participant; the next write stores the fence. Returns whether there was room for it.
-    fn add_fence(&mut self, now: Micros, who: &Participant) -> bool {
-        let known = self.fences.get(&who.incarnation);
-        if known.is_some_and(|fence| fence.through_term >= who.term) {
+    fn add_fence(&mut self, now: Micros, participant: &Participant) -> bool {
+        let known = self.fences.get(&participant.incarnation);
+        if known.is_some_and(|fence| fence.through_term >= participant.term) {
             return true;
         }
         if known.is_none() && self.fences.len() >= MAX_REMEMBERED {
@@ -226,9 +226,9 @@
                 return false;
             }
         }
-        let fence = FenceState { through_term: who.term, since: now };
-        self.fences.insert(who.incarnation.clone(), fence);
-        self.next_write.fenced.insert(who.incarnation.clone());
+        let fence = FenceState { through_term: participant.term, since: now };
+        self.fences.insert(participant.incarnation.clone(), fence);
+        self.next_write.fenced.insert(participant.incarnation.clone());
         true
     }
 
@@ -240,12 +240,12 @@
 
     /// Fences participants on behalf of a gateway. Returns the fences that are stored already;
     /// [`Voter::write_completed`] returns the others.
-    pub fn fence(&mut self, now: Micros, from: &str, who: Vec<Participant>) -> Vec<FenceMark> {
+    pub fn fence(&mut self, now: Micros, from: &str, participants: Vec<Participant>) -> Vec<FenceMark> {
         let mut marks = Vec::new();
         if self.is_recovering() {
             return marks;
         }
-        for participant in who {
+        for participant in participants {
             if !self.add_fence(now, &participant) {
                 continue;
             }
--- a/crates/custody/src/wire/codec.rs
+++ b/crates/custody/src/wire/codec.rs
@@ -135,13 +135,13 @@
         match ending {
             None => self.u8(NO_ENDING),
             Some(Ending::Cancelled) => self.u8(ENDING_CANCELLED),
-            Some(Ending::Refused(why)) => {
+            Some(Ending::Refused(reason)) => {
                 self.u8(ENDING_REFUSED);
-                self.text(why);
+                self.text(reason);
             }
-            Some(Ending::Failed(why)) => {
+            Some(Ending::Failed(reason)) => {
                 self.u8(ENDING_FAILED);
-                self.text(why);
+                self.text(reason);
             }
         }
     }
