--- a/crates/custody/src/node/status.rs
+++ b/crates/custody/src/node/status.rs
@@ -1,31 +1,31 @@
-//! What is known here of statements, for the caller and for operators.
+//! Queries of the caller and of operators about statements.
 
 use super::statement::Statement;
 use super::tombstones::Tombstone;
-use super::{TakeoverNode, Whereabouts};
+use super::{StatementLocation, TakeoverNode};
 use crate::wire::{Participant, ReplicaEntry};
 use crate::{Incarnation, StatementKey};
 
-/// How much is kept here.
+/// The amount of state that a gateway holds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Usage {
     /// Statements that this gateway owns.
     pub owned: usize,
-    /// Records kept for other gateways.
+    /// Records held for other gateways.
     pub replica_records: usize,
-    /// Bytes of them.
+    /// Total size of these records.
     pub replica_bytes: usize,
-    /// Owned statements with something that waits until it is recorded at the replicas.
+    /// Owned statements with an action that waits until it is recorded at the replicas.
     pub awaiting_replicas: usize,
 }
 
 impl TakeoverNode {
-    /// The processes in a statement's replica list, its first owner first.
+    /// The processes in a statement's replica list, starting with its first owner.
     pub fn replica_list(&self, key: &StatementKey) -> Vec<Incarnation> {
         self.replica_list_with_terms(key).into_iter().map(|(incarnation, _)| incarnation).collect()
     }
 
-    /// The same, each with the term in which it is listed.
+    /// The processes in a statement's replica list, each with the term in which it is listed.
     pub fn replica_list_with_terms(&self, key: &StatementKey) -> Vec<(Incarnation, u32)> {
         let Some(statement) = self.statements.get(key) else { return Vec::new() };
         let with_term = |entry: &ReplicaEntry| {
@@ -35,52 +35,54 @@
         statement.replicas.iter().map(with_term).collect()
     }
 
-    /// Where a statement is.
-    pub fn locate(&self, key: &StatementKey) -> Whereabouts {
+    /// Which gateway has a statement, as far as this one knows.
+    pub fn locate(&self, key: &StatementKey) -> StatementLocation {
         if let Some(statement) = self.statements.get(key) {
             return self.locate_kept(statement);
         }
         match self.tombstones.get(key) {
-            Some(Tombstone::Ended(ending)) => Whereabouts::Over(ending.clone()),
+            Some(Tombstone::Ended(ending)) => StatementLocation::Ended(ending.clone()),
             Some(Tombstone::Moved { replicas, .. }) => {
                 let running = replicas.iter().find(|incarnation| self.may_run(incarnation));
-                running.map_or(Whereabouts::Unknown, |incarnation| Whereabouts::At(incarnation.clone()))
+                running.map_or(StatementLocation::Unknown, |incarnation| {
+                    StatementLocation::Remote(incarnation.clone())
+                })
             }
             None => self.locate_by_number(key),
         }
     }
 
-    fn locate_kept(&self, statement: &Statement) -> Whereabouts {
+    fn locate_kept(&self, statement: &Statement) -> StatementLocation {
         match statement.ownership() {
-            Some(ownership) if ownership.pending_takeover.is_some() => return Whereabouts::Taking,
-            Some(ownership) if !ownership.resigning => return Whereabouts::Here,
+            Some(ownership) if ownership.pending_takeover.is_some() => return StatementLocation::TakingOver,
+            Some(ownership) if !ownership.resigning => return StatementLocation::Local,
             _ => {}
         }
         let may_act = |entry: &&ReplicaEntry| {
-            let gone = self.is_believed_gone(self.latest_time, &entry.participant.incarnation);
-            !entry.excluded && !self.is_participant_fenced(&entry.participant) && !gone
+            let is_gone = self.is_believed_gone(self.latest_time, &entry.participant.incarnation);
+            !entry.excluded && !self.is_participant_fenced(&entry.participant) && !is_gone
         };
         match statement.replicas.iter().find(may_act) {
-            Some(entry) if entry.participant == self.local => Whereabouts::Taking,
-            Some(entry) => Whereabouts::At(entry.participant.incarnation.clone()),
-            None => Whereabouts::Unknown,
+            Some(entry) if entry.participant == self.local => StatementLocation::TakingOver,
+            Some(entry) => StatementLocation::Remote(entry.participant.incarnation.clone()),
+            None => StatementLocation::Unknown,
         }
     }
 
-    /// Of a statement that left no trace here only its key tells something.
-    fn locate_by_number(&self, key: &StatementKey) -> Whereabouts {
-        let accepted_by = &key.taken_by;
+    /// Locates a statement of which nothing is kept here, by the incarnation that accepted it and its number.
+    fn locate_by_number(&self, key: &StatementKey) -> StatementLocation {
+        let accepted_by = &key.accepted_by;
         if *accepted_by == self.local.incarnation {
             return if key.number <= self.last_number {
-                Whereabouts::Over(None)
+                StatementLocation::Ended(None)
             } else {
-                Whereabouts::Unknown
+                StatementLocation::Unknown
             };
         }
         if self.members.contains_key(accepted_by) && self.may_run(accepted_by) {
-            return Whereabouts::At(accepted_by.clone());
+            return StatementLocation::Remote(accepted_by.clone());
         }
-        Whereabouts::Unknown
+        StatementLocation::Unknown
     }
 
     fn may_run(&self, incarnation: &Incarnation) -> bool {
@@ -88,14 +90,15 @@
         !is_gone && !self.fenced_through.contains_key(incarnation)
     }
 
-    /// Whether a statement is only offered to others, by this process that owned it in an earlier term.
+    /// Whether this process owned the statement in an earlier term and is only returning it to other
+    /// gateways.
     pub fn is_returning(&self, key: &StatementKey) -> bool {
         let Some(statement) = self.statements.get(key) else { return false };
         let resigning = statement.ownership().is_some_and(|ownership| ownership.resigning);
         resigning && statement.replicas[statement.position].participant != self.local
     }
 
-    /// How much is kept here.
+    /// The amount of state that this gateway holds.
     pub fn usage(&self) -> Usage {
         Usage {
             owned: self.statements.len() - self.replica_usage.records,
@@ -105,7 +108,7 @@
         }
     }
 
-    /// A statement's replica list in words, for reports of failed simulations.
+    /// A description of a statement's replica list, for reports of failed simulations.
     pub fn describe(&self, key: &StatementKey) -> String {
         let Some(statement) = self.statements.get(key) else { return "nothing".into() };
         let entries = statement.replicas.iter().enumerate();
@@ -124,6 +127,6 @@
         let progress = progress.map_or(String::new(), |progress| {
             format!(" acked {:x} of {:x}", progress.acked_version, progress.sent_version)
         });
-        format!("{} {:x}/{term}{excluded}{gone}{progress}", incarnation.name, incarnation.life >> 48)
+        format!("{} {:x}/{term}{excluded}{gone}{progress}", incarnation.name, incarnation.number >> 48)
     }
 }
--- a/crates/gateway/src/core/protection.rs
+++ b/crates/gateway/src/core/protection.rs
@@ -44,7 +44,7 @@
     /// The encoded statement, with everything needed to start it again.
     pub body: Vec<u8>,
     /// Whether the statement may be repeated.
-    pub repeat: custody::Repeat,
+    pub repeat: custody::RepeatSafety,
     /// Time that is left until the client's deadline.
     pub remaining: Micros,
 }
@@ -83,7 +83,7 @@
     /// The attempt to continue at the client's first poll.
     resumption: Option<ResumedAttempt>,
     /// The attempt that ended with its rows or, if a repeat is unsafe, the last one that may have run.
-    last_run: Option<custody::Out>,
+    last_run: Option<custody::InFlightAttempt>,
     /// The record has been released; changes are no longer announced.
     record_released: bool,
 }
@@ -183,8 +183,8 @@
             mark: s.protection.as_ref()?.mark.clone(),
         };
         let repeat = match self.classes[s.class].effect {
-            RepeatEffect::Repeatable => custody::Repeat::Harmless,
-            _ => custody::Repeat::Unsafe,
+            RepeatEffect::Repeatable => custody::RepeatSafety::Safe,
+            _ => custody::RepeatSafety::Unsafe,
         };
         let body = serde_json::to_vec(&body).unwrap_or_default();
         Some(StatementRecord { body, repeat, remaining: s.deadline.saturating_sub(self.now) })
@@ -192,7 +192,7 @@
 
     /// Number of attempts made, the running attempt and the number of pages handed out of a protected
     /// statement.
-    pub fn progress(&self, id: StatementId) -> Option<(u32, Option<custody::Out>, u64)> {
+    pub fn progress(&self, id: StatementId) -> Option<(u32, Option<custody::InFlightAttempt>, u64)> {
         let s = self.statements.get(&id)?;
         s.protection.as_ref()?;
         let running = s
@@ -202,14 +202,14 @@
         Some((s.attempts, running.or_else(last_run), s.pages.passed()))
     }
 
-    fn attempt_record(&self, number: u32, attempt: &Attempt) -> custody::Out {
-        custody::Out {
+    fn attempt_record(&self, number: u32, attempt: &Attempt) -> custody::InFlightAttempt {
+        custody::InFlightAttempt {
             number,
             engine: self.engine_name(attempt.engine),
-            next: attempt.next_uri.clone(),
-            page: attempt.next_uri.as_deref().and_then(page_number).unwrap_or(0),
-            sent: self.now.saturating_sub(attempt.sent_at),
-            within: attempt.deadline.saturating_sub(attempt.sent_at),
+            next_uri: attempt.next_uri.clone(),
+            next_page: attempt.next_uri.as_deref().and_then(page_number).unwrap_or(0),
+            elapsed: self.now.saturating_sub(attempt.sent_at),
+            timeout: attempt.deadline.saturating_sub(attempt.sent_at),
         }
     }
 
@@ -225,7 +225,7 @@
             Outcome::Ok | Outcome::Declined => protection.last_run = Some(ended),
             Outcome::ConnectFailed | Outcome::Full | Outcome::Moot => {}
             _ if is_repeatable => {}
-            _ => protection.last_run = Some(custody::Out { next: None, ..ended }),
+            _ => protection.last_run = Some(custody::InFlightAttempt { next_uri: None, ..ended }),
         }
         self.progress_changed(id.0);
     }
@@ -338,7 +338,7 @@
         let class = class_by_name.unwrap_or_else(|| self.class_of(&submission));
         let id = StatementId(self.next_id);
         self.next_id += 1;
-        let deadline = self.now + record.left;
+        let deadline = self.now + record.remaining_wait;
         let is_repeatable = self.classes[class].effect == RepeatEffect::Repeatable;
         let mut protection = Protection::new(body.mark);
         protection.awaits_client = true;
@@ -346,15 +346,16 @@
         if record.ending.is_some() {
             protection.skip_recording();
         }
-        let out = record.out.as_ref();
+        let out = record.in_flight.as_ref();
         let engine = out.and_then(|o| self.records.values().find(|r| r.name == o.engine));
-        let found = out.zip(engine).and_then(|(o, r)| Some((o, r.entry.engine, r.address, o.next.clone()?)));
+        let found =
+            out.zip(engine).and_then(|(o, r)| Some((o, r.entry.engine, r.address, o.next_uri.clone()?)));
         let mut current_attempt = None;
         if let (Some((out, engine, address, uri)), None) = (&found, &record.ending) {
             let attempt = AttemptId(id, out.number);
-            let sent_at = self.now.saturating_sub(out.sent);
+            let sent_at = self.now.saturating_sub(out.elapsed);
             // Leaves time for the client to poll here and for the engine to answer.
-            let deadline = (sent_at + out.within).max(self.now + MIN_ADOPTED_ATTEMPT_US);
+            let deadline = (sent_at + out.timeout).max(self.now + MIN_ADOPTED_ATTEMPT_US);
             protection.resumption = Some(ResumedAttempt { attempt, address: *address, uri: uri.clone() });
             // It waits for the client's first poll, which says which rows have been received.
             let adopted = Attempt {
