--- a/src/logic/health.rs
+++ b/src/logic/health.rs
@@ -125,8 +125,8 @@
         let Some(quarantine) = &mut state.quarantine else { return };
         // If no light request arrives, the quarantine would never end: then the successful probe counts as
         // the trial.
-        let expired = self.now > quarantine.next_trial_at + MAX_TRIAL_DELAY_US;
-        if self.settings.may_probe && quarantine.accepts_trial && expired {
+        let was_probed = self.settings.may_probe && quarantine.accepts_trial;
+        if was_probed && self.now > quarantine.next_trial_at + MAX_TRIAL_DELAY_US {
             quarantine.accepts_trial = false;
             return self.on_trial_result(engine, true, out);
         }
