--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -76,7 +76,8 @@
         }
     }
 
-    /// The periodic work.
+    /// Does the periodic work: ends requests that can't be served in time, checks engines, starts queued
+    /// requests and drops old records.
     fn tick(&mut self, out: &mut Vec<Action>) {
         self.timer_set = false;
         self.end_hopeless(out);
@@ -84,7 +85,8 @@
         let engines: Vec<EngineId> = self.engines.keys().copied().collect();
         engines.iter().for_each(|&engine| self.start_trial(engine, out));
         self.engines_with_queue().into_iter().for_each(|engine| self.start_queued(engine, out));
-        // Requests mostly stay queued when the fleet is full. Then the search of every engine is skipped.
+        // Queues mostly last because the fleet is full. Then no engine can take over a request from another
+        // one, and the search is skipped.
         let movable = |&(_, id): &(Micros, RequestId)| !self.fleet_is_full(&self.open_requests[&id].request);
         if self.engines.values().filter_map(|state| state.queue.first()).any(movable) {
             engines.iter().for_each(|&engine| self.steal_work(engine, out));
