--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Speaks the wire on standard input and output: one batch of events a line, one reply a line.
+//! Runs gateways of the `violetward` library for a simulator: reads one JSON batch of events per line from standard
+//! input and writes one JSON reply per line to standard output.
 
 mod wire;
 
@@ -8,20 +9,21 @@
 use std::process::ExitCode;
 
 use violetward::{Action, EngineId, Event, Gateway};
-use wire::{Batch, News, Output, Reply, ReplyOf};
+use wire::{Batch, GatewayReply, InputEvent, Output, Reply};
 
-/// One gateway with the engines' addresses that it has been told.
+/// One gateway with the addresses of all engines that its lists have named, by the engine ids built from them.
 struct Instance {
     gateway: Gateway,
-    nodes: BTreeMap<EngineId, String>,
+    addresses: BTreeMap<EngineId, String>,
 }
 
 impl Instance {
+    /// Passes an event to the gateway and appends its actions; a panic of the gateway becomes a `Crash` output.
     fn handle(&mut self, now: u64, event: Event, output: &mut Vec<Output>) {
         let mut actions: Vec<Action> = Vec::new();
-        let done = catch_unwind(AssertUnwindSafe(|| self.gateway.handle(now, event, &mut actions)));
-        output.extend(actions.into_iter().filter_map(|action| wire::output(action, &self.nodes)));
-        if let Err(panic) = done {
+        let result = catch_unwind(AssertUnwindSafe(|| self.gateway.handle(now, event, &mut actions)));
+        output.extend(actions.into_iter().filter_map(|action| wire::output(action, &self.addresses)));
+        if let Err(panic) = result {
             let text = panic.downcast_ref::<String>().map(String::as_str);
             let text = text.or(panic.downcast_ref::<&str>().copied()).unwrap_or("panic");
             output.push(Output::Crash { reason_text: text.to_string() });
@@ -32,59 +34,68 @@
 #[derive(Default)]
 struct Adapter {
     instances: BTreeMap<u64, Instance>,
-    lists: BTreeMap<u64, Vec<wire::Line>>,
+    /// The engine lists of `List` events, by buffer number; all gateways share them.
+    lists: BTreeMap<u64, Vec<wire::EngineLine>>,
 }
 
 impl Adapter {
     fn reply(&mut self, line: &str) -> Result<Reply, String> {
         let batch: Batch = serde_json::from_str(line).map_err(|e| e.to_string())?;
         let mut reply = Reply { gateways: Vec::new() };
-        for part in batch.gateways {
+        for input in batch.gateways {
             let mut output = Vec::new();
-            for news in part.news {
-                self.take(batch.at_time_us, part.i, news, &mut output)?;
+            for event in input.events {
+                self.handle(batch.at_time_us, input.gateway, event, &mut output)?;
             }
             if !output.is_empty() {
-                reply.gateways.push(ReplyOf { i: part.i, output });
+                reply.gateways.push(GatewayReply { gateway: input.gateway, output });
             }
         }
         Ok(reply)
     }
 
-    fn take(&mut self, now: u64, i: u64, news: News, output: &mut Vec<Output>) -> Result<(), String> {
-        let event = match news {
-            News::Configure { init_seed, boot_info } => {
+    /// Applies one input event to gateway `number` and appends what the gateway puts out.
+    fn handle(
+        &mut self,
+        now: u64,
+        number: u64,
+        event: InputEvent,
+        output: &mut Vec<Output>,
+    ) -> Result<(), String> {
+        let event = match event {
+            InputEvent::Configure { init_seed, boot_info } => {
                 let gateway = Gateway::new(boot_info.settings()?, init_seed);
-                self.instances.insert(i, Instance { gateway, nodes: BTreeMap::new() });
+                self.instances.insert(number, Instance { gateway, addresses: BTreeMap::new() });
                 return Ok(());
             }
-            News::Teardown {} => {
-                self.instances.remove(&i);
+            InputEvent::Teardown {} => {
+                self.instances.remove(&number);
                 return Ok(());
             }
-            News::List { buffer, lines } => {
+            InputEvent::List { buffer, lines } => {
                 self.lists.insert(buffer, lines);
                 return Ok(());
             }
-            News::Endpoints { buffer, kind, .. } => {
+            InputEvent::Endpoints { buffer, kind, .. } => {
                 let none = Vec::new();
                 let lines = match (kind, self.lists.get(&buffer)) {
                     (wire::ListKind::Lost, _) => &none,
                     (_, Some(lines)) => lines,
-                    (_, None) => return Err(format!("Endpoints: no list has number {buffer}")),
+                    (_, None) => return Err(format!("Endpoints: no List event has filled buffer {buffer}")),
                 };
-                if let Some(instance) = self.instances.get_mut(&i) {
-                    let nodes = lines.iter().map(|l| (wire::engine_id(&l.node), l.node.clone()));
-                    instance.nodes.extend(nodes);
+                if let Some(instance) = self.instances.get_mut(&number) {
+                    let addresses = lines.iter().map(|line| (wire::engine_id(&line.node), line.node.clone()));
+                    instance.addresses.extend(addresses);
                 }
-                wire::engines(kind, lines)
+                wire::engines_event(kind, lines)
             }
-            other => match wire::event(other)? {
+            event => match wire::stateless_event(event)? {
                 Some(event) => event,
                 None => return Ok(()),
             },
         };
-        let instance = self.instances.get_mut(&i).ok_or(format!("gateway {i} has no Configure yet"))?;
+        let instance =
+            self.instances.get_mut(&number).ok_or(format!("gateway {number}: event before Configure"))?;
         instance.handle(now, event, output);
         Ok(())
     }
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,4 +1,4 @@
-//! The wire's messages and their translation to and from the interface.
+//! The JSON messages of the wire and their translation to events and from actions of the `violetward` library.
 
 use std::collections::BTreeMap;
 
@@ -7,21 +7,24 @@
 pub use violetward_settings::engine_id;
 use violetward_settings::{load_from_stats, BootInfo};
 
+/// One input line: the events of all gateways at one time.
 #[derive(Deserialize)]
 pub struct Batch {
     #[serde(rename = "AtTimeUs")]
     pub at_time_us: u64,
-    pub gateways: Vec<NewsOf>,
+    pub gateways: Vec<GatewayInput>,
 }
 
+/// The events of one gateway, in order.
 #[derive(Deserialize)]
-pub struct NewsOf {
+pub struct GatewayInput {
     #[serde(rename = "I")]
-    pub i: u64,
-    #[serde(default)]
-    pub news: Vec<News>,
+    pub gateway: u64,
+    #[serde(default, rename = "news")]
+    pub events: Vec<InputEvent>,
 }
 
+/// How an `Endpoints` event applies its engine list.
 #[derive(Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListKind {
@@ -31,20 +34,23 @@
     Lost,
 }
 
+/// An input event; the variant is the value of `cmd`.
 #[derive(Deserialize)]
 #[serde(tag = "cmd", rename_all_fields = "PascalCase")]
-pub enum News {
+pub enum InputEvent {
     Configure {
         init_seed: u64,
         boot_info: Box<BootInfo>,
     },
     Teardown {},
+    /// Stores an engine list under a buffer number, for later `Endpoints` events.
     List {
         #[serde(default)]
         buffer: u64,
         #[serde(default)]
-        lines: Vec<Line>,
+        lines: Vec<EngineLine>,
     },
+    /// Applies the list in a buffer to this gateway.
     Endpoints {
         #[serde(default)]
         buffer: u64,
@@ -75,6 +81,7 @@
     Streaming {
         job: String,
     },
+    /// Progress of a running attempt; `what` is one of the `NOTE_` codes and gives `value` its meaning.
     Note {
         job: String,
         #[serde(default)]
@@ -104,6 +111,7 @@
         time_taken_us: u64,
         #[serde(default)]
         complete: bool,
+        /// Measured work and memory in one number; see [`unpack_stats`].
         #[serde(default)]
         stats: u64,
         #[serde(default)]
@@ -115,6 +123,7 @@
     },
 }
 
+/// How an attempt ended.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
@@ -128,6 +137,7 @@
     Moot,
 }
 
+/// State of an engine in the list.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Health {
@@ -136,9 +146,10 @@
     Removed,
 }
 
+/// One engine of a list.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Line {
+pub struct EngineLine {
     pub node: String,
     #[serde(default)]
     came_up_us: u64,
@@ -153,18 +164,21 @@
     health: Health,
 }
 
+/// One output line: the outputs of all gateways that have any.
 #[derive(Serialize)]
 pub struct Reply {
-    pub gateways: Vec<ReplyOf>,
+    pub gateways: Vec<GatewayReply>,
 }
 
+/// The outputs of one gateway, in order.
 #[derive(Serialize)]
-pub struct ReplyOf {
+pub struct GatewayReply {
     #[serde(rename = "I")]
-    pub i: u64,
+    pub gateway: u64,
     pub output: Vec<Output>,
 }
 
+/// An output; the variant is the value of `cmd`.
 #[derive(Serialize)]
 #[serde(tag = "cmd", rename_all_fields = "PascalCase")]
 pub enum Output {
@@ -182,7 +196,21 @@
     Crash { reason_text: String },
 }
 
-fn request(job: &str) -> Result<vw::RequestId, String> {
+/// `what` of a note: `value` is the fraction done.
+const NOTE_PROGRESS: u32 = 1;
+/// `what` of a note: `value` is the memory that the attempt lacks, in MB.
+const NOTE_SPILL: u32 = 2;
+/// `what` of a note: `value` is one of the `WAITS_FOR_` codes.
+const NOTE_WAIT: u32 = 3;
+const WAITS_FOR_MEMORY: u32 = 1;
+const WAITS_FOR_LOAD: u32 = 2;
+
+/// Number of memory values that `Stats` can hold beside the work.
+const STATS_MEMORY_STEPS: u64 = 4096;
+const STATS_MEMORY_STEP_MB: u64 = 4;
+const STATS_WORK_STEP_US: u64 = 1000;
+
+fn request_id(job: &str) -> Result<vw::RequestId, String> {
     let id = u64::from_str_radix(job, 16).ok().filter(|&n| format!("{n:016x}") == job);
     id.map(vw::RequestId).ok_or_else(|| format!("Job: {job:?} is not 16 hex digits"))
 }
@@ -191,14 +219,26 @@
     format!("{:016x}", id.0)
 }
 
-pub fn engines(kind: ListKind, lines: &[Line]) -> vw::Event {
+/// Splits `Stats` into the measured work and the memory in MB: the work in milliseconds times
+/// [`STATS_MEMORY_STEPS`], plus the memory in steps of [`STATS_MEMORY_STEP_MB`]. 0 means that neither is known.
+fn unpack_stats(stats: u64) -> (Option<vw::Micros>, Option<f64>) {
+    if stats == 0 {
+        return (None, None);
+    }
+    let work = (stats / STATS_MEMORY_STEPS).saturating_mul(STATS_WORK_STEP_US);
+    let memory_mb = (stats % STATS_MEMORY_STEPS * STATS_MEMORY_STEP_MB) as f64;
+    (Some(work), Some(memory_mb))
+}
+
+/// Builds the event that applies an engine list to a gateway.
+pub fn engines_event(kind: ListKind, lines: &[EngineLine]) -> vw::Event {
     let kind = match kind {
         ListKind::Incr => vw::ListKind::Changes,
         ListKind::Total => vw::ListKind::Whole,
         ListKind::WarmCopy => vw::ListKind::WarmCopy,
         ListKind::Lost => vw::ListKind::Lost,
     };
-    let entry = |line: &Line| vw::EngineEntry {
+    let entry = |line: &EngineLine| vw::EngineEntry {
         engine: engine_id(&line.node),
         came_up: line.came_up_us,
         weight: line.power_hint,
@@ -214,10 +254,11 @@
     vw::Event::Engines { kind, entries: lines.iter().map(entry).collect() }
 }
 
-/// Translates an event that needs nothing but itself; `None` for one that the interface has no use for.
-pub fn event(news: News) -> Result<Option<vw::Event>, String> {
-    Ok(Some(match news {
-        News::Req {
+/// Translates an event that depends on no state of the adapter; `None` for a note of an unknown code. The events that
+/// set up a gateway or its engine list depend on such state and are errors here.
+pub fn stateless_event(event: InputEvent) -> Result<Option<vw::Event>, String> {
+    Ok(Some(match event {
+        InputEvent::Req {
             job,
             client_group,
             cost_us,
@@ -228,7 +269,7 @@
             tier_class,
             due_us,
         } => vw::Event::Request(vw::Request {
-            id: request(&job)?,
+            id: request_id(&job)?,
             class: vw::ClassId(tier_class),
             tenant: vw::TenantId(client_group),
             cost: cost_us,
@@ -240,39 +281,45 @@
             pin: None,
             due: due_us,
         }),
-        News::Lapsed { job } => vw::Event::Lapsed(request(&job)?),
-        News::Streaming { job } => vw::Event::Streaming(request(&job)?),
-        News::HealthResult { node, reason, server_stats } => vw::Event::Probed {
+        InputEvent::Lapsed { job } => vw::Event::Lapsed(request_id(&job)?),
+        InputEvent::Streaming { job } => vw::Event::Streaming(request_id(&job)?),
+        InputEvent::HealthResult { node, reason, server_stats } => vw::Event::Probed {
             engine: engine_id(&node),
             ok: reason == "ok",
             load: load_from_stats(&server_stats),
         },
-        News::NoteFrom { neighbour, data } => vw::Event::Heard { from: vw::PeerId(neighbour), text: data },
-        News::Answer { job, send_no, reason, time_taken_us, complete, stats, server_stats } => {
+        InputEvent::NoteFrom { neighbour, data } => {
+            vw::Event::Heard { from: vw::PeerId(neighbour), text: data }
+        }
+        InputEvent::Answer { job, send_no, reason, time_taken_us, complete, stats, server_stats } => {
+            let (work, memory_mb) = unpack_stats(stats);
             vw::Event::Answer(vw::Answer {
-                id: request(&job)?,
+                id: request_id(&job)?,
                 attempt: send_no,
                 outcome: outcome(reason),
                 took: time_taken_us,
                 complete,
-                work: (stats > 0).then_some((stats / 4096).saturating_mul(1000)),
-                memory_mb: (stats > 0).then_some((stats % 4096 * 4) as f64),
+                work,
+                memory_mb,
                 load: load_from_stats(&server_stats),
             })
         }
-        News::Elapsed { handle } => vw::Event::Elapsed(handle),
-        News::Note { job, send_no, value, what } => {
+        InputEvent::Elapsed { handle } => vw::Event::Elapsed(handle),
+        InputEvent::Note { job, send_no, value, what } => {
             let note = match (what, value as u32) {
-                (1, _) => vw::Note::Progress(value),
-                (2, _) => vw::Note::Spills(value),
-                (3, 1) => vw::Note::WaitsForMemory,
-                (3, 2) => vw::Note::WaitsForLoad,
+                (NOTE_PROGRESS, _) => vw::Note::Progress(value),
+                (NOTE_SPILL, _) => vw::Note::Spills(value),
+                (NOTE_WAIT, WAITS_FOR_MEMORY) => vw::Note::WaitsForMemory,
+                (NOTE_WAIT, WAITS_FOR_LOAD) => vw::Note::WaitsForLoad,
                 _ => return Ok(None),
             };
-            vw::Event::Note { id: request(&job)?, attempt: send_no, note }
+            vw::Event::Note { id: request_id(&job)?, attempt: send_no, note }
         }
-        News::Configure { .. } | News::Teardown {} | News::List { .. } | News::Endpoints { .. } => {
-            return Err("event out of place".to_string())
+        InputEvent::Configure { .. }
+        | InputEvent::Teardown {}
+        | InputEvent::List { .. }
+        | InputEvent::Endpoints { .. } => {
+            return Err("an event that sets up a gateway cannot be translated on its own".to_string())
         }
     }))
 }
@@ -290,11 +337,11 @@
     }
 }
 
-/// Translates an action; `None` if it names an engine that the wire has not named.
-pub fn output(action: vw::Action, nodes: &BTreeMap<vw::EngineId, String>) -> Option<Output> {
+/// Translates an action; `None` if it concerns an engine that no list has named.
+pub fn output(action: vw::Action, addresses: &BTreeMap<vw::EngineId, String>) -> Option<Output> {
     Some(match action {
         vw::Action::Dispatch { id, engine, until } => {
-            Output::Dispatch { job: job(id), node: nodes.get(&engine)?.clone(), until_us: until }
+            Output::Dispatch { job: job(id), node: addresses.get(&engine)?.clone(), until_us: until }
         }
         vw::Action::Terms { id, memory_mb, rank } => {
             Output::GrantAndRank { job: job(id), memory: memory_mb, rank }
@@ -304,7 +351,7 @@
         }
         vw::Action::Fail(id) => Output::Abort { job: job(id) },
         vw::Action::Cancel { id, attempt } => Output::Cancel { job: job(id), send_no: attempt },
-        vw::Action::Probe(engine) => Output::SoundOut { node: nodes.get(&engine)?.clone() },
+        vw::Action::Probe(engine) => Output::SoundOut { node: addresses.get(&engine)?.clone() },
         vw::Action::Tell(text) => Output::Announce { dst: "all", data: text },
         vw::Action::Arm { handle, span } => Output::Arm { handle, span_us: span },
         vw::Action::Subscribe => Output::Tail { active: true },
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as a program: what it says to good and to malformed lines.
+//! Runs the adapter as a process and checks its replies to valid and to malformed lines.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -7,25 +7,28 @@
 "Worth":1}],"Contract":{"ColdFrom":0.3,"ColdUs":1,"FallMultiple":4,"TipAfterUs":1},"Limits":{"AttemptsCap":3},
 "FamilyInfo":{"SizeCores":[8],"MemoryByKindMb":[1000],"GrantCap":0.4,"GrantsCount":true},"QuantumUs":5000}"#;
 
-fn run(lines: &[String]) -> (bool, String, String) {
+/// Feeds the lines to an adapter and returns whether it succeeded, its standard output and its standard error.
+fn run_adapter(lines: &[String]) -> (bool, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_violetward-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may have ended at a malformed line before all is written.
+    // The adapter may exit at a malformed line before all input is written.
     let _ = child.stdin.take().expect("piped").write_all(lines.join("\n").as_bytes());
     let output = child.wait_with_output().expect("the adapter ends");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("UTF-8");
     (output.status.success(), text(output.stdout), text(output.stderr))
 }
 
-fn batch(news: &str) -> String {
-    format!(r#"{{"AtTimeUs":50,"gateways":[{{"I":3,"news":[{news}]}}]}}"#).replace('\n', "")
+/// One input line with events for gateway 3.
+fn batch(events: &str) -> String {
+    format!(r#"{{"AtTimeUs":50,"gateways":[{{"I":3,"news":[{events}]}}]}}"#).replace('\n', "")
 }
 
-fn start() -> String {
+/// The line that configures the gateway and gives it a list of one engine.
+fn setup() -> String {
     batch(&format!(
         r#"{{"cmd":"Configure","InitSeed":1,"BootInfo":{SETTINGS}}},
         {{"cmd":"List","Buffer":0,"Lines":[{{"Node":"10.0.0.1:50","Health":"up"}}]}},
@@ -34,19 +37,23 @@
 }
 
 #[test]
-fn a_request_is_dispatched_with_the_wires_names() {
+fn dispatch_carries_the_job_and_node_of_the_input() {
     let request = r#"{"cmd":"Req","Job":"22b1f2355d3a91c4","CostUs":9,"MemMb":10,"DueUs":5000000}"#;
-    let (ok, out, _) = run(&[start(), batch(request), r#"{"AtTimeUs":60,"gateways":[]}"#.to_string()]);
-    let lines: Vec<&str> = out.lines().collect();
-    assert!(ok);
+    let (success, stdout, _) =
+        run_adapter(&[setup(), batch(request), r#"{"AtTimeUs":60,"gateways":[]}"#.to_string()]);
+    let lines: Vec<&str> = stdout.lines().collect();
+    assert!(success);
     assert_eq!(lines.len(), 3);
-    assert!(lines[1].contains(r#""cmd":"Dispatch","Job":"22b1f2355d3a91c4","Node":"10.0.0.1:50""#), "{out}");
+    assert!(
+        lines[1].contains(r#""cmd":"Dispatch","Job":"22b1f2355d3a91c4","Node":"10.0.0.1:50""#),
+        "{stdout}"
+    );
     assert_eq!(lines[2], r#"{"gateways":[]}"#);
 }
 
 #[test]
-fn a_malformed_line_ends_it_with_one_plain_line() {
-    let bad = [
+fn malformed_line_ends_the_adapter_with_one_error_line() {
+    let malformed = [
         "{".to_string(),
         batch(r#"{"cmd":"Nonsense"}"#),
         batch(r#"{"cmd":"Req","Job":"22b1f2355d3a91c4"}"#),
@@ -54,19 +61,22 @@
         batch(r#"{"cmd":"Req","Job":7,"DueUs":5}"#),
         batch(r#"{"cmd":"Endpoints","Buffer":9,"Kind":"total","Rev":1}"#),
     ];
-    for line in bad {
-        let (ok, _, err) = run(&[start(), line.clone()]);
-        assert!(!ok, "{line}");
-        assert!(err.starts_with("violetward-adapter: line 2: ") && err.lines().count() == 1, "{err}");
+    for line in malformed {
+        let (success, _, stderr) = run_adapter(&[setup(), line.clone()]);
+        assert!(!success, "{line}");
+        assert!(
+            stderr.starts_with("violetward-adapter: line 2: ") && stderr.lines().count() == 1,
+            "{stderr}"
+        );
     }
 }
 
 #[test]
-fn notes_load_reports_and_settings_of_the_wire_are_taken_and_odd_ones_ignored() {
+fn notes_and_load_reports_are_accepted_and_unknown_codes_ignored() {
     let request = r#"{"cmd":"Req","Job":"22b1f2355d3a91c4","CostUs":9,"MemMb":10,"DueUs":5000000}"#;
     let note =
         |what: &str| format!(r#"{{"cmd":"Note","Job":"22b1f2355d3a91c4","Node":"10.0.0.1:50",{what}}}"#);
-    let good = [
+    let accepted = [
         note(r#""Value":0.5,"What":1"#),
         note(r#""Value":12,"What":2,"SendNo":7"#),
         note(r#""Value":1,"What":3"#),
@@ -76,11 +86,14 @@
             .to_string(),
     ];
     let lines: Vec<String> =
-        [start(), batch(request)].into_iter().chain(good.iter().map(|n| batch(n))).collect();
-    let (ok, out, err) = run(&lines);
-    assert!(ok && err.is_empty() && out.lines().count() == lines.len(), "{err}");
-    for bad in [r#""Value":"much","What":1"#, r#""Value":0.5"#, r#""Value":0.5,"What":-1"#] {
-        let (ok, _, err) = run(&[start(), batch(&note(bad))]);
-        assert!(!ok && err.starts_with("violetward-adapter: line 2: ") && err.lines().count() == 1, "{err}");
+        [setup(), batch(request)].into_iter().chain(accepted.iter().map(|n| batch(n))).collect();
+    let (success, stdout, stderr) = run_adapter(&lines);
+    assert!(success && stderr.is_empty() && stdout.lines().count() == lines.len(), "{stderr}");
+    for malformed in [r#""Value":"much","What":1"#, r#""Value":0.5"#, r#""Value":0.5,"What":-1"#] {
+        let (success, _, stderr) = run_adapter(&[setup(), batch(&note(malformed))]);
+        assert!(
+            !success && stderr.starts_with("violetward-adapter: line 2: ") && stderr.lines().count() == 1,
+            "{stderr}"
+        );
     }
 }
