--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,10 +1,14 @@
-//! A gateway with a few engines, fed by hand.
+//! A gateway under test with a few engines: tests feed it events one at a time and set its clock.
+// Each test file uses a part of these helpers.
 #![allow(dead_code)]
 
+use std::collections::BTreeMap;
+
 use violetward::*;
 
 pub const SECOND: Micros = 1_000_000;
 
+/// A class of light requests with this effect, without order, placement limits or loads.
 pub fn class(effect: Effect) -> Class {
     Class {
         aim: SECOND,
@@ -22,6 +26,7 @@
     }
 }
 
+/// Settings of a single gateway with one class, two equal kinds of machine, and neither tenants, probes nor a budget.
 pub fn settings(class: Class) -> Settings {
     Settings {
         me: PeerId(0),
@@ -56,7 +61,7 @@
     }
 }
 
-pub fn entry(engine: u64) -> EngineEntry {
+pub fn engine_entry(engine: u64) -> EngineEntry {
     EngineEntry {
         engine: EngineId(engine),
         came_up: 0,
@@ -68,66 +73,81 @@
     }
 }
 
-/// A gateway, its clock, what it last asked for and the timers it awaits.
-pub struct Bed {
-    pub gateway: Gateway,
+/// A gateway with its clock and pending timers. Time starts at 100 s and passes only where a test says so.
+pub struct TestGateway {
+    gateway: Gateway,
     pub now: Micros,
-    pub all: Vec<(Micros, Action)>,
+    /// All actions since the start, with their times.
+    pub history: Vec<(Micros, Action)>,
+    /// Due time and handle of each armed timer.
     timers: Vec<(Micros, u64)>,
-    attempts: std::collections::BTreeMap<RequestId, u32>,
+    /// Attempts dispatched so far, by request.
+    attempts: BTreeMap<RequestId, u32>,
 }
 
-impl Bed {
+impl TestGateway {
     pub fn new(settings: Settings, entries: Vec<EngineEntry>) -> Self {
-        Bed::seeded(settings, 1, entries)
+        TestGateway::seeded(settings, 1, entries)
+    }
+
+    /// A gateway with one class of this effect and the engines from 1 to `engines`.
+    pub fn with_engines(effect: Effect, engines: u64) -> Self {
+        TestGateway::new(settings(class(effect)), (1..=engines).map(engine_entry).collect())
     }
 
     pub fn seeded(settings: Settings, seed: u64, entries: Vec<EngineEntry>) -> Self {
-        let gateway = Gateway::new(settings, seed);
-        let now = 100 * SECOND;
-        let mut bed = Bed { gateway, now, all: vec![], timers: vec![], attempts: Default::default() };
-        bed.feed(Event::Engines { kind: ListKind::WarmCopy, entries });
-        bed
+        let mut gateway = TestGateway {
+            gateway: Gateway::new(settings, seed),
+            now: 100 * SECOND,
+            history: vec![],
+            timers: vec![],
+            attempts: BTreeMap::new(),
+        };
+        gateway.handle(Event::Engines { kind: ListKind::WarmCopy, entries });
+        gateway
     }
 
-    pub fn feed(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.gateway.handle(self.now, event, &mut out);
-        for action in &out {
+    /// Passes an event to the gateway now and returns its actions.
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
+        let mut actions = Vec::new();
+        self.gateway.handle(self.now, event, &mut actions);
+        for action in &actions {
             match action {
                 Action::Arm { handle, span } => self.timers.push((self.now + span, *handle)),
                 Action::Dispatch { id, .. } => *self.attempts.entry(*id).or_default() += 1,
                 _ => {}
             }
-            self.all.push((self.now, action.clone()));
+            self.history.push((self.now, action.clone()));
         }
-        out
+        actions
     }
 
-    /// Lets time pass; timers come when they are due.
-    pub fn pass(&mut self, span: Micros) -> Vec<Action> {
+    /// Moves the clock on by `span`, fires the timers that are due on the way and returns the actions of all of them.
+    pub fn advance(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         loop {
             self.timers.sort();
             match self.timers.first().copied() {
-                Some((at, handle)) if at <= end => {
+                Some((due, handle)) if due <= end => {
                     self.timers.remove(0);
-                    self.now = at;
-                    out.extend(self.feed(Event::Elapsed(handle)));
+                    self.now = due;
+                    actions.extend(self.handle(Event::Elapsed(handle)));
                 }
                 _ => break,
             }
         }
         self.now = end;
-        out
+        actions
     }
 
-    pub fn ask(&mut self, id: u64) -> Vec<Action> {
-        self.ask_with(id, |_| {})
+    /// Sends a request of 0.1 s of work whose client waits for 5 s.
+    pub fn request(&mut self, id: u64) -> Vec<Action> {
+        self.request_with(id, |_| {})
     }
 
-    pub fn ask_with(&mut self, id: u64, change: impl FnOnce(&mut Request)) -> Vec<Action> {
+    /// Sends a request like [`TestGateway::request`], changed by `change`.
+    pub fn request_with(&mut self, id: u64, change: impl FnOnce(&mut Request)) -> Vec<Action> {
         let mut request = Request {
             id: RequestId(id),
             class: ClassId(0),
@@ -142,14 +162,14 @@
             due: self.now + 5 * SECOND,
         };
         change(&mut request);
-        self.feed(Event::Request(request))
+        self.handle(Event::Request(request))
     }
 
-    /// Answers the last attempt of a request.
+    /// Ends the last attempt of a request with `outcome`, 0.1 s after it was sent.
     pub fn answer(&mut self, id: u64, outcome: Outcome) -> Vec<Action> {
         let attempt = self.attempts.get(&RequestId(id)).map_or(0, |n| n - 1);
         let ok = outcome == Outcome::Ok;
-        self.feed(Event::Answer(Answer {
+        self.handle(Event::Answer(Answer {
             id: RequestId(id),
             attempt,
             outcome,
@@ -160,20 +180,41 @@
             load: Load::default(),
         }))
     }
+
+    /// All actions since the start.
+    pub fn actions(&self) -> Vec<Action> {
+        self.history.iter().map(|(_, action)| action.clone()).collect()
+    }
+
+    /// The log lines since the start.
+    pub fn log_lines(&self) -> Vec<&str> {
+        let lines = self.history.iter().filter_map(|(_, action)| match action {
+            Action::Log(line) => Some(line.as_str()),
+            _ => None,
+        });
+        lines.collect()
+    }
+
+    /// Whether a log line contains `text`.
+    pub fn has_logged(&self, text: &str) -> bool {
+        self.log_lines().iter().any(|line| line.contains(text))
+    }
 }
 
-pub fn sent(actions: &[Action]) -> Vec<(u64, u64)> {
-    let pick = |a: &Action| match a {
+/// The request and the engine of each dispatch.
+pub fn dispatches(actions: &[Action]) -> Vec<(u64, u64)> {
+    let dispatch = |action: &Action| match action {
         Action::Dispatch { id, engine, .. } => Some((id.0, engine.0)),
         _ => None,
     };
-    actions.iter().filter_map(pick).collect()
+    actions.iter().filter_map(dispatch).collect()
 }
 
-pub fn refused(actions: &[Action], id: u64) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { id: RequestId(r), .. } if *r == id))
+pub fn is_refused(actions: &[Action], id: u64) -> bool {
+    let refuses = |action: &Action| matches!(action, Action::Refuse { id: refused, .. } if refused.0 == id);
+    actions.iter().any(refuses)
 }
 
-pub fn failed(actions: &[Action], id: u64) -> bool {
+pub fn is_failed(actions: &[Action], id: u64) -> bool {
     actions.contains(&Action::Fail(RequestId(id)))
 }
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -4,81 +4,82 @@
 use common::*;
 use violetward::*;
 
-fn bed(engines: u64) -> Bed {
-    Bed::new(settings(class(Effect::Repeatable)), (1..=engines).map(entry).collect())
+fn gateway_with(engines: u64) -> TestGateway {
+    TestGateway::new(settings(class(Effect::Repeatable)), (1..=engines).map(engine_entry).collect())
 }
 
 /// Sends `n` requests one after another and answers each with what `outcome` says of its engine.
-fn play(bed: &mut Bed, from: u64, n: u64, outcome: impl Fn(u64) -> Outcome) -> Vec<u64> {
+fn play(gateway: &mut TestGateway, from: u64, n: u64, outcome: impl Fn(u64) -> Outcome) -> Vec<u64> {
     let mut engines = Vec::new();
     for id in from..from + n {
-        let mut actions = bed.ask(id);
-        while let Some(&(_, engine)) = sent(&actions).iter().find(|s| s.0 == id) {
+        let mut actions = gateway.request(id);
+        while let Some(&(_, engine)) = dispatches(&actions).iter().find(|s| s.0 == id) {
             engines.push(engine);
-            bed.now += 50_000;
-            actions = bed.answer(id, outcome(engine));
+            gateway.now += 50_000;
+            actions = gateway.answer(id, outcome(engine));
         }
-        bed.pass(50_000);
+        gateway.advance(50_000);
     }
     engines
 }
 
 #[test]
 fn an_engine_that_fails_fast_draws_no_more_queries() {
-    let mut bed = bed(4);
-    play(&mut bed, 0, 40, |e| if e == 2 { Outcome::Error } else { Outcome::Ok });
-    let late = play(&mut bed, 100, 20, |_| Outcome::Ok);
-    let early = bed.all.iter().filter(|(_, a)| matches!(a, Action::Log(t) if t.contains("fails"))).count();
+    let mut gateway = gateway_with(4);
+    play(&mut gateway, 0, 40, |e| if e == 2 { Outcome::Error } else { Outcome::Ok });
+    let late = play(&mut gateway, 100, 20, |_| Outcome::Ok);
+    let early =
+        gateway.history.iter().filter(|(_, a)| matches!(a, Action::Log(t) if t.contains("fails"))).count();
     assert!(early >= 1 && late.iter().filter(|&&e| e == 2).count() <= 10);
 }
 
 #[test]
 fn trouble_shared_by_all_engines_condemns_none() {
-    let mut bed = bed(4);
+    let mut gateway = gateway_with(4);
     for id in 0..8 {
-        bed.ask(id);
+        gateway.request(id);
     }
-    let actions = bed.pass(4 * SECOND);
+    let actions = gateway.advance(4 * SECOND);
     assert!(!actions.iter().any(|a| matches!(a, Action::Log(_))));
 }
 
 #[test]
 fn an_engine_that_answers_nothing_is_left_alone() {
-    let mut bed = bed(4);
+    let mut gateway = gateway_with(4);
     let mut silent = Vec::new();
     for id in 0..60 {
-        for (id, engine) in sent(&bed.ask_with(id, |r| r.group = GroupId(id))) {
+        for (id, engine) in dispatches(&gateway.request_with(id, |r| r.group = GroupId(id))) {
             if engine != 3 {
-                bed.answer(id, Outcome::Ok);
+                gateway.answer(id, Outcome::Ok);
             } else {
-                silent.push(bed.now);
+                silent.push(gateway.now);
             }
         }
-        bed.pass(100_000);
+        gateway.advance(100_000);
     }
-    assert!(bed.all.iter().any(|(_, a)| matches!(a, Action::Log(t) if t.contains("no answers"))));
+    assert!(gateway.has_logged("no answers"));
     assert!(silent.iter().filter(|&&at| at > 102 * SECOND).count() <= 8);
 }
 
 #[test]
 fn one_overdue_query_among_answered_ones_condemns_nothing() {
-    let mut bed = bed(1);
-    bed.ask(1);
+    let mut gateway = gateway_with(1);
+    gateway.request(1);
     for id in 2..40 {
-        if !sent(&bed.ask(id)).is_empty() {
-            bed.answer(id, Outcome::Ok);
+        if !dispatches(&gateway.request(id)).is_empty() {
+            gateway.answer(id, Outcome::Ok);
         }
-        bed.pass(100_000);
+        gateway.advance(100_000);
     }
-    assert!(!bed.all.iter().any(|(_, a)| matches!(a, Action::Log(_))));
+    assert!(gateway.log_lines().is_empty());
 }
 
 #[test]
 fn one_bad_plan_does_not_turn_light_queries_away() {
-    let mut bed = bed(1);
-    play(&mut bed, 0, 30, |_| Outcome::Ok);
-    bed.ask(100);
-    bed.feed(Event::Answer(Answer {
+    let mut gateway = gateway_with(1);
+    play(&mut gateway, 0, 30, |_| Outcome::Ok);
+    gateway.request(100);
+    gateway.handle(Event::Answer(Answer {
         id: RequestId(100),
         attempt: 0,
         outcome: Outcome::Ok,
@@ -88,9 +89,9 @@
         memory_mb: None,
         load: Load::default(),
     }));
-    bed.pass(SECOND);
-    assert_eq!(sent(&bed.ask(101)).len(), 1);
-    assert_eq!(sent(&bed.ask(102)).len(), 1);
+    gateway.advance(SECOND);
+    assert_eq!(dispatches(&gateway.request(101)).len(), 1);
+    assert_eq!(dispatches(&gateway.request(102)).len(), 1);
 }
 
 #[test]
@@ -98,21 +99,21 @@
     let mut s = settings(class(Effect::Repeatable));
     s.may_cancel = false;
     s.attempts_cap = 1;
-    let mut bed = Bed::new(s, vec![entry(1)]);
+    let mut gateway = TestGateway::new(s, vec![engine_entry(1)]);
     let ids: Vec<u64> = (0..6).collect();
-    let out: usize = ids.iter().map(|&id| sent(&bed.ask(id)).len()).sum();
+    let out: usize = ids.iter().map(|&id| dispatches(&gateway.request(id)).len()).sum();
     assert_eq!(out, 6);
-    let after: Vec<Action> = ids.iter().flat_map(|&id| bed.answer(id, Outcome::Timeout)).collect();
-    assert!(sent(&after).is_empty());
-    assert!(sent(&bed.ask(50)).is_empty(), "six threads may still run");
-    assert_eq!(sent(&bed.pass(SECOND)).len(), 1);
+    let after: Vec<Action> = ids.iter().flat_map(|&id| gateway.answer(id, Outcome::Timeout)).collect();
+    assert!(dispatches(&after).is_empty());
+    assert!(dispatches(&gateway.request(50)).is_empty(), "six threads may still run");
+    assert_eq!(dispatches(&gateway.advance(SECOND)).len(), 1);
 }
 
 #[test]
 fn an_empty_list_or_one_that_drains_gives_timely_refusals() {
-    for entries in [vec![], vec![EngineEntry { listed: Listed::Draining, ..entry(1) }]] {
-        let mut bed = Bed::new(settings(class(Effect::Once)), entries);
-        assert!(refused(&bed.ask(1), 1));
+    for entries in [vec![], vec![EngineEntry { listed: Listed::Draining, ..engine_entry(1) }]] {
+        let mut gateway = TestGateway::new(settings(class(Effect::Once)), entries);
+        assert!(is_refused(&gateway.request(1), 1));
     }
 }
 
@@ -125,51 +126,53 @@
     s.classes[0].aim_stretch = f64::INFINITY;
     s.fall_multiple = f64::MAX;
     s.tenants = vec![Tenant { quota_per_s: 0.0 }];
-    let mut bed = Bed::new(s, vec![EngineEntry { weight: 0.0, kind: KindId(9), ..entry(1) }]);
+    let mut gateway =
+        TestGateway::new(s, vec![EngineEntry { weight: 0.0, kind: KindId(9), ..engine_entry(1) }]);
     for (id, cost) in [(1, 0), (2, u64::MAX), (3, 1)] {
-        bed.ask_with(id, |r| (r.cost, r.memory_mb) = (cost, f64::MAX));
+        gateway.request_with(id, |r| (r.cost, r.memory_mb) = (cost, f64::MAX));
     }
-    bed.ask_with(4, |r| r.due = u64::MAX);
-    bed.ask_with(5, |r| r.class = ClassId(77));
-    bed.pass(6 * SECOND);
+    gateway.request_with(4, |r| r.due = u64::MAX);
+    gateway.request_with(5, |r| r.class = ClassId(77));
+    gateway.advance(6 * SECOND);
     let finite = |a: &Action| !matches!(a, Action::Terms { memory_mb, .. } if !memory_mb.is_finite());
-    assert!(bed.all.iter().all(|(_, a)| finite(a)));
-    assert!(bed.all.iter().any(|(_, a)| matches!(a, Action::Dispatch { .. })));
+    assert!(gateway.history.iter().all(|(_, a)| finite(a)));
+    assert!(gateway.history.iter().any(|(_, a)| matches!(a, Action::Dispatch { .. })));
 }
 
 #[test]
 fn unknown_late_and_repeated_events_are_ignored() {
-    let mut bed = bed(2);
+    let mut gateway = gateway_with(2);
     for event in [Event::Lapsed(RequestId(9)), Event::Streaming(RequestId(9)), Event::Elapsed(99)] {
-        assert!(bed.feed(event).is_empty());
+        assert!(gateway.handle(event).is_empty());
     }
-    assert!(bed.answer(9, Outcome::Ok).is_empty());
+    assert!(gateway.answer(9, Outcome::Ok).is_empty());
     let probed = Event::Probed { engine: EngineId(7), ok: false, load: Load::default() };
-    assert!(bed.feed(probed).is_empty());
-    bed.ask(1);
-    bed.answer(1, Outcome::Ok);
-    assert!(bed.answer(1, Outcome::Error).is_empty());
+    assert!(gateway.handle(probed).is_empty());
+    gateway.request(1);
+    gateway.answer(1, Outcome::Ok);
+    assert!(gateway.answer(1, Outcome::Error).is_empty());
 }
 
 #[test]
 fn the_same_events_give_the_same_actions() {
     let run = || {
-        let mut bed = bed(3);
-        play(&mut bed, 0, 50, |e| if e == 1 { Outcome::Error } else { Outcome::Ok });
-        bed.all
+        let mut gateway = gateway_with(3);
+        play(&mut gateway, 0, 50, |e| if e == 1 { Outcome::Error } else { Outcome::Ok });
+        gateway.history
     };
     assert_eq!(run(), run());
 }
 
 #[test]
 fn light_queries_leave_the_line_before_later_deadlines() {
-    let mut bed = bed(1);
+    let mut gateway = gateway_with(1);
     for id in 0..6 {
-        bed.ask(id);
+        gateway.request(id);
     }
-    bed.ask_with(10, |r| r.cost = 300_000);
-    bed.ask_with(11, |r| r.cost = 50_000);
-    let order: Vec<u64> = (0..6).flat_map(|id| sent(&bed.answer(id, Outcome::Ok))).map(|s| s.0).collect();
+    gateway.request_with(10, |r| r.cost = 300_000);
+    gateway.request_with(11, |r| r.cost = 50_000);
+    let order: Vec<u64> =
+        (0..6).flat_map(|id| dispatches(&gateway.answer(id, Outcome::Ok))).map(|s| s.0).collect();
     assert_eq!(order, [11, 10]);
 }
 
@@ -177,54 +180,54 @@
 fn a_gateway_asks_for_the_list_where_it_must() {
     let mut s = settings(class(Effect::Repeatable));
     s.ask_within = Some(9 * SECOND);
-    let mut bed = Bed::new(s, vec![entry(1)]);
-    assert!(bed.all.iter().any(|(_, a)| *a == Action::Subscribe));
-    bed.pass(10 * SECOND);
-    assert!(bed.all.iter().filter(|(_, a)| *a == Action::FetchList).count() >= 3);
+    let mut gateway = TestGateway::new(s, vec![engine_entry(1)]);
+    assert!(gateway.history.iter().any(|(_, a)| *a == Action::Subscribe));
+    gateway.advance(10 * SECOND);
+    assert!(gateway.history.iter().filter(|(_, a)| *a == Action::FetchList).count() >= 3);
 }
 
 #[test]
 fn what_is_late_in_its_line_waits_behind_what_is_in_time() {
-    let mut bed = bed(1);
+    let mut gateway = gateway_with(1);
     for id in 0..6 {
-        assert_eq!(sent(&bed.ask(id)).len(), 1);
+        assert_eq!(dispatches(&gateway.request(id)).len(), 1);
     }
-    assert!(sent(&bed.ask(10)).is_empty());
-    bed.pass(SECOND * 13 / 10);
-    assert!(sent(&bed.ask(11)).is_empty());
-    assert_eq!(sent(&bed.answer(0, Outcome::Ok)).first(), Some(&(11, 1)));
+    assert!(dispatches(&gateway.request(10)).is_empty());
+    gateway.advance(SECOND * 13 / 10);
+    assert!(dispatches(&gateway.request(11)).is_empty());
+    assert_eq!(dispatches(&gateway.answer(0, Outcome::Ok)).first(), Some(&(11, 1)));
 }
 
 #[test]
 fn failures_that_all_engines_share_condemn_none() {
-    let mut bed = bed(4);
+    let mut gateway = gateway_with(4);
     for id in 0..8 {
-        bed.ask_with(id, |r| r.group = GroupId(id));
+        gateway.request_with(id, |r| r.group = GroupId(id));
     }
     for id in 0..8 {
-        bed.answer(id, Outcome::Error);
+        gateway.answer(id, Outcome::Error);
     }
-    assert!(!bed.all.iter().any(|(_, a)| matches!(a, Action::Log(_))));
+    assert!(gateway.log_lines().is_empty());
 }
 
 /// One of many gateways over thirty engines, with a light class and a heavy one of four threads.
-fn one_of_many(me: u64, gateways: u32, engines: Vec<EngineEntry>) -> Bed {
+fn one_of_many(me: u64, gateways: u32, engines: Vec<EngineEntry>) -> TestGateway {
     let heavy = Class { threads: 4, worth: 4.0, ..class(Effect::Repeatable) };
     let mut s = settings(class(Effect::Repeatable));
     s.me = PeerId(me);
     s.gateways = gateways;
     s.classes.push(heavy);
-    Bed::new(s, engines)
+    TestGateway::new(s, engines)
 }
 
 #[test]
 fn a_small_share_of_the_fleet_bounds_what_is_started_on_all_engines() {
-    let mut bed = one_of_many(0, 150, (1..=30).map(entry).collect());
+    let mut gateway = one_of_many(0, 150, (1..=30).map(engine_entry).collect());
     let heavy = |r: &mut Request| (r.class, r.cost) = (ClassId(1), 4_000_000);
-    let out: usize = (0..30).map(|id| sent(&bed.ask_with(id, heavy)).len()).sum();
+    let out: usize = (0..30).map(|id| dispatches(&gateway.request_with(id, heavy)).len()).sum();
     assert_eq!(out, 1, "thirty idle engines, but a share worth one query");
     assert_eq!(
-        sent(&bed.ask_with(100, |r| r.cost = 20_000)).len(),
+        dispatches(&gateway.request_with(100, |r| r.cost = 20_000)).len(),
         1,
         "a light query is not turned away for it"
     );
@@ -232,33 +235,33 @@
 
 #[test]
 fn the_fleet_bound_leaves_a_lone_gateway_all_engines() {
-    let mut bed = one_of_many(0, 1, (1..=30).map(entry).collect());
+    let mut gateway = one_of_many(0, 1, (1..=30).map(engine_entry).collect());
     let heavy = |r: &mut Request| (r.class, r.cost) = (ClassId(1), 4_000_000);
-    let out: usize = (0..15).map(|id| sent(&bed.ask_with(id, heavy)).len()).sum();
+    let out: usize = (0..15).map(|id| dispatches(&gateway.request_with(id, heavy)).len()).sum();
     assert_eq!(out, 15);
 }
 
 #[test]
 fn a_cold_engine_gets_light_work_from_many_gateways_within_its_budget() {
     let (gateways, cost) = (150, 100_000);
-    let cold = EngineEntry { came_up: 101 * SECOND, ..entry(2) };
+    let cold = EngineEntry { came_up: 101 * SECOND, ..engine_entry(2) };
     let mut at: Vec<Micros> = Vec::new();
     for me in 0..u64::from(gateways) {
-        let mut bed = one_of_many(me, gateways, vec![entry(1)]);
+        let mut gateway = one_of_many(me, gateways, vec![engine_entry(1)]);
         let light = |r: &mut Request| r.cost = cost;
         for id in 0..10 {
-            bed.ask_with(id, light);
-            bed.answer(id, Outcome::Ok);
-            bed.pass(100_000);
+            gateway.request_with(id, light);
+            gateway.answer(id, Outcome::Ok);
+            gateway.advance(100_000);
         }
-        let gone = EngineEntry { listed: Listed::Draining, ..entry(1) };
-        bed.feed(Event::Engines { kind: ListKind::Changes, entries: vec![gone, cold.clone()] });
+        let gone = EngineEntry { listed: Listed::Draining, ..engine_entry(1) };
+        gateway.handle(Event::Engines { kind: ListKind::Changes, entries: vec![gone, cold.clone()] });
         for id in 100..150 {
-            for (id, engine) in sent(&bed.ask_with(id, light)) {
-                at.extend((engine == 2).then_some(bed.now));
-                bed.answer(id, Outcome::Ok);
+            for (id, engine) in dispatches(&gateway.request_with(id, light)) {
+                at.extend((engine == 2).then_some(gateway.now));
+                gateway.answer(id, Outcome::Ok);
             }
-            bed.pass(200_000);
+            gateway.advance(200_000);
         }
     }
     let budget = 4.0 * 4.0 * 0.3 * SECOND as f64;
@@ -270,21 +273,21 @@
 
 #[test]
 fn an_engine_left_alone_is_tried_again_though_nothing_waits_in_any_line() {
-    let mut bed = one_of_many(0, 150, (1..=4).map(entry).collect());
-    let first = sent(&bed.ask(90))[0].1;
-    bed.answer(90, Outcome::Ok);
-    play(&mut bed, 0, 60, |e| if e == first { Outcome::Error } else { Outcome::Ok });
-    assert!(bed.all.iter().any(|(_, a)| matches!(a, Action::Log(t) if t.contains("left alone"))));
-    play(&mut bed, 100, 150, |_| Outcome::Ok);
-    assert!(bed.all.iter().any(|(_, a)| matches!(a, Action::Log(t) if t.contains("used again"))));
+    let mut gateway = one_of_many(0, 150, (1..=4).map(engine_entry).collect());
+    let first = dispatches(&gateway.request(90))[0].1;
+    gateway.answer(90, Outcome::Ok);
+    play(&mut gateway, 0, 60, |e| if e == first { Outcome::Error } else { Outcome::Ok });
+    assert!(gateway.has_logged("left alone"));
+    play(&mut gateway, 100, 150, |_| Outcome::Ok);
+    assert!(gateway.has_logged("used again"));
 }
 
 #[test]
 fn a_full_engine_draws_less_though_it_turns_away_at_once() {
-    let mut bed = one_of_many(0, 150, (1..=4).map(entry).collect());
-    let first = sent(&bed.ask(90))[0].1;
-    bed.answer(90, Outcome::Ok);
-    let engines = play(&mut bed, 0, 80, |e| if e == first { Outcome::Full } else { Outcome::Ok });
+    let mut gateway = one_of_many(0, 150, (1..=4).map(engine_entry).collect());
+    let first = dispatches(&gateway.request(90))[0].1;
+    gateway.answer(90, Outcome::Ok);
+    let engines = play(&mut gateway, 0, 80, |e| if e == first { Outcome::Full } else { Outcome::Ok });
     let full = engines.iter().filter(|&&e| e == first).count();
     assert!((1..=8).contains(&full), "{full} of {} attempts", engines.len());
 }
@@ -294,20 +297,20 @@
     let light = |r: &mut Request| r.cost = 100_000;
     let mut trials = 0;
     for me in 0..150 {
-        let mut bed = one_of_many(me, 150, (1..=2).map(entry).collect());
+        let mut gateway = one_of_many(me, 150, (1..=2).map(engine_entry).collect());
         for id in 0..20 {
-            bed.ask_with(id, light);
-            bed.answer(id, Outcome::Ok);
-            bed.pass(100_000);
+            gateway.request_with(id, light);
+            gateway.answer(id, Outcome::Ok);
+            gateway.advance(100_000);
         }
-        let first = sent(&bed.ask_with(50, light))[0].1;
-        bed.answer(50, Outcome::ConnectFailed);
-        bed.pass(SECOND);
+        let first = dispatches(&gateway.request_with(50, light))[0].1;
+        gateway.answer(50, Outcome::ConnectFailed);
+        gateway.advance(SECOND);
         for id in 100..110 {
-            let actions = bed.ask_with(id, light);
-            trials += sent(&actions).iter().filter(|s| s.1 == first).count();
-            bed.answer(id, Outcome::Ok);
-            bed.pass(100_000);
+            let actions = gateway.request_with(id, light);
+            trials += dispatches(&actions).iter().filter(|s| s.1 == first).count();
+            gateway.answer(id, Outcome::Ok);
+            gateway.advance(100_000);
         }
     }
     // All gateways together: 4 × 0.3 × 4 cores × 1 s in any second is 48 light queries.
@@ -315,28 +318,28 @@
 }
 
 /// A gateway that hears of its attempts every half second, over two engines.
-fn with_notes(change: impl FnOnce(&mut Settings)) -> Bed {
+fn with_notes(change: impl FnOnce(&mut Settings)) -> TestGateway {
     let mut s = settings(class(Effect::Repeatable));
     s.note_period = Some(SECOND / 2);
     change(&mut s);
-    Bed::new(s, vec![entry(1), entry(2)])
+    TestGateway::new(s, vec![engine_entry(1), engine_entry(2)])
 }
 
-fn note(bed: &mut Bed, id: u64, attempt: u32, note: Note) -> Vec<Action> {
-    bed.feed(Event::Note { id: RequestId(id), attempt, note })
+fn note(gateway: &mut TestGateway, id: u64, attempt: u32, note: Note) -> Vec<Action> {
+    gateway.handle(Event::Note { id: RequestId(id), attempt, note })
 }
 
 #[test]
 fn a_bad_plan_gives_way_to_a_fresh_attempt_elsewhere() {
-    let mut bed = with_notes(|_| {});
-    let first = sent(&bed.ask_with(1, |r| r.cost = 300_000))[0].1;
-    bed.pass(SECOND / 2);
-    let actions = note(&mut bed, 1, 0, Note::Progress(0.05));
+    let mut gateway = with_notes(|_| {});
+    let first = dispatches(&gateway.request_with(1, |r| r.cost = 300_000))[0].1;
+    gateway.advance(SECOND / 2);
+    let actions = note(&mut gateway, 1, 0, Note::Progress(0.05));
     assert_eq!(actions, [Action::Cancel { id: RequestId(1), attempt: 0 }]);
-    assert!(note(&mut bed, 1, 0, Note::Progress(0.06)).is_empty(), "withdrawn once");
-    assert_eq!(sent(&bed.answer(1, Outcome::Cancelled)), [(1, 3 - first)]);
-    bed.pass(SECOND / 5);
-    assert!(note(&mut bed, 1, 1, Note::Progress(0.6)).is_empty(), "this one gets on");
+    assert!(note(&mut gateway, 1, 0, Note::Progress(0.06)).is_empty(), "withdrawn once");
+    assert_eq!(dispatches(&gateway.answer(1, Outcome::Cancelled)), [(1, 3 - first)]);
+    gateway.advance(SECOND / 5);
+    assert!(note(&mut gateway, 1, 1, Note::Progress(0.6)).is_empty(), "this one gets on");
 }
 
 #[test]
@@ -347,49 +350,52 @@
         |s| s.budget = Some(AttemptBudget { free: 0.0, per_request: 0.0, window: SECOND }),
     ];
     for change in changes {
-        let mut bed = with_notes(change);
-        bed.ask_with(1, |r| r.cost = 300_000);
-        bed.pass(SECOND / 2);
-        assert!(note(&mut bed, 1, 0, Note::Progress(0.12)).is_empty());
+        let mut gateway = with_notes(change);
+        gateway.request_with(1, |r| r.cost = 300_000);
+        gateway.advance(SECOND / 2);
+        assert!(note(&mut gateway, 1, 0, Note::Progress(0.12)).is_empty());
     }
 }
 
 #[test]
 fn an_attempt_that_can_not_end_in_time_is_ended_at_once() {
-    let mut bed = with_notes(|s| s.attempts_cap = 1);
-    bed.ask_with(1, |r| r.cost = 300_000);
-    bed.pass(SECOND / 2);
-    let actions = note(&mut bed, 1, 0, Note::Progress(0.02));
-    assert!(refused(&actions, 1) && actions.contains(&Action::Cancel { id: RequestId(1), attempt: 0 }));
+    let mut gateway = with_notes(|s| s.attempts_cap = 1);
+    gateway.request_with(1, |r| r.cost = 300_000);
+    gateway.advance(SECOND / 2);
+    let actions = note(&mut gateway, 1, 0, Note::Progress(0.02));
+    assert!(is_refused(&actions, 1) && actions.contains(&Action::Cancel { id: RequestId(1), attempt: 0 }));
 }
 
 #[test]
 fn a_query_in_an_engines_line_for_memory_moves_and_the_engine_is_avoided() {
-    let mut bed = with_notes(|s| s.gateways = 100);
-    let first = sent(&bed.ask(1))[0].1;
-    assert_eq!(note(&mut bed, 1, 0, Note::WaitsForMemory).len(), 1);
-    assert_eq!(sent(&bed.answer(1, Outcome::Cancelled)), [(1, 3 - first)]);
-    bed.answer(1, Outcome::Ok);
-    assert_eq!(sent(&bed.ask(4)), [(4, 3 - first)], "its warm engine is short of memory");
+    let mut gateway = with_notes(|s| s.gateways = 100);
+    let first = dispatches(&gateway.request(1))[0].1;
+    assert_eq!(note(&mut gateway, 1, 0, Note::WaitsForMemory).len(), 1);
+    assert_eq!(dispatches(&gateway.answer(1, Outcome::Cancelled)), [(1, 3 - first)]);
+    gateway.answer(1, Outcome::Ok);
+    assert_eq!(dispatches(&gateway.request(4)), [(4, 3 - first)], "its warm engine is short of memory");
 }
 
 #[test]
 fn a_query_that_a_load_holds_up_moves() {
-    let mut bed = with_notes(|_| {});
-    bed.ask(1);
-    assert_eq!(note(&mut bed, 1, 0, Note::WaitsForLoad), [Action::Cancel { id: RequestId(1), attempt: 0 }]);
+    let mut gateway = with_notes(|_| {});
+    gateway.request(1);
+    assert_eq!(
+        note(&mut gateway, 1, 0, Note::WaitsForLoad),
+        [Action::Cancel { id: RequestId(1), attempt: 0 }]
+    );
 }
 
 /// Whether an engine is left alone 1.4 s after a long query was sent there, with these notes.
-fn condemned(bed: &mut Bed, notes: &[Note]) -> bool {
-    bed.ask_with(1, |r| r.cost = 900_000);
+fn condemned(gateway: &mut TestGateway, notes: &[Note]) -> bool {
+    gateway.request_with(1, |r| r.cost = 900_000);
     for n in 0..7 {
-        bed.pass(SECOND / 5);
+        gateway.advance(SECOND / 5);
         if let Some(&n) = notes.get(n) {
-            note(bed, 1, 0, n);
+            note(gateway, 1, 0, n);
         }
     }
-    bed.all.iter().any(|(_, a)| matches!(a, Action::Log(t) if t.contains("no answers")))
+    gateway.has_logged("no answers")
 }
 
 #[test]
@@ -404,18 +410,18 @@
 #[test]
 fn our_own_stall_condemns_no_engine() {
     for stalls in [false, true] {
-        let mut bed = with_notes(|_| {});
-        bed.ask_with(1, |r| r.cost = 900_000);
-        bed.pass(SECOND / 10);
+        let mut gateway = with_notes(|_| {});
+        gateway.request_with(1, |r| r.cost = 900_000);
+        gateway.advance(SECOND / 10);
         if stalls {
-            bed.now += 2 * SECOND;
-            bed.feed(Event::Elapsed(0));
+            gateway.now += 2 * SECOND;
+            gateway.handle(Event::Elapsed(0));
         }
-        let until = bed.now + SECOND * 13 / 10 - if stalls { SECOND / 10 } else { 0 };
-        while bed.now < until {
-            bed.pass(SECOND / 20);
+        let until = gateway.now + SECOND * 13 / 10 - if stalls { SECOND / 10 } else { 0 };
+        while gateway.now < until {
+            gateway.advance(SECOND / 20);
         }
-        let left = bed.all.iter().any(|(_, a)| matches!(a, Action::Log(t) if t.contains("no answers")));
+        let left = gateway.has_logged("no answers");
         assert_eq!(left, !stalls, "stalled: {stalls}");
     }
 }
@@ -425,11 +431,11 @@
     let mut s = settings(class(Effect::Repeatable));
     s.tells_cost = false;
     let most_out = |slow: bool| {
-        let mut bed = Bed::new(s.clone(), vec![entry(1)]);
+        let mut gateway = TestGateway::new(s.clone(), vec![engine_entry(1)]);
         for id in 0..120 {
-            if !sent(&bed.ask(id)).is_empty() {
+            if !dispatches(&gateway.request(id)).is_empty() {
                 let took = if slow && id >= 30 { 600_000 } else { 100_000 };
-                bed.feed(Event::Answer(Answer {
+                gateway.handle(Event::Answer(Answer {
                     id: RequestId(id),
                     attempt: 0,
                     outcome: Outcome::Ok,
@@ -440,9 +446,11 @@
                     load: Load::default(),
                 }));
             }
-            bed.pass(200_000);
+            gateway.advance(200_000);
         }
-        (200..240).map(|id| sent(&bed.ask_with(id, |r| r.due += 60 * SECOND)).len()).sum::<usize>()
+        (200..240)
+            .map(|id| dispatches(&gateway.request_with(id, |r| r.due += 60 * SECOND)).len())
+            .sum::<usize>()
     };
     let (usual, slow) = (most_out(false), most_out(true));
     assert!(slow < usual, "{slow} in flight at a slow engine, {usual} at a quick one");
@@ -453,8 +461,8 @@
     let probes = |reports| {
         let mut s = settings(class(Effect::Repeatable));
         (s.may_probe, s.load_reports) = (true, reports);
-        let mut bed = Bed::new(s, (1..=4).map(entry).collect());
-        let actions: Vec<Action> = (0..3).flat_map(|id| bed.ask(id)).collect();
+        let mut gateway = TestGateway::new(s, (1..=4).map(engine_entry).collect());
+        let actions: Vec<Action> = (0..3).flat_map(|id| gateway.request(id)).collect();
         let probed = |a: &Action| if let Action::Probe(e) = a { Some(e.0) } else { None };
         actions.iter().filter_map(probed).collect::<std::collections::BTreeSet<u64>>().len()
     };
@@ -466,16 +474,16 @@
 fn what_is_in_flight_shows_an_overrun_engine_that_reports_busy_cores_like_others() {
     let mut s = settings(class(Effect::Repeatable));
     (s.may_probe, s.load_reports, s.gateways) = (true, LoadReports::WithProbes, 100);
-    let mut bed = Bed::new(s, vec![entry(1), entry(2)]);
-    bed.ask(0);
-    bed.ask(1);
+    let mut gateway = TestGateway::new(s, vec![engine_entry(1), engine_entry(2)]);
+    gateway.request(0);
+    gateway.request(1);
     for (engine, in_flight) in [(1, 40.0), (2, 6.0)] {
         let load = Load { in_flight: Some(in_flight), cores: Some(1.0), ..Load::default() };
-        bed.feed(Event::Probed { engine: EngineId(engine), ok: true, load });
+        gateway.handle(Event::Probed { engine: EngineId(engine), ok: true, load });
     }
-    bed.answer(0, Outcome::Ok);
-    bed.answer(1, Outcome::Ok);
-    assert_eq!(sent(&bed.ask(2)), [(2, 2)]);
+    gateway.answer(0, Outcome::Ok);
+    gateway.answer(1, Outcome::Ok);
+    assert_eq!(dispatches(&gateway.request(2)), [(2, 2)]);
 }
 
 #[test]
@@ -483,13 +491,16 @@
     let crossed = |price| {
         let mut s = settings(class(Effect::Repeatable));
         s.prices.cross_zone = price;
-        let far = |n| EngineEntry { zone: ZoneId(1), ..entry(n) };
-        let mut bed = Bed::new(s, vec![entry(1), far(2), entry(3), far(4)]);
+        let far = |n| EngineEntry { zone: ZoneId(1), ..engine_entry(n) };
+        let mut gateway = TestGateway::new(s, vec![engine_entry(1), far(2), engine_entry(3), far(4)]);
         let mut far = 0;
         for id in 0..60 {
-            far += sent(&bed.ask_with(id, |r| r.group = GroupId(id))).iter().filter(|s| s.1 % 2 == 0).count();
-            bed.answer(id, Outcome::Ok);
-            bed.pass(100_000);
+            far += dispatches(&gateway.request_with(id, |r| r.group = GroupId(id)))
+                .iter()
+                .filter(|s| s.1 % 2 == 0)
+                .count();
+            gateway.answer(id, Outcome::Ok);
+            gateway.advance(100_000);
         }
         far
     };
@@ -502,10 +513,10 @@
     let heavy = |r: &mut Request| (r.class, r.cost) = (ClassId(1), 2_000_000);
     let mut at: Vec<Micros> = Vec::new();
     for me in 0..gateways {
-        let mut bed = one_of_many(me, gateways as u32, vec![entry(1)]);
+        let mut gateway = one_of_many(me, gateways as u32, vec![engine_entry(1)]);
         for id in 0..4 {
-            bed.ask_with(id, heavy);
-            bed.feed(Event::Answer(Answer {
+            gateway.request_with(id, heavy);
+            gateway.handle(Event::Answer(Answer {
                 id: RequestId(id),
                 attempt: 0,
                 outcome: Outcome::Ok,
@@ -515,16 +526,19 @@
                 memory_mb: None,
                 load: Load::default(),
             }));
-            bed.pass(100_000);
+            gateway.advance(100_000);
         }
-        let gone = EngineEntry { listed: Listed::Removed, ..entry(1) };
-        let mut news: Vec<_> = (2..=9).map(|n| EngineEntry { came_up: 100 * SECOND, ..entry(n) }).collect();
+        let gone = EngineEntry { listed: Listed::Removed, ..engine_entry(1) };
+        let mut news: Vec<_> =
+            (2..=9).map(|n| EngineEntry { came_up: 100 * SECOND, ..engine_entry(n) }).collect();
         news.push(gone);
-        bed.feed(Event::Engines { kind: ListKind::Changes, entries: news });
+        gateway.handle(Event::Engines { kind: ListKind::Changes, entries: news });
         for id in 100..140 {
-            at.extend(sent(&bed.ask_with(id, heavy)).iter().filter(|s| s.1 == 2).map(|_| bed.now));
-            bed.answer(id, Outcome::Ok);
-            bed.pass(200_000);
+            at.extend(
+                dispatches(&gateway.request_with(id, heavy)).iter().filter(|s| s.1 == 2).map(|_| gateway.now),
+            );
+            gateway.answer(id, Outcome::Ok);
+            gateway.advance(200_000);
         }
     }
     at.sort_unstable();
@@ -543,10 +557,11 @@
     let advised = |queries: u64| {
         let mut s = settings(class(Effect::Repeatable));
         s.retry_advice = Some(60 * SECOND);
-        let mut bed = Bed::new(s, vec![entry(1)]);
+        let mut gateway = TestGateway::new(s, vec![engine_entry(1)]);
         let pick =
             |a: &Action| if let Action::Refuse { retry_after, .. } = a { Some(*retry_after) } else { None };
-        let all: Vec<Action> = (0..queries).flat_map(|id| bed.ask_with(id, |r| r.cost = 600_000)).collect();
+        let all: Vec<Action> =
+            (0..queries).flat_map(|id| gateway.request_with(id, |r| r.cost = 600_000)).collect();
         all.iter().filter_map(pick).collect::<Vec<_>>()
     };
     let advice = advised(60);
@@ -557,22 +572,22 @@
 
 #[test]
 fn absurd_notes_and_reports_give_finite_decisions() {
-    let mut bed = with_notes(|s| (s.may_probe, s.load_reports) = (true, LoadReports::WithProbes));
-    bed.ask(1);
+    let mut gateway = with_notes(|s| (s.may_probe, s.load_reports) = (true, LoadReports::WithProbes));
+    gateway.request(1);
     for value in [f64::NAN, f64::INFINITY, -3.0, 7.0, 0.0] {
         for (id, attempt) in [(1, 0), (1, 9), (77, 0)] {
-            note(&mut bed, id, attempt, Note::Spills(value));
-            note(&mut bed, id, attempt, Note::Progress(value));
+            note(&mut gateway, id, attempt, Note::Spills(value));
+            note(&mut gateway, id, attempt, Note::Progress(value));
         }
         let load =
             Load { in_flight: Some(value), cores: Some(value), memory: Some(value), disks: Some(value) };
-        bed.feed(Event::Probed { engine: EngineId(1), ok: true, load });
-        bed.feed(Event::Probed { engine: EngineId(9), ok: true, load });
+        gateway.handle(Event::Probed { engine: EngineId(1), ok: true, load });
+        gateway.handle(Event::Probed { engine: EngineId(9), ok: true, load });
     }
-    bed.pass(2 * SECOND);
-    assert_eq!(sent(&bed.ask(2)).len(), 1);
+    gateway.advance(2 * SECOND);
+    assert_eq!(dispatches(&gateway.request(2)).len(), 1);
     let finite = |a: &Action| !matches!(a, Action::Terms { memory_mb, .. } if !memory_mb.is_finite());
-    assert!(bed.all.iter().all(|(_, a)| finite(a)));
+    assert!(gateway.history.iter().all(|(_, a)| finite(a)));
 }
 
 #[test]
@@ -582,8 +597,8 @@
         (s.me, s.gateways, s.load_reports) = (PeerId(me), 200, reports);
         s.classes[0].waits_for_loads = waits;
         // Seeds differ, as between gateways.
-        let mut bed = Bed::seeded(s, me, (1..=20).map(entry).collect());
-        sent(&bed.ask_with(1, |r| r.group = GroupId(7)))[0].1
+        let mut gateway = TestGateway::seeded(s, me, (1..=20).map(engine_entry).collect());
+        dispatches(&gateway.request_with(1, |r| r.group = GroupId(7)))[0].1
     };
     let engines = |reports, waits| {
         (0..30).map(|me| first(me, reports, waits)).collect::<std::collections::BTreeSet<u64>>().len()
@@ -600,13 +615,13 @@
         let first = |seed: u64| {
             let mut s = settings(class(Effect::Repeatable));
             s.gateways = 100;
-            let mut bed = Bed::seeded(s, seed, vec![entry(1), entry(2)]);
+            let mut gateway = TestGateway::seeded(s, seed, vec![engine_entry(1), engine_entry(2)]);
             for (engine, cores) in [(1, 1.0), (2, 0.1)] {
                 let load = Load { cores: Some(cores), ..Load::default() };
-                bed.feed(Event::Probed { engine: EngineId(engine), ok: true, load });
+                gateway.handle(Event::Probed { engine: EngineId(engine), ok: true, load });
             }
-            bed.now += after;
-            sent(&bed.ask(1))[0].1
+            gateway.now += after;
+            dispatches(&gateway.request(1))[0].1
         };
         (0..40).filter(|&seed| first(seed) == 1).count()
     };
@@ -619,11 +634,13 @@
     let served = |burst: u64| {
         let mut s = settings(class(Effect::Repeatable));
         s.tenants = vec![Tenant { quota_per_s: 5.0 }, Tenant { quota_per_s: 50.0 }];
-        let mut bed = Bed::new(s, vec![entry(1)]);
+        let mut gateway = TestGateway::new(s, vec![engine_entry(1)]);
         let taken = (0..burst)
-            .filter(|&id| !refused(&bed.ask_with(id, |r| (r.tenant, r.cost) = (TenantId(0), 400_000)), id))
+            .filter(|&id| {
+                !is_refused(&gateway.request_with(id, |r| (r.tenant, r.cost) = (TenantId(0), 400_000)), id)
+            })
             .count();
-        let other = !refused(&bed.ask_with(999, |r| r.tenant = TenantId(1)), 999);
+        let other = !is_refused(&gateway.request_with(999, |r| r.tenant = TenantId(1)), 999);
         (taken, other)
     };
     let (taken, other) = served(80);
@@ -633,15 +650,18 @@
 
 #[test]
 fn a_gateway_that_takes_over_the_traffic_of_dead_ones_outgrows_its_even_share() {
-    let mut bed = one_of_many(0, 100, (1..=10).map(entry).collect());
+    let mut gateway = one_of_many(0, 100, (1..=10).map(engine_entry).collect());
     // How many of twenty that come at once are not refused; the engines serve all of them quickly.
     let mut taken = |from: u64| {
         let ids: Vec<u64> = (from..from + 20).collect();
-        let taken = ids.iter().filter(|&&id| !refused(&bed.ask_with(id, |r| r.cost = 400_000), id)).count();
+        let taken = ids
+            .iter()
+            .filter(|&&id| !is_refused(&gateway.request_with(id, |r| r.cost = 400_000), id))
+            .count();
         for _ in 0..3 {
-            bed.pass(100_000);
+            gateway.advance(100_000);
             for &id in &ids {
-                bed.feed(Event::Answer(Answer {
+                gateway.handle(Event::Answer(Answer {
                     id: RequestId(id),
                     attempt: 0,
                     outcome: Outcome::Ok,
@@ -664,35 +684,35 @@
 fn an_engine_left_alone_comes_back_by_its_probes_where_no_light_request_comes() {
     let mut s = settings(class(Effect::Once));
     s.may_probe = true;
-    let mut bed = Bed::new(s, vec![entry(1)]);
+    let mut gateway = TestGateway::new(s, vec![engine_entry(1)]);
     for id in 0..6 {
-        if !sent(&bed.ask(id)).is_empty() {
-            bed.answer(id, Outcome::Error);
+        if !dispatches(&gateway.request(id)).is_empty() {
+            gateway.answer(id, Outcome::Error);
         }
     }
-    assert!(sent(&bed.ask(50)).is_empty(), "it is left alone");
+    assert!(dispatches(&gateway.request(50)).is_empty(), "it is left alone");
     for _ in 0..300 {
-        let actions = bed.pass(100_000);
+        let actions = gateway.advance(100_000);
         if actions.contains(&Action::Probe(EngineId(1))) {
-            bed.feed(Event::Probed { engine: EngineId(1), ok: true, load: Load::default() });
+            gateway.handle(Event::Probed { engine: EngineId(1), ok: true, load: Load::default() });
         }
     }
-    assert_eq!(sent(&bed.ask(99)), [(99, 1)]);
+    assert_eq!(dispatches(&gateway.request(99)), [(99, 1)]);
 }
 
 /// Queries that an engine is sent at once after three attempts on it have ended so.
 fn sent_after(outcome: Outcome) -> usize {
-    let mut bed = bed(1);
-    play(&mut bed, 0, 30, |_| Outcome::Ok);
+    let mut gateway = gateway_with(1);
+    play(&mut gateway, 0, 30, |_| Outcome::Ok);
     for id in 100..103 {
-        bed.ask(id);
-        bed.answer(id, outcome);
-        bed.pass(50_000);
+        gateway.request(id);
+        gateway.answer(id, outcome);
+        gateway.advance(50_000);
         // Its further try, where it got one.
-        bed.answer(id, Outcome::Ok);
-        bed.pass(50_000);
+        gateway.answer(id, Outcome::Ok);
+        gateway.advance(50_000);
     }
-    (200..240).map(|id| sent(&bed.ask(id)).len()).sum()
+    (200..240).map(|id| dispatches(&gateway.request(id)).len()).sum()
 }
 
 #[test]
@@ -709,11 +729,11 @@
     (settings.gateways, settings.load_reports) = (3, LoadReports::WithAnswers);
     // Wide queries, of which an engine runs one: the fleet's bound is the narrower one.
     settings.classes[0].threads = 4;
-    let mut bed = Bed::new(settings, (1..=12).map(entry).collect());
+    let mut gateway = TestGateway::new(settings, (1..=12).map(engine_entry).collect());
     for id in 0..60 {
-        bed.ask(id);
-        bed.pass(50_000);
-        bed.feed(Event::Answer(Answer {
+        gateway.request(id);
+        gateway.advance(50_000);
+        gateway.handle(Event::Answer(Answer {
             id: RequestId(id),
             attempt: 0,
             outcome: Outcome::Ok,
@@ -724,7 +744,7 @@
             load: Load { cores: Some(load), ..Load::default() },
         }));
     }
-    (100..300).map(|id| sent(&bed.ask(id)).len()).sum()
+    (100..300).map(|id| dispatches(&gateway.request(id)).len()).sum()
 }
 
 #[test]
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,440 +1,472 @@
-//! One test or more for each of the seven rules.
+//! The rules that bind every decision: one final answer for each request, effects and their windows, one attempt at a
+//! time, the engine list and placement limits, the budget of attempts, the limit of cold engines, and the order of keys.
 
 mod common;
 use common::*;
 use violetward::*;
 
+/// The order key that the tests of ordered requests share.
+fn with_key(request: &mut Request) {
+    request.key = Some(OrderKey("a".into()));
+}
+
+/// Sends a request, ends its attempt well and returns the number of dispatches.
+fn request_and_answer(gateway: &mut TestGateway, id: u64) -> usize {
+    dispatches(&gateway.request(id)).len() + dispatches(&gateway.answer(id, Outcome::Ok)).len()
+}
+
 #[test]
-fn every_request_gets_one_final_answer_before_it_is_due() {
-    let mut bed = Bed::new(settings(class(Effect::Once)), vec![entry(1)]);
+fn every_request_gets_one_final_answer_before_its_deadline() {
+    let mut gateway = TestGateway::with_engines(Effect::Once, 1);
     for id in 0..40 {
-        bed.ask(id);
+        gateway.request(id);
     }
-    bed.pass(6 * SECOND);
+    gateway.advance(6 * SECOND);
     for id in 0..40 {
-        let was_sent = bed.all.iter().any(|(_, a)| sent(std::slice::from_ref(a)).iter().any(|s| s.0 == id));
-        let ends: Vec<Micros> = bed
-            .all
-            .iter()
-            .filter(|(_, a)| refused(std::slice::from_ref(a), id) || failed(std::slice::from_ref(a), id))
-            .map(|e| e.0)
-            .collect();
-        assert_eq!(ends.len(), usize::from(!was_sent), "request {id}");
-        assert!(ends.iter().all(|&at| at <= 105 * SECOND));
+        let was_dispatched = dispatches(&gateway.actions()).iter().any(|d| d.0 == id);
+        let is_final = |action: &Action| {
+            let action = std::slice::from_ref(action);
+            is_refused(action, id) || is_failed(action, id)
+        };
+        let ended_at: Vec<Micros> =
+            gateway.history.iter().filter(|(_, action)| is_final(action)).map(|(at, _)| *at).collect();
+        assert_eq!(ended_at.len(), usize::from(!was_dispatched), "request {id}");
+        assert!(ended_at.iter().all(|&at| at <= 105 * SECOND));
     }
 }
 
 #[test]
-fn nothing_goes_out_after_the_client_has_left() {
-    let mut bed = Bed::new(settings(class(Effect::Repeatable)), vec![entry(1), entry(2)]);
-    assert_eq!(sent(&bed.ask(1)).len(), 1);
-    let actions = bed.feed(Event::Lapsed(RequestId(1)));
+fn nothing_is_dispatched_after_the_client_has_left() {
+    let mut gateway = TestGateway::with_engines(Effect::Repeatable, 2);
+    assert_eq!(dispatches(&gateway.request(1)).len(), 1);
+    let actions = gateway.handle(Event::Lapsed(RequestId(1)));
     assert_eq!(actions, [Action::Cancel { id: RequestId(1), attempt: 0 }]);
-    assert!(sent(&bed.answer(1, Outcome::Cancelled)).is_empty());
-    assert!(sent(&bed.pass(6 * SECOND)).is_empty());
+    assert!(dispatches(&gateway.answer(1, Outcome::Cancelled)).is_empty());
+    assert!(dispatches(&gateway.advance(6 * SECOND)).is_empty());
 }
 
 #[test]
-fn a_once_request_that_may_have_run_is_failed_and_not_sent_again() {
+fn once_request_that_may_have_run_fails_without_a_retry() {
     for outcome in [Outcome::Error, Outcome::Reset, Outcome::Timeout, Outcome::Cancelled] {
-        let mut bed = Bed::new(settings(class(Effect::Once)), vec![entry(1), entry(2)]);
-        bed.ask(1);
-        let actions = bed.answer(1, outcome);
-        assert!(failed(&actions, 1) && sent(&actions).is_empty(), "{outcome:?}");
+        let mut gateway = TestGateway::with_engines(Effect::Once, 2);
+        gateway.request(1);
+        let actions = gateway.answer(1, outcome);
+        assert!(is_failed(&actions, 1) && dispatches(&actions).is_empty(), "{outcome:?}");
     }
 }
 
 #[test]
-fn a_once_request_that_surely_never_ran_is_sent_again_elsewhere() {
+fn once_request_that_did_not_run_is_retried_on_another_engine() {
     for outcome in [Outcome::Full, Outcome::ConnectFailed] {
-        let mut bed = Bed::new(settings(class(Effect::Once)), vec![entry(1), entry(2)]);
-        let first = sent(&bed.ask(1))[0].1;
-        let again = sent(&bed.answer(1, outcome));
-        assert_eq!(again, [(1, 3 - first)], "{outcome:?}");
+        let mut gateway = TestGateway::with_engines(Effect::Once, 2);
+        let first_engine = dispatches(&gateway.request(1))[0].1;
+        let retries = dispatches(&gateway.answer(1, outcome));
+        assert_eq!(retries, [(1, 3 - first_engine)], "{outcome:?}");
     }
 }
 
 #[test]
-fn a_keyed_request_stays_in_its_zone_or_cell_and_is_never_refused_there() {
+fn keyed_request_that_may_have_run_fails_if_its_zone_or_cell_has_no_other_engine() {
     for scope in [KeyScope::Zone, KeyScope::Cell] {
         let effect = Effect::Keyed { scope, window: 20 * SECOND };
-        let other = EngineEntry { zone: ZoneId(1), cell: CellId(1), ..entry(2) };
-        let mut bed = Bed::new(settings(class(effect)), vec![entry(1)]);
-        assert_eq!(sent(&bed.ask(1)), [(1, 1)]);
-        let gone = EngineEntry { listed: Listed::Draining, ..entry(1) };
-        bed.feed(Event::Engines { kind: ListKind::Changes, entries: vec![gone, other] });
-        let actions = bed.answer(1, Outcome::Reset);
-        assert!(failed(&actions, 1) && sent(&actions).is_empty(), "{scope:?}");
+        let out_of_scope = EngineEntry { zone: ZoneId(1), cell: CellId(1), ..engine_entry(2) };
+        let mut gateway = TestGateway::with_engines(effect, 1);
+        assert_eq!(dispatches(&gateway.request(1)), [(1, 1)]);
+        let draining = EngineEntry { listed: Listed::Draining, ..engine_entry(1) };
+        gateway.handle(Event::Engines { kind: ListKind::Changes, entries: vec![draining, out_of_scope] });
+        let actions = gateway.answer(1, Outcome::Reset);
+        assert!(is_failed(&actions, 1) && dispatches(&actions).is_empty(), "{scope:?}");
     }
 }
 
 #[test]
-fn a_keyed_request_is_not_sent_after_its_window() {
+fn keyed_request_is_not_retried_after_its_window() {
     let effect = Effect::Keyed { scope: KeyScope::All, window: SECOND };
-    for (pause, again) in [(SECOND / 2, 1), (2 * SECOND, 0)] {
-        let mut bed = Bed::new(settings(class(effect)), vec![entry(1), entry(2)]);
-        bed.ask(1);
-        bed.now += pause;
-        assert_eq!(sent(&bed.answer(1, Outcome::Reset)).len(), again);
+    for (answered_after, retries) in [(SECOND / 2, 1), (2 * SECOND, 0)] {
+        let mut gateway = TestGateway::with_engines(effect, 2);
+        gateway.request(1);
+        gateway.now += answered_after;
+        assert_eq!(dispatches(&gateway.answer(1, Outcome::Reset)).len(), retries);
     }
 }
 
 #[test]
-fn never_two_attempts_at_once() {
-    let mut bed = Bed::new(settings(class(Effect::Repeatable)), vec![entry(1), entry(2)]);
-    bed.ask(1);
-    assert!(sent(&bed.pass(4 * SECOND)).is_empty());
-    assert!(sent(&bed.ask(1)).is_empty(), "a repeated event is ignored");
+fn request_has_one_attempt_in_flight_at_most() {
+    let mut gateway = TestGateway::with_engines(Effect::Repeatable, 2);
+    gateway.request(1);
+    assert!(dispatches(&gateway.advance(4 * SECOND)).is_empty());
+    assert!(dispatches(&gateway.request(1)).is_empty(), "a repeated event is ignored");
 }
 
 #[test]
-fn an_engine_that_drains_or_is_gone_gets_nothing_new() {
+fn draining_or_removed_engine_gets_no_new_requests() {
     for listed in [Listed::Draining, Listed::Removed] {
-        let mut bed = Bed::new(settings(class(Effect::Repeatable)), vec![entry(1), entry(2)]);
-        let entries = vec![EngineEntry { listed, ..entry(1) }];
-        bed.feed(Event::Engines { kind: ListKind::Changes, entries });
-        let mut all = Vec::new();
+        let mut gateway = TestGateway::with_engines(Effect::Repeatable, 2);
+        let entries = vec![EngineEntry { listed, ..engine_entry(1) }];
+        gateway.handle(Event::Engines { kind: ListKind::Changes, entries });
+        let mut actions = Vec::new();
         for id in 0..30 {
-            all.extend(bed.ask(id));
+            actions.extend(gateway.request(id));
         }
-        all.extend(bed.pass(SECOND));
-        assert!(!sent(&all).is_empty() && sent(&all).iter().all(|s| s.1 == 2), "{listed:?}");
+        actions.extend(gateway.advance(SECOND));
+        let dispatches = dispatches(&actions);
+        assert!(!dispatches.is_empty() && dispatches.iter().all(|d| d.1 == 2), "{listed:?}");
     }
 }
 
 #[test]
-fn what_is_missing_from_a_whole_list_is_gone() {
-    let mut bed = Bed::new(settings(class(Effect::Repeatable)), vec![entry(1), entry(2)]);
-    bed.feed(Event::Engines { kind: ListKind::Whole, entries: vec![entry(2)] });
-    let all: Vec<Action> = (0..20).flat_map(|id| bed.ask(id)).collect();
-    assert!(sent(&all).iter().all(|s| s.1 == 2));
+fn engine_missing_from_a_whole_list_is_removed() {
+    let mut gateway = TestGateway::with_engines(Effect::Repeatable, 2);
+    gateway.handle(Event::Engines { kind: ListKind::Whole, entries: vec![engine_entry(2)] });
+    let actions: Vec<Action> = (0..20).flat_map(|id| gateway.request(id)).collect();
+    assert!(dispatches(&actions).iter().all(|d| d.1 == 2));
 }
 
+/// Seconds of work of one default request.
+const REQUEST_WORK_S: f64 = 0.1;
+
+/// Seconds of work that one gateway of four may send to a cold engine within the overload span: the whole fleet may send
+/// 4 × 0.3 × 4 cores × 0.85 × 1 s = 4.08 s.
+const COLD_SHARE_OF_FOUR_S: f64 = 4.08 / 4.0;
+
 #[test]
-fn a_cold_engine_gets_no_more_than_this_gateways_part() {
-    let mut s = settings(class(Effect::Repeatable));
-    s.gateways = 4;
-    let cold = EngineEntry { came_up: 99 * SECOND, ..entry(1) };
-    let mut bed = Bed::new(s, vec![cold]);
-    let mut sends = 0;
+fn cold_engine_gets_at_most_the_share_of_this_gateway() {
+    let mut settings = settings(class(Effect::Repeatable));
+    settings.gateways = 4;
+    let cold = EngineEntry { came_up: 99 * SECOND, ..engine_entry(1) };
+    let mut gateway = TestGateway::new(settings, vec![cold]);
+    let mut dispatched = 0;
+    // The loop takes 0.4 s, less than the overload span.
     for id in 0..200 {
-        sends += sent(&bed.ask(id)).len();
-        sends += sent(&bed.answer(id, Outcome::Ok)).len();
-        bed.now += 2_000;
+        dispatched += request_and_answer(&mut gateway, id);
+        gateway.now += 2_000;
     }
-    // 0.4 s pass; each attempt weighs 0.1 s; the whole fleet may send 4 × 0.3 × 4 cores × 0.85 × 1 s = 4.08 s.
-    assert!(sends as f64 * 0.1 <= 4.08 / 4.0, "{sends}");
-    assert!(sends > 0);
+    assert!(dispatched as f64 * REQUEST_WORK_S <= COLD_SHARE_OF_FOUR_S, "{dispatched}");
+    assert!(dispatched > 0);
 }
 
-/// What a cold engine gets within one span from a gateway of four, after `before` has happened to it.
-fn sent_to_a_cold_one_after(before: impl FnOnce(&mut Bed, EngineEntry) -> f64) -> f64 {
-    let mut s = settings(class(Effect::Repeatable));
-    (s.gateways, s.budget) = (4, None);
-    let cold = EngineEntry { came_up: 99 * SECOND, ..entry(1) };
-    let mut bed = Bed::new(s, vec![entry(1)]);
-    let mut work = before(&mut bed, cold);
+/// Seconds of work that one gateway of four sends to a cold engine within the overload span, plus the work that `before`
+/// has sent and returns. The gateway knows the engine as warm until `before` passes it the cold entry.
+fn work_sent_to_cold_engine(before: impl FnOnce(&mut TestGateway, EngineEntry) -> f64) -> f64 {
+    let mut settings = settings(class(Effect::Repeatable));
+    (settings.gateways, settings.budget) = (4, None);
+    let cold = EngineEntry { came_up: 99 * SECOND, ..engine_entry(1) };
+    let mut gateway = TestGateway::new(settings, vec![engine_entry(1)]);
+    let mut work = before(&mut gateway, cold);
     for id in 1_000..1_200 {
-        let sends = sent(&bed.ask(id)).len() + sent(&bed.answer(id, Outcome::Ok)).len();
-        work += 0.1 * sends as f64;
-        bed.now += 2_000;
+        work += REQUEST_WORK_S * request_and_answer(&mut gateway, id) as f64;
+        gateway.now += 2_000;
     }
     work
 }
 
-/// As above: 4.08 s for the whole fleet within the span, this gateway's part of it.
-const PART_OF_FOUR: f64 = 4.08 / 4.0;
-
 #[test]
-fn an_older_list_does_not_make_a_cold_engine_warm() {
-    let work = sent_to_a_cold_one_after(|bed, cold| {
-        bed.feed(Event::Engines { kind: ListKind::Whole, entries: vec![cold] });
-        bed.feed(Event::Engines { kind: ListKind::Whole, entries: vec![entry(1)] });
+fn older_list_does_not_make_a_cold_engine_warm() {
+    let work = work_sent_to_cold_engine(|gateway, cold| {
+        gateway.handle(Event::Engines { kind: ListKind::Whole, entries: vec![cold] });
+        gateway.handle(Event::Engines { kind: ListKind::Whole, entries: vec![engine_entry(1)] });
         0.0
     });
-    assert!(work > 0.0 && work <= PART_OF_FOUR, "{work}");
+    assert!(work > 0.0 && work <= COLD_SHARE_OF_FOUR_S, "{work}");
 }
 
+/// Guards against a gateway that forgets what it sent to a cold engine when a list leaves the engine out, and so sends
+/// its share once more when the engine is listed again.
 #[test]
-fn a_list_that_lacks_a_cold_engine_for_a_moment_gives_no_second_part() {
-    let work = sent_to_a_cold_one_after(|bed, cold| {
+fn cold_engine_that_briefly_leaves_the_list_gets_no_second_share() {
+    let work = work_sent_to_cold_engine(|gateway, cold| {
         let mut work = 0.0;
         for id in 0..20 {
-            bed.feed(Event::Engines { kind: ListKind::Whole, entries: vec![cold.clone()] });
-            work += 0.1 * (sent(&bed.ask(id)).len() + sent(&bed.answer(id, Outcome::Ok)).len()) as f64;
-            bed.feed(Event::Engines { kind: ListKind::Whole, entries: vec![] });
-            bed.now += 2_000;
+            gateway.handle(Event::Engines { kind: ListKind::Whole, entries: vec![cold.clone()] });
+            work += REQUEST_WORK_S * request_and_answer(gateway, id) as f64;
+            gateway.handle(Event::Engines { kind: ListKind::Whole, entries: vec![] });
+            gateway.now += 2_000;
         }
-        bed.feed(Event::Engines { kind: ListKind::Whole, entries: vec![cold] });
+        gateway.handle(Event::Engines { kind: ListKind::Whole, entries: vec![cold] });
         work
     });
-    assert!(work > 0.0 && work <= PART_OF_FOUR, "{work}");
+    assert!(work > 0.0 && work <= COLD_SHARE_OF_FOUR_S, "{work}");
 }
 
 #[test]
-fn what_was_sent_before_the_list_told_of_the_start_counts_in_the_part() {
-    let work = sent_to_a_cold_one_after(|bed, cold| {
-        let mut before = 0.0;
+fn work_sent_before_the_list_reports_the_start_counts_against_the_share() {
+    let work = work_sent_to_cold_engine(|gateway, cold| {
+        let mut work = 0.0;
         for id in 0..8 {
-            before += 0.1 * (sent(&bed.ask(id)).len() + sent(&bed.answer(id, Outcome::Ok)).len()) as f64;
-            bed.now += SECOND / 20;
+            work += REQUEST_WORK_S * request_and_answer(gateway, id) as f64;
+            gateway.now += SECOND / 20;
         }
-        bed.feed(Event::Engines { kind: ListKind::Whole, entries: vec![cold] });
-        before
+        gateway.handle(Event::Engines { kind: ListKind::Whole, entries: vec![cold] });
+        work
     });
-    assert!(work > 0.0 && work <= PART_OF_FOUR, "{work}");
+    assert!(work > 0.0 && work <= COLD_SHARE_OF_FOUR_S, "{work}");
 }
 
 #[test]
-fn requests_of_a_key_run_one_at_a_time_in_their_order() {
+fn requests_with_one_key_run_one_at_a_time_in_order() {
     let mut ordered = class(Effect::Keyed { scope: KeyScope::All, window: 20 * SECOND });
     ordered.in_order = true;
-    let mut s = settings(ordered);
-    s.key_rest = SECOND / 2;
-    let mut bed = Bed::new(s, vec![entry(1), entry(2)]);
-    let key = |r: &mut Request| r.key = Some(OrderKey("a".into()));
-    assert_eq!(sent(&bed.ask_with(1, key)).len(), 1);
-    assert!(sent(&bed.ask_with(2, key)).is_empty());
-    assert_eq!(sent(&bed.ask(3)).len(), 1, "without a key nothing is bound");
-    // The first lapses while it is out: the key waits for its answer and then rests.
-    assert!(sent(&bed.feed(Event::Lapsed(RequestId(1)))).is_empty());
-    assert!(sent(&bed.answer(1, Outcome::Cancelled)).is_empty());
-    assert!(sent(&bed.pass(SECOND * 4 / 10)).is_empty());
-    assert_eq!(sent(&bed.pass(SECOND / 5))[0].0, 2);
+    let mut settings = settings(ordered);
+    settings.key_rest = SECOND / 2;
+    let mut gateway = TestGateway::new(settings, vec![engine_entry(1), engine_entry(2)]);
+    assert_eq!(dispatches(&gateway.request_with(1, with_key)).len(), 1);
+    assert!(dispatches(&gateway.request_with(2, with_key)).is_empty());
+    assert_eq!(dispatches(&gateway.request(3)).len(), 1, "a request without a key does not wait");
+    // The first request lapses in flight: the next one waits for its answer and for the cooldown of the key.
+    assert!(dispatches(&gateway.handle(Event::Lapsed(RequestId(1)))).is_empty());
+    assert!(dispatches(&gateway.answer(1, Outcome::Cancelled)).is_empty());
+    assert!(dispatches(&gateway.advance(SECOND * 4 / 10)).is_empty());
+    assert_eq!(dispatches(&gateway.advance(SECOND / 5))[0].0, 2);
 }
 
 #[test]
-fn a_bound_class_goes_only_where_it_may() {
-    let mut bound = class(Effect::Repeatable);
-    bound.kinds = Some(vec![KindId(1)]);
-    bound.zones = Some(vec![ZoneId(0)]);
-    let right = EngineEntry { kind: KindId(1), ..entry(3) };
-    let wrong_zone = EngineEntry { kind: KindId(1), zone: ZoneId(1), ..entry(2) };
-    let mut bed = Bed::new(settings(bound), vec![entry(1), wrong_zone, right]);
-    let mut all = Vec::new();
+fn class_limited_to_kinds_and_zones_runs_only_there() {
+    let mut limited = class(Effect::Repeatable);
+    limited.kinds = Some(vec![KindId(1)]);
+    limited.zones = Some(vec![ZoneId(0)]);
+    let allowed = EngineEntry { kind: KindId(1), ..engine_entry(3) };
+    let wrong_zone = EngineEntry { kind: KindId(1), zone: ZoneId(1), ..engine_entry(2) };
+    let mut gateway = TestGateway::new(settings(limited), vec![engine_entry(1), wrong_zone, allowed]);
+    let mut actions = Vec::new();
     for id in 0..20 {
-        all.extend(bed.ask(id));
+        actions.extend(gateway.request(id));
     }
-    all.extend(bed.answer(0, Outcome::ConnectFailed));
-    all.extend(bed.pass(SECOND));
-    assert!(!sent(&all).is_empty() && sent(&all).iter().all(|s| s.1 == 3));
+    actions.extend(gateway.answer(0, Outcome::ConnectFailed));
+    actions.extend(gateway.advance(SECOND));
+    let dispatches = dispatches(&actions);
+    assert!(!dispatches.is_empty() && dispatches.iter().all(|d| d.1 == 3));
 }
 
 #[test]
-fn further_attempts_stay_within_the_budget() {
-    let mut s = settings(class(Effect::Repeatable));
-    s.budget = Some(AttemptBudget { free: 2.0, per_request: 0.1, window: 5 * SECOND });
-    let mut bed = Bed::new(s, (1..9).map(entry).collect());
-    let mut extras = 0;
+fn retries_stay_within_the_budget() {
+    let mut settings = settings(class(Effect::Repeatable));
+    settings.budget = Some(AttemptBudget { free: 2.0, per_request: 0.1, window: 5 * SECOND });
+    let mut gateway = TestGateway::new(settings, (1..9).map(engine_entry).collect());
+    let mut retries = 0;
     for id in 0..10 {
-        bed.ask(id);
-        extras += sent(&bed.answer(id, Outcome::Full)).len();
+        gateway.request(id);
+        retries += dispatches(&gateway.answer(id, Outcome::Full)).len();
     }
-    assert_eq!(extras, 3, "2 and a tenth of 10 requests");
+    assert_eq!(retries, 3, "2 free and a tenth of 10 requests");
 }
 
 #[test]
-fn a_request_has_no_more_attempts_than_allowed() {
-    let mut bed = Bed::new(settings(class(Effect::Repeatable)), (1..9).map(entry).collect());
-    bed.ask(1);
-    assert_eq!(sent(&bed.answer(1, Outcome::Full)).len(), 1);
-    assert_eq!(sent(&bed.answer(1, Outcome::Full)).len(), 1);
-    assert!(refused(&bed.answer(1, Outcome::Full), 1));
+fn request_has_no_more_attempts_than_the_cap() {
+    let mut gateway = TestGateway::with_engines(Effect::Repeatable, 8);
+    gateway.request(1);
+    assert_eq!(dispatches(&gateway.answer(1, Outcome::Full)).len(), 1);
+    assert_eq!(dispatches(&gateway.answer(1, Outcome::Full)).len(), 1);
+    assert!(is_refused(&gateway.answer(1, Outcome::Full), 1));
 }
 
+/// Guards against a retry without any time left: an attempt times out at the deadline of its request, while a
+/// quarantined engine waits for a request to try it with.
 #[test]
-fn what_times_out_with_its_client_is_ended_and_tries_no_sick_engine() {
-    // As reported: a time-out at the deadline, and an engine left alone that awaits a trial by a request.
-    let mut bed = Bed::new(settings(class(Effect::Repeatable)), vec![entry(1), entry(2)]);
-    let due = bed.now + 5 * SECOND;
-    let other = sent(&bed.ask_with(1, |r| r.due = due))[0].1;
+fn request_that_times_out_at_its_deadline_is_not_sent_to_a_quarantined_engine() {
+    let mut gateway = TestGateway::with_engines(Effect::Repeatable, 2);
+    let deadline = gateway.now + 5 * SECOND;
+    let healthy = dispatches(&gateway.request_with(1, |r| r.due = deadline))[0].1;
     for id in 2..20 {
-        for (id, engine) in sent(&bed.ask_with(id, |r| r.group = GroupId(id))) {
-            bed.answer(id, if engine == other { Outcome::Ok } else { Outcome::Error });
+        for (id, engine) in dispatches(&gateway.request_with(id, |r| r.group = GroupId(id))) {
+            gateway.answer(id, if engine == healthy { Outcome::Ok } else { Outcome::Error });
         }
     }
-    assert!(bed.all.iter().any(|(_, a)| matches!(a, Action::Log(t) if t.contains("left alone"))));
-    bed.pass(due - bed.now);
-    let actions = bed.answer(1, Outcome::Timeout);
-    assert!(refused(&actions, 1) && sent(&actions).is_empty(), "{actions:?}");
+    assert!(gateway.has_logged("left alone"));
+    gateway.advance(deadline - gateway.now);
+    let actions = gateway.answer(1, Outcome::Timeout);
+    assert!(is_refused(&actions, 1) && dispatches(&actions).is_empty(), "{actions:?}");
 }
 
 #[test]
-fn what_is_due_before_the_next_tick_is_ended_as_it_comes() {
-    let mut bed = Bed::new(settings(class(Effect::Repeatable)), vec![entry(1)]);
+fn request_due_before_the_next_tick_is_refused_on_arrival() {
+    let mut gateway = TestGateway::with_engines(Effect::Repeatable, 1);
     for id in 0..20 {
-        bed.ask_with(id, |r| r.cost = 1_000);
+        gateway.request_with(id, |r| r.cost = 1_000);
     }
-    bed.pass(SECOND / 2);
-    let due = bed.now + 50_000;
-    let ended = |bed: &Bed| refused(&bed.all.iter().map(|a| a.1.clone()).collect::<Vec<_>>(), 100);
-    bed.ask_with(100, |r| (r.cost, r.due) = (1_000, due));
-    assert!(ended(&bed));
+    gateway.advance(SECOND / 2);
+    let deadline = gateway.now + 50_000;
+    gateway.request_with(100, |r| (r.cost, r.due) = (1_000, deadline));
+    assert!(is_refused(&gateway.actions(), 100));
 }
 
-/// The share of the fleet as others' deaths leave it: more may run at once on warm engines, and a cold one gets no more
-/// than this gateway's even part, whatever is believed of the others.
+/// The share of the fleet that is left to a gateway by the failures of others raises what may run at once on warm
+/// engines. A cold engine gets the even share at most, whatever is believed of the others.
 #[test]
-fn a_told_share_moves_what_runs_on_warm_engines_and_never_what_a_cold_one_gets() {
-    let out_at_once = |share: Option<f64>| {
+fn fleet_share_changes_the_limit_of_warm_engines_and_never_raises_that_of_cold_ones() {
+    let dispatched_at_once = |share: Option<f64>| {
         let mut settings = settings(class(Effect::Repeatable));
         (settings.gateways, settings.load_reports) = (4, LoadReports::None);
-        let mut bed = Bed::new(settings, (1..=4).map(entry).collect());
-        share.into_iter().for_each(|share| drop(bed.feed(Event::Share(share))));
-        (0..200).flat_map(|id| sent(&bed.ask(id))).count()
+        let mut gateway = TestGateway::new(settings, (1..=4).map(engine_entry).collect());
+        if let Some(share) = share {
+            gateway.handle(Event::Share(share));
+        }
+        (0..200).flat_map(|id| dispatches(&gateway.request(id))).count()
     };
-    let even = out_at_once(None);
-    assert_eq!(out_at_once(Some(0.25)), even);
-    let (half, whole) = (out_at_once(Some(0.5)), out_at_once(Some(1.0)));
+    let even = dispatched_at_once(None);
+    assert_eq!(dispatched_at_once(Some(0.25)), even);
+    let (half, whole) = (dispatched_at_once(Some(0.5)), dispatched_at_once(Some(1.0)));
     assert!(half > even && whole > half, "{even}, {half}, {whole}");
-    assert!(out_at_once(Some(0.05)) < even);
-
-    let to_a_cold_one = |share: f64| {
-        let mut s = settings(class(Effect::Repeatable));
-        s.gateways = 4;
-        let mut bed = Bed::new(s, vec![EngineEntry { came_up: 99 * SECOND, ..entry(1) }]);
-        bed.feed(Event::Share(share));
-        let mut sends = 0;
+    assert!(dispatched_at_once(Some(0.05)) < even);
+
+    let cold_work = |share: f64| {
+        let mut settings = settings(class(Effect::Repeatable));
+        settings.gateways = 4;
+        let cold = EngineEntry { came_up: 99 * SECOND, ..engine_entry(1) };
+        let mut gateway = TestGateway::new(settings, vec![cold]);
+        gateway.handle(Event::Share(share));
+        let mut dispatched = 0;
         for id in 0..200 {
-            sends += sent(&bed.ask(id)).len() + sent(&bed.answer(id, Outcome::Ok)).len();
-            bed.now += 2_000;
+            dispatched += request_and_answer(&mut gateway, id);
+            gateway.now += 2_000;
         }
-        // As in the test above: 0.1 s each, of 4.08 s for the whole fleet.
-        sends as f64 * 0.1
+        dispatched as f64 * REQUEST_WORK_S
     };
-    assert!(to_a_cold_one(1.0) <= 4.08 / 4.0, "{}", to_a_cold_one(1.0));
-    assert!(to_a_cold_one(0.1) <= 4.08 * 0.1, "{}", to_a_cold_one(0.1));
+    let (whole, tenth) = (cold_work(1.0), cold_work(0.1));
+    assert!(whole <= COLD_SHARE_OF_FOUR_S, "{whole}");
+    assert!(tenth <= 4.08 * 0.1, "{tenth}");
 }
 
-/// Rules that narrow while requests wait and run: what is out goes on, what waits is refused at once where it may go nowhere
-/// any more, and comes in again once the rules allow it.
+/// The rules of these settings with other kinds of machine for all classes and another budget.
+fn rules_event(settings: &Settings, kinds: Option<Vec<KindId>>, budget: Option<AttemptBudget>) -> Event {
+    Event::Rules {
+        classes: settings.classes.iter().map(|c| Class { kinds: kinds.clone(), ..c.clone() }).collect(),
+        tenants: settings.tenants.clone(),
+        attempts_cap: settings.attempts_cap,
+        budget,
+    }
+}
+
+/// New rules leave no engine to a class: attempts in flight go on, requests that wait are refused at once, and requests
+/// are accepted again once the rules allow it.
 #[test]
-fn narrower_rules_hold_for_what_waits_and_leave_what_is_out() {
+fn narrower_rules_refuse_waiting_requests_and_spare_attempts_in_flight() {
     let settings = settings(class(Effect::Repeatable));
-    let rules = |kinds| match ruled(&settings, kinds, settings.budget.clone()) {
+    let rules = |kinds| match rules_event(&settings, kinds, settings.budget.clone()) {
         Event::Rules { classes, tenants, budget, .. } => {
             Event::Rules { classes, tenants, attempts_cap: 1, budget }
         }
         other => other,
     };
-    let mut bed = Bed::new(settings.clone(), vec![entry(1)]);
-    let asked: Vec<(u64, Vec<Action>)> = (0..60).map(|id| (id, bed.ask(id))).collect();
-    let out: Vec<u64> = asked.iter().filter(|(_, a)| !sent(a).is_empty()).map(|a| a.0).collect();
-    let waits: Vec<u64> =
-        asked.iter().filter(|(id, a)| sent(a).is_empty() && !refused(a, *id)).map(|a| a.0).collect();
-    assert!(!out.is_empty() && !waits.is_empty(), "{out:?} are out, {waits:?} wait");
-
-    let actions = bed.feed(rules(Some(Vec::new())));
-    assert!(waits.iter().all(|&id| refused(&actions, id)), "what waits is refused at once");
-    assert!(out.iter().all(|&id| !refused(&actions, id) && !failed(&actions, id)), "what is out goes on");
-    assert!(refused(&bed.ask(100), 100));
-    // No further attempt goes where it may not any more.
-    let last = out[0];
-    assert!(sent(&bed.answer(last, Outcome::Full)).is_empty());
-
-    bed.feed(rules(None));
-    assert_eq!(sent(&bed.ask(101)).len() + usize::from(!refused(&bed.ask(102), 102)), 2);
-    // Rules for other classes than those of the settings are none.
-    let odd = Event::Rules { classes: vec![], tenants: vec![], attempts_cap: 0, budget: None };
-    bed.feed(odd);
-    assert!(!refused(&bed.ask(103), 103));
-}
-
-fn ruled(settings: &Settings, kinds: Option<Vec<KindId>>, budget: Option<AttemptBudget>) -> Event {
-    Event::Rules {
-        classes: settings.classes.iter().map(|c| Class { kinds: kinds.clone(), ..c.clone() }).collect(),
-        tenants: settings.tenants.clone(),
-        attempts_cap: settings.attempts_cap,
-        budget,
+    let mut gateway = TestGateway::new(settings.clone(), vec![engine_entry(1)]);
+    let (mut in_flight, mut waiting) = (Vec::new(), Vec::new());
+    for id in 0..60 {
+        let actions = gateway.request(id);
+        if !dispatches(&actions).is_empty() {
+            in_flight.push(id);
+        } else if !is_refused(&actions, id) {
+            waiting.push(id);
+        }
     }
+    assert!(!in_flight.is_empty() && !waiting.is_empty(), "{in_flight:?} in flight, {waiting:?} waiting");
+
+    let actions = gateway.handle(rules(Some(Vec::new())));
+    assert!(waiting.iter().all(|&id| is_refused(&actions, id)), "waiting requests are refused at once");
+    assert!(
+        in_flight.iter().all(|&id| !is_refused(&actions, id) && !is_failed(&actions, id)),
+        "attempts in flight go on"
+    );
+    assert!(is_refused(&gateway.request(100), 100));
+    // A retry may not use an engine that the rules exclude by now.
+    assert!(dispatches(&gateway.answer(in_flight[0], Outcome::Full)).is_empty());
+
+    gateway.handle(rules(None));
+    assert_eq!(dispatches(&gateway.request(101)).len(), 1);
+    assert!(!is_refused(&gateway.request(102), 102));
+    // Rules with another number of classes than the settings are ignored.
+    gateway.handle(Event::Rules { classes: vec![], tenants: vec![], attempts_cap: 0, budget: None });
+    assert!(!is_refused(&gateway.request(103), 103));
 }
 
-/// What was spent under the wider budget counts in the narrower one: nothing more goes out until the window has let it go.
+/// Attempts made under a larger budget count against a smaller one: no retry goes out until they leave the window.
 #[test]
-fn a_budget_that_is_lowered_half_spent_counts_what_was_spent() {
-    let mut s = settings(class(Effect::Repeatable));
+fn lowered_budget_counts_attempts_made_before() {
+    let mut settings = settings(class(Effect::Repeatable));
     let budget = |free| Some(AttemptBudget { free, per_request: 0.0, window: 5 * SECOND });
-    s.budget = budget(4.0);
-    let mut bed = Bed::new(s.clone(), (1..9).map(entry).collect());
-    let extras = |bed: &mut Bed, ids: std::ops::Range<u64>| {
-        let one = |id| {
-            bed.ask(id);
-            sent(&bed.answer(id, Outcome::Full)).len()
+    settings.budget = budget(4.0);
+    let mut gateway = TestGateway::new(settings.clone(), (1..9).map(engine_entry).collect());
+    let retries = |gateway: &mut TestGateway, ids: std::ops::Range<u64>| {
+        let retry = |id| {
+            gateway.request(id);
+            dispatches(&gateway.answer(id, Outcome::Full)).len()
         };
-        ids.map(one).sum::<usize>()
+        ids.map(retry).sum::<usize>()
     };
-    assert_eq!(extras(&mut bed, 0..2), 2, "half of four");
-    bed.feed(ruled(&s, None, budget(2.0)));
-    assert_eq!(extras(&mut bed, 2..6), 0, "two of two are spent");
-    bed.feed(ruled(&s, None, budget(3.0)));
-    assert_eq!(extras(&mut bed, 6..10), 1);
-    bed.pass(6 * SECOND);
-    assert_eq!(extras(&mut bed, 10..16), 3);
+    assert_eq!(retries(&mut gateway, 0..2), 2, "half of four");
+    gateway.handle(rules_event(&settings, None, budget(2.0)));
+    assert_eq!(retries(&mut gateway, 2..6), 0, "two of two are spent");
+    gateway.handle(rules_event(&settings, None, budget(3.0)));
+    assert_eq!(retries(&mut gateway, 6..10), 1);
+    gateway.advance(6 * SECOND);
+    assert_eq!(retries(&mut gateway, 10..16), 3);
 }
 
-/// Loads of one key queued across a change: the one that is out ends as it was begun, the next one goes where the newer rules
-/// allow it, in its turn.
+/// The rules change while requests of one key are queued: the attempt in flight goes on where it is, and the next
+/// requests go, in order, where the new rules allow them.
 #[test]
-fn a_key_keeps_its_order_across_new_rules() {
+fn order_of_a_key_holds_across_new_rules() {
     let mut ordered = class(Effect::Keyed { scope: KeyScope::All, window: 20 * SECOND });
     ordered.in_order = true;
-    let mut s = settings(ordered);
-    s.kinds.push(s.kinds[0].clone());
-    let mut bed = Bed::new(s.clone(), vec![entry(1), EngineEntry { kind: KindId(1), ..entry(2) }]);
-    let key = |r: &mut Request| r.key = Some(OrderKey("a".into()));
-    let first = sent(&bed.ask_with(1, key))[0];
-    assert!(sent(&bed.ask_with(2, key)).is_empty() && sent(&bed.ask_with(3, key)).is_empty());
-    // From now on only where the first one is not.
-    let other = KindId(if first.1 == 1 { 1 } else { 0 });
-    let actions = bed.feed(ruled(&s, Some(vec![other]), s.budget.clone()));
-    assert!(sent(&actions).is_empty() && !refused(&actions, 2) && !refused(&actions, 3), "{actions:?}");
-    assert_eq!(sent(&bed.answer(1, Outcome::Ok)), [(2, 3 - first.1)]);
-    assert_eq!(sent(&bed.answer(2, Outcome::Ok)), [(3, 3 - first.1)]);
+    let mut settings = settings(ordered);
+    settings.kinds.push(settings.kinds[0].clone());
+    let entries = vec![engine_entry(1), EngineEntry { kind: KindId(1), ..engine_entry(2) }];
+    let mut gateway = TestGateway::new(settings.clone(), entries);
+    let first_engine = dispatches(&gateway.request_with(1, with_key))[0].1;
+    assert!(dispatches(&gateway.request_with(2, with_key)).is_empty());
+    assert!(dispatches(&gateway.request_with(3, with_key)).is_empty());
+    // The new rules allow only the kind of machine that the first request does not run on.
+    let other_kind = KindId(if first_engine == 1 { 1 } else { 0 });
+    let actions = gateway.handle(rules_event(&settings, Some(vec![other_kind]), settings.budget.clone()));
+    assert!(dispatches(&actions).is_empty(), "{actions:?}");
+    assert!(!is_refused(&actions, 2) && !is_refused(&actions, 3), "{actions:?}");
+    assert_eq!(dispatches(&gateway.answer(1, Outcome::Ok)), [(2, 3 - first_engine)]);
+    assert_eq!(dispatches(&gateway.answer(2, Outcome::Ok)), [(3, 3 - first_engine)]);
 }
 
-/// What is projected for a loss: of each class the part that is told is let in, of own clients and of guests, and who is turned
-/// away hears so at once, with a time to come back. What is bound to its engine is always let in.
+/// The fraction of each class that a forecast leaves is admitted, for own clients and for guests. The rest is refused
+/// at once with advice when to retry. Pinned requests are always admitted.
 #[test]
-fn of_each_class_the_part_that_is_told_is_let_in_and_the_rest_is_refused_at_once() {
+fn requests_beyond_the_admitted_fraction_are_refused_at_once() {
     let mut settings = settings(class(Effect::Repeatable));
     settings.retry_advice = Some(30 * SECOND);
-    let mut bed = Bed::new(settings, (1..=4).map(entry).collect());
-    bed.feed(Event::Keep { own: vec![0.25], guests: vec![0.0], back: 2 * SECOND });
-    let mut turned_away = Vec::new();
+    let mut gateway = TestGateway::new(settings, (1..=4).map(engine_entry).collect());
+    gateway.handle(Event::Keep { own: vec![0.25], guests: vec![0.0], back: 2 * SECOND });
+    let mut retry_advice = Vec::new();
     for id in 0..400 {
-        for action in bed.ask(id) {
+        for action in gateway.request(id) {
             if let Action::Refuse { retry_after, .. } = action {
-                turned_away.push(retry_after);
+                retry_advice.push(retry_after);
             }
         }
-        bed.answer(id, Outcome::Ok);
-        bed.pass(SECOND / 10);
+        gateway.answer(id, Outcome::Ok);
+        gateway.advance(SECOND / 10);
     }
-    assert!((270..=330).contains(&turned_away.len()), "{}", turned_away.len());
-    assert!(turned_away.iter().all(|advice| (SECOND..=3 * SECOND).contains(advice)), "{turned_away:?}");
-    let guest = |bed: &Bed, id: u64, pin: Option<Pin>| Request {
-        id: RequestId(id),
-        class: ClassId(0),
-        tenant: TenantId(0),
-        cost: 100_000,
-        memory_mb: 64.0,
-        group: GroupId(0),
-        key: None,
-        is_retry: false,
-        marked: false,
-        pin,
-        due: bed.now + 5 * SECOND,
+    assert!((270..=330).contains(&retry_advice.len()), "{}", retry_advice.len());
+    assert!(retry_advice.iter().all(|span| (SECOND..=3 * SECOND).contains(span)), "{retry_advice:?}");
+    let guest = |gateway: &TestGateway, id: u64, pin: Option<Pin>| {
+        Event::Guest(Request {
+            id: RequestId(id),
+            class: ClassId(0),
+            tenant: TenantId(0),
+            cost: 100_000,
+            memory_mb: 64.0,
+            group: GroupId(0),
+            key: None,
+            is_retry: false,
+            marked: false,
+            pin,
+            due: gateway.now + 5 * SECOND,
+        })
     };
-    let free = Event::Guest(guest(&bed, 1_000, None));
-    assert!(refused(&bed.feed(free), 1_000));
+    let unpinned = guest(&gateway, 1_000, None);
+    assert!(is_refused(&gateway.handle(unpinned), 1_000));
     let pin = Pin { engine: EngineId(1), reserve: false, finishing: false };
-    let pinned = Event::Guest(guest(&bed, 1_001, Some(pin)));
-    assert!(!refused(&bed.feed(pinned), 1_001));
-    // Nothing told: all are let in again.
-    bed.feed(Event::Keep { own: vec![], guests: vec![], back: 0 });
+    let pinned = guest(&gateway, 1_001, Some(pin));
+    assert!(!is_refused(&gateway.handle(pinned), 1_001));
+    // Without fractions all requests are admitted again.
+    gateway.handle(Event::Keep { own: vec![], guests: vec![], back: 0 });
     for id in 2_000..2_040 {
-        assert!(!refused(&bed.ask(id), id));
-        bed.answer(id, Outcome::Ok);
-        bed.pass(SECOND / 10);
+        assert!(!is_refused(&gateway.request(id), id));
+        gateway.answer(id, Outcome::Ok);
+        gateway.advance(SECOND / 10);
     }
 }
