--- a/tests/adopted.rs
+++ b/tests/adopted.rs
@@ -216,7 +216,10 @@
     assert!(dispatches(&adopt_with(&mut gateway, 3, 0, None, with_key)).is_empty());
     assert!(dispatches(&adopt_with(&mut gateway, 4, 0, None, with_key)).is_empty());
     let actions = answer(&mut gateway, 2, 0, Outcome::Ok);
-    assert!(dispatches(&actions).is_empty(), "the key cools down, since earlier attempts are unknown");
+    assert!(
+        dispatches(&actions).is_empty(),
+        "a cooldown at the other gateway is unknown, so one starts here"
+    );
     let mut order = Vec::new();
     let mut next = dispatches(&gateway.advance(SECOND));
     while let Some((id, _)) = next.pop() {
