--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs gateways of the `violetward` library for a simulator: reads one JSON batch of events per line from standard
-//! input and writes one JSON reply per line to standard output.
+//! Runs gateways of the `violetward` library for a simulator: reads one JSON batch of events per line from
+//! standard input and writes one JSON reply per line to standard output.
 
 mod wire;
 
@@ -11,14 +11,16 @@
 use violetward::{Action, EngineId, Event, Gateway};
 use wire::{Batch, GatewayReply, InputEvent, Output, Reply};
 
-/// One gateway with the addresses of all engines that its lists have named, by the engine ids built from them.
+/// One gateway with the addresses of all engines that its lists have named, by the engine ids built from
+/// them.
 struct Instance {
     gateway: Gateway,
     addresses: BTreeMap<EngineId, String>,
 }
 
 impl Instance {
-    /// Passes an event to the gateway and appends its actions; a panic of the gateway becomes a `Crash` output.
+    /// Passes an event to the gateway and appends its actions; a panic of the gateway becomes a `Crash`
+    /// output.
     fn handle(&mut self, now: u64, event: Event, output: &mut Vec<Output>) {
         let mut actions: Vec<Action> = Vec::new();
         let result = catch_unwind(AssertUnwindSafe(|| self.gateway.handle(now, event, &mut actions)));
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,4 +1,5 @@
-//! The JSON messages of the wire and their translation to events and from actions of the `violetward` library.
+//! The JSON messages of the wire and their translation to events and from actions of the `violetward`
+//! library.
 
 use std::collections::BTreeMap;
 
@@ -220,7 +221,8 @@
 }
 
 /// Splits `Stats` into the measured work and the memory in MB: the work in milliseconds times
-/// [`STATS_MEMORY_STEPS`], plus the memory in steps of [`STATS_MEMORY_STEP_MB`]. 0 means that neither is known.
+/// [`STATS_MEMORY_STEPS`], plus the memory in steps of [`STATS_MEMORY_STEP_MB`]. 0 means that neither is
+/// known.
 fn unpack_stats(stats: u64) -> (Option<vw::Micros>, Option<f64>) {
     if stats == 0 {
         return (None, None);
@@ -254,8 +256,8 @@
     vw::Event::Engines { kind, entries: lines.iter().map(entry).collect() }
 }
 
-/// Translates an event that depends on no state of the adapter; `None` for a note of an unknown code. The events that
-/// set up a gateway or its engine list depend on such state and are errors here.
+/// Translates an event that depends on no state of the adapter; `None` for a note of an unknown code. The
+/// events that set up a gateway or its engine list depend on such state and are errors here.
 pub fn stateless_event(event: InputEvent) -> Result<Option<vw::Event>, String> {
     Ok(Some(match event {
         InputEvent::Req {
--- a/adapter/tests/wire.rs
+++ b/adapter/tests/wire.rs
@@ -3,11 +3,12 @@
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-const SETTINGS: &str = r#"{"NInstances":1,"Classes":[{"AimUs":1000000,"Effect":"repeatable","HardLimitUs":5000000,
-"Worth":1}],"Contract":{"ColdFrom":0.3,"ColdUs":1,"FallMultiple":4,"TipAfterUs":1},"Limits":{"AttemptsCap":3},
+const SETTINGS: &str = r#"{"NInstances":1,"Classes":[{"AimUs":1000000,"Effect":"repeatable",
+"HardLimitUs":5000000,"Worth":1}],"Contract":{"ColdFrom":0.3,"ColdUs":1,"FallMultiple":4,"TipAfterUs":1},"Limits":{"AttemptsCap":3},
 "FamilyInfo":{"SizeCores":[8],"MemoryByKindMb":[1000],"GrantCap":0.4,"GrantsCount":true},"QuantumUs":5000}"#;
 
-/// Feeds the lines to an adapter and returns whether it succeeded, its standard output and its standard error.
+/// Feeds the lines to an adapter and returns whether it succeeded, its standard output and its standard
+/// error.
 fn run_adapter(lines: &[String]) -> (bool, String, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_violetward-adapter"))
         .stdin(Stdio::piped())
--- a/tests/adopted.rs
+++ b/tests/adopted.rs
@@ -30,7 +30,8 @@
     }
 }
 
-/// Adopts a request after `attempts` attempts. If `engine` is given, the last of them has been in flight there for 1 s.
+/// Adopts a request after `attempts` attempts. If `engine` is given, the last of them has been in flight
+/// there for 1 s.
 fn adopt(gateway: &mut TestGateway, id: u64, attempts: u32, engine: Option<u64>) -> Vec<Action> {
     adopt_with(gateway, id, attempts, engine, |_| {})
 }
@@ -87,7 +88,8 @@
     assert!(is_refused(&gateway.request(60), 60));
 }
 
-/// No outcome proves here that an adopted attempt has not run: the other gateway may have written it to the connection.
+/// No outcome proves here that an adopted attempt has not run: the other gateway may have written it to the
+/// connection.
 #[test]
 fn adopted_request_that_must_not_run_twice_fails_after_any_outcome() {
     let session_pin = Pin { engine: EngineId(1), reserve: false, finishing: false };
@@ -167,7 +169,8 @@
     let mut settings = settings(class(Effect::Repeatable));
     settings.budget = Some(AttemptBudget { free: 2.0, per_request: 1.0, window: 5 * SECOND });
     let mut gateway = TestGateway::new(settings, (1..9).map(engine_entry).collect());
-    // The budget is neither charged for attempts of other gateways nor credited for requests that they accepted.
+    // The budget is neither charged for attempts of other gateways nor credited for requests that they
+    // accepted.
     for id in 0..6 {
         adopt(&mut gateway, id, 2, Some(1));
     }
@@ -198,8 +201,8 @@
     let mut settings = settings(ordered);
     settings.key_rest = SECOND / 2;
     let mut gateway = TestGateway::new(settings, vec![engine_entry(1)]);
-    // The order is: an adopted attempt in flight, requests adopted while waiting in the order of adoption, then requests
-    // of this gateway's clients.
+    // The order is: an adopted attempt in flight, requests adopted while waiting in the order of adoption,
+    // then requests of this gateway's clients.
     for id in 100..108 {
         adopt(&mut gateway, id, 1, Some(1));
     }
@@ -229,8 +232,8 @@
     assert_eq!(order, [3, 4, 1]);
 }
 
-/// The time that an adopted attempt was in flight for another gateway counts neither as silence of its engine nor as
-/// slowness.
+/// The time that an adopted attempt was in flight for another gateway counts neither as silence of its engine
+/// nor as slowness.
 #[test]
 fn time_before_the_adoption_does_not_count_against_the_engine() {
     let mut gateway = TestGateway::with_engines(Effect::Repeatable, 3);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -26,7 +26,8 @@
     }
 }
 
-/// Settings of a single gateway with one class, two equal kinds of machine, and neither tenants, probes nor a budget.
+/// Settings of a single gateway with one class, two equal kinds of machine, and neither tenants, probes nor a
+/// budget.
 pub fn settings(class: Class) -> Settings {
     Settings {
         me: PeerId(0),
@@ -122,7 +123,8 @@
         actions
     }
 
-    /// Moves the clock on by `span`, fires the timers that are due on the way and returns the actions of all of them.
+    /// Moves the clock on by `span`, fires the timers that are due on the way and returns the actions of all
+    /// of them.
     pub fn advance(&mut self, span: Micros) -> Vec<Action> {
         let end = self.now + span;
         let mut actions = Vec::new();
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -7,8 +7,8 @@
 use common::*;
 use violetward::*;
 
-/// Sends `count` requests one after another, ends each of their attempts with the outcome of its engine and returns the
-/// engines of all attempts.
+/// Sends `count` requests one after another, ends each of their attempts with the outcome of its engine and
+/// returns the engines of all attempts.
 fn run_requests(
     gateway: &mut TestGateway,
     first_id: u64,
@@ -327,8 +327,8 @@
             gateway.advance(100_000);
         }
     }
-    // All gateways together may send 4 × 0.3 × 4 cores × 1 s in any second, which is 48 light queries; the loop allows
-    // twice that.
+    // All gateways together may send 4 × 0.3 × 4 cores × 1 s in any second, which is 48 light queries; the
+    // loop allows twice that.
     assert!((1..=96).contains(&queries), "{queries} queries within a second to an engine that may be cold");
 }
 
@@ -405,8 +405,8 @@
     );
 }
 
-/// Whether an engine is quarantined for silence within 1.4 s after a long query was sent there, with one of these notes
-/// every 0.2 s.
+/// Whether an engine is quarantined for silence within 1.4 s after a long query was sent there, with one of
+/// these notes every 0.2 s.
 fn is_quarantined_after(gateway: &mut TestGateway, notes: &[Note]) -> bool {
     gateway.request_with(1, |r| r.cost = 900_000);
     for step in 0..7 {
@@ -425,7 +425,8 @@
     assert!(!is_quarantined_after(&mut gateway_with_notes(|_| {}), &notes));
 }
 
-/// Guards against a gateway that takes its own stall, in which it handles no events, for silence of its engines.
+/// Guards against a gateway that takes its own stall, in which it handles no events, for silence of its
+/// engines.
 #[test]
 fn stall_of_the_gateway_quarantines_no_engine() {
     for stalled in [false, true] {
@@ -543,7 +544,8 @@
     for &start in &sent_to_cold_at {
         let in_window = sent_to_cold_at.iter().filter(|&&at| start <= at && at < start + SECOND).count();
         let work = 2.0 * in_window as f64;
-        // The capacity at that time if the engine warms evenly: from 0.3 of its 4 cores to all of them in 15 s.
+        // The capacity at that time if the engine warms evenly: from 0.3 of its 4 cores to all of them in 15
+        // s.
         let cores = 4.0 * (0.3 + 0.7 * (start - 100 * SECOND) as f64 / (15 * SECOND) as f64);
         // Gateways send whole queries, so that chance may add one of 2 s.
         assert!(work <= 4.0 * cores + 2.0, "{work} s of work sent within a second at {start}, {cores} cores");
@@ -586,8 +588,9 @@
     assert!(gateway.actions().iter().all(is_finite_grant));
 }
 
-/// Gateways prefer the same engines for a group of tables, since these have read it before. They do not where load is not
-/// reported, nor for a class that waits for loads, since a load on such an engine would hold its queries up.
+/// Gateways prefer the same engines for a group of tables, since these have read it before. They do not where
+/// load is not reported, nor for a class that waits for loads, since a load on such an engine would hold its
+/// queries up.
 #[test]
 fn gateways_send_a_group_to_the_same_engines_unless_load_is_unknown_or_loads_block_queries() {
     let chosen_engine = |number: u64, reports, waits_for_loads| {
@@ -646,7 +649,8 @@
 #[test]
 fn gateway_with_the_traffic_of_failed_ones_exceeds_its_even_share() {
     let mut gateway = gateway_of_fleet(0, 100, (1..=10).map(engine_entry).collect());
-    // Sends twenty requests at once and returns the number not refused; the engines serve all of them within 0.3 s.
+    // Sends twenty requests at once and returns the number not refused; the engines serve all of them within
+    // 0.3 s.
     let mut accepted = |first_id: u64| {
         let ids = first_id..first_id + 20;
         let is_accepted = |id: &u64| !is_refused(&gateway.request_with(*id, |r| r.cost = 400_000), *id);
@@ -707,7 +711,8 @@
     assert!(reset * 2 <= calm, "{reset} after resets, {calm} without: resets must make an engine cold");
 }
 
-/// The number of queries that one of three gateways runs at once while engines report this fraction of their cores busy.
+/// The number of queries that one of three gateways runs at once while engines report this fraction of their
+/// cores busy.
 fn in_flight_at_reported_load(busy_cores: f64) -> usize {
     let mut settings = settings(class(Effect::Repeatable));
     (settings.gateways, settings.load_reports) = (3, LoadReports::WithAnswers);
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -1,8 +1,9 @@
-//! Simulates a whole fleet on a virtual clock, without sockets: each gateway runs the decision module, each engine is a
-//! queue of queries.
+//! Simulates a whole fleet on a virtual clock, without sockets: each gateway runs the decision module, each
+//! engine is a queue of queries.
 //!
-//! Gateways do not communicate with each other; they get requests, engine lists and answers as events. All dispatches to
-//! each engine are recorded, so that a test can compare the load from all gateways with the limit of a cold engine.
+//! Gateways do not communicate with each other; they get requests, engine lists and answers as events. All
+//! dispatches to each engine are recorded, so that a test can compare the load from all gateways with the
+//! limit of a cold engine.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -219,7 +220,8 @@
         -mean * self.next_unit().ln()
     }
 
-    /// A sample of the log-normal distribution with this mean; `sigma` is the standard deviation of the logarithm.
+    /// A sample of the log-normal distribution with this mean; `sigma` is the standard deviation of the
+    /// logarithm.
     fn log_normal(&mut self, mean: f64, sigma: f64) -> f64 {
         let normal = (-2.0 * self.next_unit().ln()).sqrt() * (std::f64::consts::TAU * self.next_unit()).cos();
         mean * (sigma * normal - sigma * sigma / 2.0).exp()
@@ -242,7 +244,8 @@
         self.settings.kinds[0].cores
     }
 
-    /// Number of requests of mean work that a cold engine may get within one overload span, `age` after its start.
+    /// Number of requests of mean work that a cold engine may get within one overload span, `age` after its
+    /// start.
     pub fn cold_limit(&self, age: Micros) -> f64 {
         let span = self.settings.fall_span as f64;
         self.settings.fall_multiple * self.cores() * self.warmth(age) * span / self.mean_work()
@@ -457,7 +460,8 @@
         self.handle(gateway, self.nodes[gateway].incarnation, Event::Request(request));
     }
 
-    /// Passes an event to a gateway, unless the gateway has restarted since `incarnation`, and performs its actions.
+    /// Passes an event to a gateway, unless the gateway has restarted since `incarnation`, and performs its
+    /// actions.
     fn handle(&mut self, gateway: usize, incarnation: u32, event: Event) {
         let node = &mut self.nodes[gateway];
         let Some(module) = node.gateway.as_mut().filter(|_| node.incarnation == incarnation) else { return };
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,6 +1,6 @@
-//! Cold engines under the load of a whole fleet. A cold engine becomes overloaded by the sum of what all gateways send,
-//! so these tests compare that sum, in every sliding window, with the limit that follows from the settings: at 5, 30 and
-//! 300 gateways with uneven traffic, restarts and late engine lists.
+//! Cold engines under the load of a whole fleet. A cold engine becomes overloaded by the sum of what all
+//! gateways send, so these tests compare that sum, in every sliding window, with the limit that follows from
+//! the settings: at 5, 30 and 300 gateways with uneven traffic, restarts and late engine lists.
 
 mod common;
 mod fleet;
@@ -8,20 +8,22 @@
 use fleet::*;
 use violetward::*;
 
-/// Measurements of one run, over all its cold engines. A window is one overload span; its limit is the number of requests
-/// of mean work that a cold engine may get in it.
+/// Measurements of one run, over all its cold engines. A window is one overload span; its limit is the number
+/// of requests of mean work that a cold engine may get in it.
 #[derive(Default)]
 struct Measurements {
-    /// The largest load of a window as a multiple of its limit, each request counted by the mean work of its class.
+    /// The largest load of a window as a multiple of its limit, each request counted by the mean work of its
+    /// class.
     peak: f64,
     /// The same, each request counted by its true work.
     peak_by_work: f64,
     /// The same, each request counted as one.
     peak_by_count: f64,
-    /// The largest excess of a window, in requests of mean work, over its limit and the margin for chance; negative if no
-    /// window exceeds them.
+    /// The largest excess of a window, in requests of mean work, over its limit and the margin for chance;
+    /// negative if no window exceeds them.
     excess: f64,
-    /// The same over windows of which more than two thirds came from gateways whose list had reported the start.
+    /// The same over windows of which more than two thirds came from gateways whose list had reported the
+    /// start.
     excess_notified: f64,
     /// Load of all cold engines as a fraction of what their limit allowed.
     utilization: f64,
@@ -98,8 +100,8 @@
     }
 }
 
-/// Light lookups, reports and loads, whose work varies widely and whose estimates are wrong by the class's bias. `scale`
-/// multiplies the work of all.
+/// Light lookups, reports and loads, whose work varies widely and whose estimates are wrong by the class's
+/// bias. `scale` multiplies the work of all.
 fn traffic(scale: f64) -> Vec<Traffic> {
     let class = |share, mean_work: f64, log_std_dev, estimate_bias| Traffic {
         share,
@@ -218,7 +220,8 @@
     ]
 }
 
-/// Runs all scenarios and names those in which notified gateways sent a cold engine more than its limit and chance allow.
+/// Runs all scenarios and names those in which notified gateways sent a cold engine more than its limit and
+/// chance allow.
 fn overloaded_scenarios(gateways: u32, profile: &LoadProfile, seed: u64) -> Vec<String> {
     let mut overloaded = Vec::new();
     println!(
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,6 @@
-//! The rules that bind every decision: one final answer for each request, effects and their windows, one attempt at a
-//! time, the engine list and placement limits, the budget of attempts, the limit of cold engines, and the order of keys.
+//! The rules that bind every decision: one final answer for each request, effects and their windows, one
+//! attempt at a time, the engine list and placement limits, the budget of attempts, the limit of cold
+//! engines, and the order of keys.
 
 mod common;
 use common::*;
@@ -125,8 +126,8 @@
 /// Seconds of work of one default request.
 const REQUEST_WORK_S: f64 = 0.1;
 
-/// Seconds of work that one gateway of four may send to a cold engine within the overload span: the whole fleet may send
-/// 4 × 0.3 × 4 cores × 0.85 × 1 s = 4.08 s.
+/// Seconds of work that one gateway of four may send to a cold engine within the overload span: the whole
+/// fleet may send 4 × 0.3 × 4 cores × 0.85 × 1 s = 4.08 s.
 const COLD_SHARE_OF_FOUR_S: f64 = 4.08 / 4.0;
 
 #[test]
@@ -145,8 +146,9 @@
     assert!(dispatched > 0);
 }
 
-/// Seconds of work that one gateway of four sends to a cold engine within the overload span, plus the work that `before`
-/// has sent and returns. The gateway knows the engine as warm until `before` passes it the cold entry.
+/// Seconds of work that one gateway of four sends to a cold engine within the overload span, plus the work
+/// that `before` has sent and returns. The gateway knows the engine as warm until `before` passes it the cold
+/// entry.
 fn work_sent_to_cold_engine(before: impl FnOnce(&mut TestGateway, EngineEntry) -> f64) -> f64 {
     let mut settings = settings(class(Effect::Repeatable));
     (settings.gateways, settings.budget) = (4, None);
@@ -170,8 +172,8 @@
     assert!(work > 0.0 && work <= COLD_SHARE_OF_FOUR_S, "{work}");
 }
 
-/// Guards against a gateway that forgets what it sent to a cold engine when a list leaves the engine out, and so sends
-/// its share once more when the engine is listed again.
+/// Guards against a gateway that forgets what it sent to a cold engine when a list leaves the engine out, and
+/// so sends its share once more when the engine is listed again.
 #[test]
 fn cold_engine_that_briefly_leaves_the_list_gets_no_second_share() {
     let work = work_sent_to_cold_engine(|gateway, cold| {
@@ -289,8 +291,8 @@
     assert!(is_refused(&gateway.actions(), 100));
 }
 
-/// The share of the fleet that is left to a gateway by the failures of others raises what may run at once on warm
-/// engines. A cold engine gets the even share at most, whatever is believed of the others.
+/// The share of the fleet that is left to a gateway by the failures of others raises what may run at once on
+/// warm engines. A cold engine gets the even share at most, whatever is believed of the others.
 #[test]
 fn fleet_share_changes_the_limit_of_warm_engines_and_never_raises_that_of_cold_ones() {
     let dispatched_at_once = |share: Option<f64>| {
@@ -336,8 +338,8 @@
     }
 }
 
-/// New rules leave no engine to a class: attempts in flight go on, requests that wait are refused at once, and requests
-/// are accepted again once the rules allow it.
+/// New rules leave no engine to a class: attempts in flight go on, requests that wait are refused at once,
+/// and requests are accepted again once the rules allow it.
 #[test]
 fn narrower_rules_refuse_waiting_requests_and_spare_attempts_in_flight() {
     let settings = settings(class(Effect::Repeatable));
@@ -377,7 +379,8 @@
     assert!(!is_refused(&gateway.request(103), 103));
 }
 
-/// Attempts made under a larger budget count against a smaller one: no retry goes out until they leave the window.
+/// Attempts made under a larger budget count against a smaller one: no retry goes out until they leave the
+/// window.
 #[test]
 fn lowered_budget_counts_attempts_made_before() {
     let mut settings = settings(class(Effect::Repeatable));
@@ -400,8 +403,8 @@
     assert_eq!(retries(&mut gateway, 10..16), 3);
 }
 
-/// The rules change while requests of one key are queued: the attempt in flight goes on where it is, and the next
-/// requests go, in order, where the new rules allow them.
+/// The rules change while requests of one key are queued: the attempt in flight goes on where it is, and the
+/// next requests go, in order, where the new rules allow them.
 #[test]
 fn order_of_a_key_holds_across_new_rules() {
     let mut ordered = class(Effect::Keyed { scope: KeyScope::All, window: 20 * SECOND });
@@ -422,8 +425,8 @@
     assert_eq!(dispatches(&gateway.answer(2, Outcome::Ok)), [(3, 3 - first_engine)]);
 }
 
-/// The fraction of each class that a forecast leaves is admitted, for own clients and for guests. The rest is refused
-/// at once with advice when to retry. Pinned requests are always admitted.
+/// The fraction of each class that a forecast leaves is admitted, for own clients and for guests. The rest is
+/// refused at once with advice when to retry. Pinned requests are always admitted.
 #[test]
 fn requests_beyond_the_admitted_fraction_are_refused_at_once() {
     let mut settings = settings(class(Effect::Repeatable));
