--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -279,9 +279,9 @@
             group: vw::GroupId(source_set as u64),
             key: order_key.map(vw::OrderKey),
             is_retry,
-            marked: true,
+            has_dedup_key: true,
             pin: None,
-            due: due_us,
+            deadline: due_us,
         }),
         InputEvent::Lapsed { job } => vw::Event::Lapsed(request_id(&job)?),
         InputEvent::Streaming { job } => vw::Event::Streaming(request_id(&job)?),
@@ -291,7 +291,7 @@
             load: load_from_stats(&server_stats),
         },
         InputEvent::NoteFrom { neighbour, data } => {
-            vw::Event::Heard { from: vw::PeerId(neighbour), text: data }
+            vw::Event::PeerMessage { from: vw::PeerId(neighbour), text: data }
         }
         InputEvent::Answer { job, send_no, reason, time_taken_us, complete, stats, server_stats } => {
             let (work, memory_mb) = unpack_stats(stats);
@@ -354,7 +354,7 @@
         vw::Action::Fail(id) => Output::Abort { job: job(id) },
         vw::Action::Cancel { id, attempt } => Output::Cancel { job: job(id), send_no: attempt },
         vw::Action::Probe(engine) => Output::SoundOut { node: addresses.get(&engine)?.clone() },
-        vw::Action::Tell(text) => Output::Announce { dst: "all", data: text },
+        vw::Action::Broadcast(text) => Output::Announce { dst: "all", data: text },
         vw::Action::Arm { handle, span } => Output::Arm { handle, span_us: span },
         vw::Action::Subscribe => Output::Tail { active: true },
         vw::Action::FetchList => Output::Lookup {},
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,25 +1,27 @@
-//! The query gateway: fronts that clients speak to, the core that owns the decisions, and engine connections.
+//! The query gateway: the fronts that clients connect to, the core that decides, and the connections to
+//! engines.
 //!
-//! Free of I/O and clock: [`core`] and what it stands on, [`terms`], [`record`] and [`rules`], which know no syntax; [`forms`]
-//! and what is read from it, [`config`] and [`list`]. What moves bytes: [`host`] (the core's
-//! effects, timers, probes), [`engine`] (one attempt on one engine), [`front`] (the statement API), [`notebook`]
-//! (a notebook kernel), [`watch`] (the
-//! engine list's file), [`peers`] (datagrams among gateways); [`service`] ties them together.
+//! The following modules perform no I/O and read no clock: [`core`], [`sessions`], and the terms they work
+//! with, [`terms`], [`record`] and [`rules`], which are independent of any syntax; [`forms`], the reader of
+//! S-expressions, and what is read with it, [`config`] and [`list`].
+//!
+//! The I/O is done by [`host`] (effects of the core, timers, probes), [`engine`] (an attempt on an engine),
+//! [`front`] (the statement API), [`notebook`] (a notebook kernel), [`watch`] (the file of the engine list)
+//! and [`peers`] (datagrams between gateways). [`service`] starts and stops them.
 
 pub mod agreed;
-mod asking;
 pub mod config;
 pub mod core;
 pub mod custody;
 pub mod custody_terms;
 pub mod engine;
+mod fetch;
 pub mod forms;
 pub mod front;
 pub mod host;
 pub mod list;
 pub mod membership;
 pub mod metrics;
-pub mod moment;
 pub mod notebook;
 pub mod outage;
 pub mod peers;
@@ -28,6 +30,7 @@
 pub mod service;
 pub mod sessions;
 pub mod terms;
+pub mod timestamp;
 pub mod updates;
 pub mod watch;
 pub mod windows;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,5 +1,5 @@
-//! `GET /metrics`: the gateway's counts in the usual exposition (OpenMetrics text), read when they are asked for. Nothing is kept
-//! for it, and a label has no more values than there are kinds of endings, states or classes.
+//! `GET /metrics`: the gateway's counters and gauges in OpenMetrics text format, collected at each request. A
+//! label has no more values than there are kinds of endings, member states or classes.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,23 +13,25 @@
 
 use crate::host::Host;
 
-/// The type of the text.
-pub const TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+/// Content type of the exposition.
+pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// What is told, as it stood at one moment.
+/// Values of all metrics at the time of the request.
 #[derive(Debug)]
 struct Snapshot {
-    /// Statements by how they ended.
+    /// Statements by ending.
     endings: [(&'static str, u64); 6],
+    /// Name, help text and value of each counter.
     counters: Vec<(&'static str, &'static str, u64)>,
+    /// Name, help text and value of each gauge.
     gauges: Vec<(&'static str, &'static str, f64)>,
-    /// Members by what is believed of them.
+    /// Members of the fleet by state.
     members: BTreeMap<&'static str, i64>,
 }
 
 impl Snapshot {
     fn new(host: &Rc<Host>, connections: usize) -> Snapshot {
-        let (counts, open, held) = host.look(|core| (core.counts, core.open(), core.held()));
+        let (counts, open, held) = host.read_core(|core| (core.counts, core.open(), core.held()));
         let mut counters = vec![
             ("statements_taken", "Statements taken", counts.taken),
             ("attempts", "Attempts sent to engines", counts.attempts),
@@ -117,18 +119,18 @@
             let metric = ConstGauge::new(value);
             metric.encode(encoder.encode_descriptor(name, help, None, metric.metric_type())?)?;
         }
-        let one = ConstCounter::new(0_u64);
+        let counter = ConstCounter::new(0_u64);
         let help = "Statements by how they ended";
-        let mut family = encoder.encode_descriptor("statements_ended", help, None, one.metric_type())?;
+        let mut family = encoder.encode_descriptor("statements_ended", help, None, counter.metric_type())?;
         for (ending, value) in self.endings {
             ConstCounter::new(value).encode(family.encode_family(&[("ending", ending)])?)?;
         }
         if self.members.is_empty() {
             return Ok(());
         }
-        let one = ConstGauge::new(0_i64);
+        let gauge = ConstGauge::new(0_i64);
         let help = "Other gateways by what is believed of them";
-        let mut family = encoder.encode_descriptor("members", help, None, one.metric_type())?;
+        let mut family = encoder.encode_descriptor("members", help, None, gauge.metric_type())?;
         for (&state, &count) in &self.members {
             ConstGauge::new(count).encode(family.encode_family(&[("state", state)])?)?;
         }
@@ -136,12 +138,12 @@
     }
 }
 
-/// The text.
-pub fn text(host: &Rc<Host>, connections: usize) -> String {
+/// Renders the exposition.
+pub fn render(host: &Rc<Host>, connections: usize) -> String {
     let mut registry = Registry::with_prefix("violetward");
     registry.register_collector(Box::new(Snapshot::new(host, connections)));
     let mut text = String::new();
-    // Only a name that OpenMetrics does not allow could fail, and a test reads them all.
+    // Encoding fails only for names that OpenMetrics does not allow, and a test reads all of them.
     prometheus_client::encoding::text::encode(&mut text, &registry).ok();
     text
 }
--- a/tests/adopted.rs
+++ b/tests/adopted.rs
@@ -24,9 +24,9 @@
         group: GroupId(id % 3),
         key: None,
         is_retry: false,
-        marked: false,
+        has_dedup_key: false,
         pin: None,
-        due: gateway.now + 5 * SECOND,
+        deadline: gateway.now + 5 * SECOND,
     }
 }
 
@@ -92,7 +92,7 @@
 /// connection.
 #[test]
 fn adopted_request_that_must_not_run_twice_fails_after_any_outcome() {
-    let session_pin = Pin { engine: EngineId(1), reserve: false, finishing: false };
+    let session_pin = Pin { engine: EngineId(1), uses_reserve: false, finishing: false };
     for outcome in MAY_HAVE_RUN.into_iter().chain(HAS_NOT_RUN) {
         for attempts in 1..=2 {
             for pin in [None, Some(session_pin)] {
@@ -118,7 +118,7 @@
     // The engine of the retry, if there is one, when the adopted attempt breaks after `wait`.
     let retry_engine = |scope, attempts, engine, wait: Micros| {
         let mut gateway = TestGateway::new(settings(class(keyed(scope))), vec![engine_entry(1), far.clone()]);
-        let mut actions = adopt_with(&mut gateway, 1, attempts, engine, |r| r.due += 60 * SECOND);
+        let mut actions = adopt_with(&mut gateway, 1, attempts, engine, |r| r.deadline += 60 * SECOND);
         gateway.now += wait;
         if engine.is_some() {
             actions = answer(&mut gateway, 1, attempts - 1, Outcome::Reset);
@@ -199,7 +199,7 @@
     let mut ordered = class(keyed(KeyScope::All));
     ordered.in_order = true;
     let mut settings = settings(ordered);
-    settings.key_rest = SECOND / 2;
+    settings.key_cooldown = SECOND / 2;
     let mut gateway = TestGateway::new(settings, vec![engine_entry(1)]);
     // The order is: an adopted attempt in flight, requests adopted while waiting in the order of adoption,
     // then requests of this gateway's clients.
@@ -240,7 +240,7 @@
     gateway.now += 60 * SECOND;
     let (sent, until) = (gateway.now - 60 * SECOND, gateway.now + 60 * SECOND);
     let out = AdoptedAttempt { engine: EngineId(1), sent, until };
-    let request = Request { due: until, ..request(&gateway, 1) };
+    let request = Request { deadline: until, ..request(&gateway, 1) };
     gateway.handle(Event::Adopted { request, attempts: 1, out: Some(out) });
     let quarantined = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Log(_)));
     assert!(!quarantined(&gateway.advance(SECOND / 2)), "this gateway has waited for 0.5 s only");
@@ -273,7 +273,7 @@
             answer(&mut gateway, id, 0, Outcome::Declined);
         }
         // Requests with this pin are admitted whatever the debt that the adopted attempts have left.
-        let pin = Some(Pin { engine: EngineId(1), reserve: true, finishing: false });
+        let pin = Some(Pin { engine: EngineId(1), uses_reserve: true, finishing: false });
         let request_and_answer = |id| {
             let first = dispatches(&gateway.request_with(id, |r| r.pin = pin)).len();
             gateway.now += 2_000;
@@ -302,7 +302,7 @@
     assert!(adopt_raw(&mut gateway, 4, 0, 1, None).is_empty(), "a repeated event is ignored");
     assert!(is_failed(&answer(&mut gateway, 4, u32::MAX - 2, Outcome::Full), 4));
     let mut gateway_of_keyed = TestGateway::with_engines(keyed(KeyScope::All), 1);
-    let request = Request { due: Micros::MAX, ..request(&gateway_of_keyed, 1) };
+    let request = Request { deadline: Micros::MAX, ..request(&gateway_of_keyed, 1) };
     gateway_of_keyed.handle(Event::Adopted { request, attempts: 1, out: Some(endless) });
     gateway_of_keyed.now += 21 * SECOND;
     let actions = answer(&mut gateway_of_keyed, 1, 0, Outcome::Reset);
--- a/tests/failures.rs
+++ b/tests/failures.rs
@@ -136,15 +136,15 @@
     settings.kinds = vec![Kind { cores: 0.0, memory_mb: f64::NAN }];
     settings.gateways = 0;
     settings.classes[0].worth = f64::NAN;
-    settings.classes[0].aim_stretch = f64::INFINITY;
-    settings.fall_multiple = f64::MAX;
+    settings.classes[0].target_stretch = f64::INFINITY;
+    settings.overload_multiple = f64::MAX;
     settings.tenants = vec![Tenant { quota_per_s: 0.0 }];
     let mut gateway =
         TestGateway::new(settings, vec![EngineEntry { weight: 0.0, kind: KindId(9), ..engine_entry(1) }]);
     for (id, cost) in [(1, 0), (2, u64::MAX), (3, 1)] {
         gateway.request_with(id, |r| (r.cost, r.memory_mb) = (cost, f64::MAX));
     }
-    gateway.request_with(4, |r| r.due = u64::MAX);
+    gateway.request_with(4, |r| r.deadline = u64::MAX);
     gateway.request_with(5, |r| r.class = ClassId(77));
     gateway.advance(6 * SECOND);
     assert!(gateway.actions().iter().all(is_finite_grant));
@@ -191,7 +191,7 @@
 #[test]
 fn gateway_polls_the_engine_list_within_the_required_interval() {
     let mut settings = settings(class(Effect::Repeatable));
-    settings.ask_within = Some(9 * SECOND);
+    settings.list_poll_interval = Some(9 * SECOND);
     let mut gateway = TestGateway::new(settings, vec![engine_entry(1)]);
     assert!(gateway.actions().contains(&Action::Subscribe));
     gateway.advance(10 * SECOND);
@@ -226,7 +226,7 @@
 fn gateway_of_fleet(number: u64, gateways: u32, engines: Vec<EngineEntry>) -> TestGateway {
     let heavy = Class { threads: 4, worth: 4.0, ..class(Effect::Repeatable) };
     let mut settings = settings(class(Effect::Repeatable));
-    settings.me = PeerId(number);
+    settings.own_id = PeerId(number);
     settings.gateways = gateways;
     settings.classes.push(heavy);
     TestGateway::new(settings, engines)
@@ -448,7 +448,7 @@
 #[test]
 fn slow_engine_lowers_the_thread_limit_where_cost_is_not_reported() {
     let mut settings = settings(class(Effect::Repeatable));
-    settings.tells_cost = false;
+    settings.reports_cost = false;
     let in_flight = |slow: bool| {
         let mut gateway = TestGateway::new(settings.clone(), vec![engine_entry(1)]);
         for id in 0..120 {
@@ -459,7 +459,7 @@
             gateway.advance(200_000);
         }
         (200..240)
-            .map(|id| dispatches(&gateway.request_with(id, |r| r.due += 60 * SECOND)).len())
+            .map(|id| dispatches(&gateway.request_with(id, |r| r.deadline += 60 * SECOND)).len())
             .sum::<usize>()
     };
     let (usual, slow) = (in_flight(false), in_flight(true));
@@ -555,7 +555,7 @@
 #[test]
 fn retry_advice_is_bounded_and_spread() {
     let mut settings = settings(class(Effect::Repeatable));
-    settings.retry_advice = Some(60 * SECOND);
+    settings.max_retry_after = Some(60 * SECOND);
     let mut gateway = TestGateway::new(settings, vec![engine_entry(1)]);
     let actions: Vec<Action> =
         (0..60).flat_map(|id| gateway.request_with(id, |r| r.cost = 600_000)).collect();
@@ -595,7 +595,7 @@
 fn gateways_send_a_group_to_the_same_engines_unless_load_is_unknown_or_loads_block_queries() {
     let chosen_engine = |number: u64, reports, waits_for_loads| {
         let mut settings = settings(class(Effect::Repeatable));
-        (settings.me, settings.gateways, settings.load_reports) = (PeerId(number), 200, reports);
+        (settings.own_id, settings.gateways, settings.load_reports) = (PeerId(number), 200, reports);
         settings.classes[0].waits_for_loads = waits_for_loads;
         // Every gateway has a seed of its own.
         let mut gateway = TestGateway::seeded(settings, number, (1..=20).map(engine_entry).collect());
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -237,7 +237,7 @@
     /// Capacity of a cold engine as a fraction of that of a warm one, `age` after its start, by the settings.
     pub fn warmth(&self, age: Micros) -> f64 {
         let progress = (age as f64 / self.settings.cold_span as f64).min(1.0);
-        self.settings.cold_from + (1.0 - self.settings.cold_from) * progress
+        self.settings.cold_capacity + (1.0 - self.settings.cold_capacity) * progress
     }
 
     fn cores(&self) -> f64 {
@@ -247,8 +247,8 @@
     /// Number of requests of mean work that a cold engine may get within one overload span, `age` after its
     /// start.
     pub fn cold_limit(&self, age: Micros) -> f64 {
-        let span = self.settings.fall_span as f64;
-        self.settings.fall_multiple * self.cores() * self.warmth(age) * span / self.mean_work()
+        let span = self.settings.overload_span as f64;
+        self.settings.overload_multiple * self.cores() * self.warmth(age) * span / self.mean_work()
     }
 }
 
@@ -411,7 +411,7 @@
     }
 
     fn start_gateway(&mut self, gateway: usize) {
-        let settings = Settings { me: PeerId(gateway as u64), ..self.scenario.settings.clone() };
+        let settings = Settings { own_id: PeerId(gateway as u64), ..self.scenario.settings.clone() };
         let seed = self.rng.next_u64();
         self.nodes[gateway].gateway = Some(Gateway::new(settings, seed));
         self.nodes[gateway].incarnation += 1;
@@ -453,9 +453,9 @@
             group: GroupId(self.rng.next_u64() % 24),
             key: None,
             is_retry: false,
-            marked: true,
+            has_dedup_key: true,
             pin: None,
-            due: self.now + self.scenario.settings.classes[class].give_up,
+            deadline: self.now + self.scenario.settings.classes[class].client_timeout,
         };
         self.handle(gateway, self.nodes[gateway].incarnation, Event::Request(request));
     }
--- a/tests/pins.rs
+++ b/tests/pins.rs
@@ -5,7 +5,7 @@
 use violetward::*;
 
 fn pin(engine: u64) -> Pin {
-    Pin { engine: EngineId(engine), reserve: false, finishing: false }
+    Pin { engine: EngineId(engine), uses_reserve: false, finishing: false }
 }
 
 fn request_pinned(gateway: &mut TestGateway, id: u64, pin: Pin) -> Vec<Action> {
@@ -71,6 +71,6 @@
         gateway.request_with(id, |r| r.cost = SECOND);
     }
     assert!(is_refused(&request_pinned(&mut gateway, 1, pin(1)), 1), "the engine's debt is at its limit");
-    let reserve = Pin { reserve: true, ..pin(1) };
+    let reserve = Pin { uses_reserve: true, ..pin(1) };
     assert!(!is_refused(&gateway.request_with(2, |r| (r.pin, r.cost) = (Some(reserve), 1000)), 2));
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -38,7 +38,7 @@
 
 fn measure(scenario: &Scenario) -> Measurements {
     let fleet = Fleet::run(scenario.clone());
-    let window_span = scenario.settings.fall_span;
+    let window_span = scenario.settings.overload_span;
     let mut result = Measurements { excess: f64::MIN, excess_notified: f64::MIN, ..Measurements::default() };
     result.served = fleet.served as f64 / fleet.requested as f64;
     let (mut sent, mut allowed) = (0.0, 0.0);
@@ -75,9 +75,9 @@
 }
 
 fn settings(gateways: u32) -> Settings {
-    let class = |aim: Micros, give_up: Micros, worth: f64, threads: u32| Class {
-        aim,
-        give_up,
+    let class = |latency_target: Micros, client_timeout: Micros, worth: f64, threads: u32| Class {
+        latency_target,
+        client_timeout,
         worth,
         threads,
         ..common::class(Effect::Repeatable)
@@ -90,10 +90,10 @@
             class(1600 * MILLISECOND, 9 * SECOND, 6.0, 1),
         ],
         kinds: vec![Kind { cores: 8.0, memory_mb: 16_384.0 }],
-        cold_from: 0.31,
+        cold_capacity: 0.31,
         cold_span: 15 * SECOND,
-        fall_multiple: 4.0,
-        fall_span: 1_500 * MILLISECOND,
+        overload_multiple: 4.0,
+        overload_span: 1_500 * MILLISECOND,
         budget: Some(AttemptBudget { free: 5.0, per_request: 0.1, window: 5 * SECOND }),
         may_probe: true,
         ..common::settings(common::class(Effect::Repeatable))
@@ -115,7 +115,7 @@
 /// What determines the limit of cold engines and how hard gateways press against it.
 struct LoadProfile {
     name: &'static str,
-    fall_multiple: f64,
+    overload_multiple: f64,
     /// Factor on the work of [`traffic`].
     work_scale: f64,
     /// Traffic as a multiple of the capacity that the fleet has when warm.
@@ -123,12 +123,14 @@
 }
 
 /// A limit of about 100 requests of mean work per overload span, under a usual load.
-const USUAL_LOAD: LoadProfile = LoadProfile { name: "usual", fall_multiple: 4.0, work_scale: 1.0, load: 0.9 };
+const USUAL_LOAD: LoadProfile =
+    LoadProfile { name: "usual", overload_multiple: 4.0, work_scale: 1.0, load: 0.9 };
 /// A limit of about 50 requests, under a load far above it.
-const HIGH_LOAD: LoadProfile = LoadProfile { name: "high", fall_multiple: 2.0, work_scale: 1.0, load: 2.5 };
+const HIGH_LOAD: LoadProfile =
+    LoadProfile { name: "high", overload_multiple: 2.0, work_scale: 1.0, load: 2.5 };
 /// A limit of about 12 requests, under a load far above it.
 const HIGH_LOAD_OF_HEAVY_QUERIES: LoadProfile =
-    LoadProfile { name: "heavy", fall_multiple: 2.0, work_scale: 4.0, load: 2.5 };
+    LoadProfile { name: "heavy", overload_multiple: 2.0, work_scale: 4.0, load: 2.5 };
 
 const ENGINES: u64 = 10;
 
@@ -138,7 +140,7 @@
 fn scenario(gateways: u32, profile: &LoadProfile, seed: u64, events: Events) -> Scenario {
     Scenario {
         seed,
-        settings: Settings { fall_multiple: profile.fall_multiple, ..settings(gateways) },
+        settings: Settings { overload_multiple: profile.overload_multiple, ..settings(gateways) },
         traffic: traffic(profile.work_scale),
         engine_count: ENGINES,
         load: profile.load,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -209,7 +209,7 @@
     let mut ordered = class(Effect::Keyed { scope: KeyScope::All, window: 20 * SECOND });
     ordered.in_order = true;
     let mut settings = settings(ordered);
-    settings.key_rest = SECOND / 2;
+    settings.key_cooldown = SECOND / 2;
     let mut gateway = TestGateway::new(settings, vec![engine_entry(1), engine_entry(2)]);
     assert_eq!(dispatches(&gateway.request_with(1, with_key)).len(), 1);
     assert!(dispatches(&gateway.request_with(2, with_key)).is_empty());
@@ -267,7 +267,7 @@
 fn request_that_times_out_at_its_deadline_is_not_sent_to_a_quarantined_engine() {
     let mut gateway = TestGateway::with_engines(Effect::Repeatable, 2);
     let deadline = gateway.now + 5 * SECOND;
-    let healthy = dispatches(&gateway.request_with(1, |r| r.due = deadline))[0].1;
+    let healthy = dispatches(&gateway.request_with(1, |r| r.deadline = deadline))[0].1;
     for id in 2..20 {
         for (id, engine) in dispatches(&gateway.request_with(id, |r| r.group = GroupId(id))) {
             gateway.answer(id, if engine == healthy { Outcome::Ok } else { Outcome::Error });
@@ -287,7 +287,7 @@
     }
     gateway.advance(SECOND / 2);
     let deadline = gateway.now + 50_000;
-    gateway.request_with(100, |r| (r.cost, r.due) = (1_000, deadline));
+    gateway.request_with(100, |r| (r.cost, r.deadline) = (1_000, deadline));
     assert!(is_refused(&gateway.actions(), 100));
 }
 
@@ -300,7 +300,7 @@
         (settings.gateways, settings.load_reports) = (4, LoadReports::None);
         let mut gateway = TestGateway::new(settings, (1..=4).map(engine_entry).collect());
         if let Some(share) = share {
-            gateway.handle(Event::Share(share));
+            gateway.handle(Event::FleetShare(share));
         }
         (0..200).flat_map(|id| dispatches(&gateway.request(id))).count()
     };
@@ -315,7 +315,7 @@
         settings.gateways = 4;
         let cold = EngineEntry { came_up: 99 * SECOND, ..engine_entry(1) };
         let mut gateway = TestGateway::new(settings, vec![cold]);
-        gateway.handle(Event::Share(share));
+        gateway.handle(Event::FleetShare(share));
         let mut dispatched = 0;
         for id in 0..200 {
             dispatched += request_and_answer(&mut gateway, id);
@@ -430,9 +430,9 @@
 #[test]
 fn requests_beyond_the_admitted_fraction_are_refused_at_once() {
     let mut settings = settings(class(Effect::Repeatable));
-    settings.retry_advice = Some(30 * SECOND);
+    settings.max_retry_after = Some(30 * SECOND);
     let mut gateway = TestGateway::new(settings, (1..=4).map(engine_entry).collect());
-    gateway.handle(Event::Keep { own: vec![0.25], guests: vec![0.0], back: 2 * SECOND });
+    gateway.handle(Event::AdmitFractions { own: vec![0.25], guests: vec![0.0], min_retry_after: 2 * SECOND });
     let mut retry_advice = Vec::new();
     for id in 0..400 {
         for action in gateway.request(id) {
@@ -455,18 +455,18 @@
             group: GroupId(0),
             key: None,
             is_retry: false,
-            marked: false,
+            has_dedup_key: false,
             pin,
-            due: gateway.now + 5 * SECOND,
+            deadline: gateway.now + 5 * SECOND,
         })
     };
     let unpinned = guest(&gateway, 1_000, None);
     assert!(is_refused(&gateway.handle(unpinned), 1_000));
-    let pin = Pin { engine: EngineId(1), reserve: false, finishing: false };
+    let pin = Pin { engine: EngineId(1), uses_reserve: false, finishing: false };
     let pinned = guest(&gateway, 1_001, Some(pin));
     assert!(!is_refused(&gateway.handle(pinned), 1_001));
     // Without fractions all requests are admitted again.
-    gateway.handle(Event::Keep { own: vec![], guests: vec![], back: 0 });
+    gateway.handle(Event::AdmitFractions { own: vec![], guests: vec![], min_retry_after: 0 });
     for id in 2_000..2_040 {
         assert!(!is_refused(&gateway.request(id), id));
         gateway.answer(id, Outcome::Ok);
