--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,4 +1,5 @@
-//! The gateway's configuration: S-expressions, each mistake with its place, and checks against the rules.
+//! Reads the gateway's configuration from S-expressions. Reports every error with its position, and checks
+//! the values against each other.
 
 mod agreement;
 mod keys;
@@ -31,8 +32,9 @@
 use sessions::session_terms;
 use sites::site_terms;
 use windows::window_terms;
-use zone::zone_front;
+use zone::zone_server;
 
+/// Names of the sections that may be given once. `select` may be repeated.
 const SECTIONS: [&str; 15] = [
     "agreement",
     "custody",
@@ -54,42 +56,49 @@
 /// Reads a configuration. Relative paths in it are relative to `folder`.
 ///
 /// # Errors
-/// Every mistake found, in the order of their places.
+/// All errors found, in the order of their positions.
 pub fn parse(text: &str, folder: &Path) -> Result<Config, Vec<Diagnostic>> {
-    let data = forms::read(text).map_err(|m| vec![m])?;
-    let mut c = Checker::default();
-    let forms: Vec<Form<'_>> = data.iter().filter_map(|d| c.form(d.as_ref())).collect();
+    let data = forms::read(text).map_err(|diagnostic| vec![diagnostic])?;
+    let mut checker = Checker::default();
+    let forms: Vec<Form<'_>> = data.iter().filter_map(|datum| checker.form(datum.as_ref())).collect();
     for (i, form) in forms.iter().enumerate() {
         let repeated = form.name != "select" && forms[..i].iter().any(|f| f.name == form.name);
         if !SECTIONS.contains(&form.name.as_str()) && form.name != "select" {
-            c.error_at(form, format!("{} is not known; known: {}, select", form.name, SECTIONS.join(", ")));
+            checker.error_at(
+                form,
+                format!("{} is not known; known: {}, select", form.name, SECTIONS.join(", ")),
+            );
         } else if repeated {
-            c.error_at(form, format!("{} stands twice", form.name));
+            checker.error_at(form, format!("{} is given twice", form.name));
         }
     }
     let section = |name: &str| forms.iter().find(|f| f.name == name);
-    let config = build(&mut c, &section, &forms, folder);
-    c.diagnostics.sort();
+    let config = build(&mut checker, &section, &forms, folder);
+    checker.diagnostics.sort();
     match config {
-        Some(config) if c.diagnostics.is_empty() => Ok(config),
+        Some(config) if checker.diagnostics.is_empty() => Ok(config),
         _ => {
-            if c.diagnostics.is_empty() {
-                c.diagnostics.push(Diagnostic { line: 1, column: 1, message: "the file is empty".into() });
+            if checker.diagnostics.is_empty() {
+                checker.diagnostics.push(Diagnostic {
+                    line: 1,
+                    column: 1,
+                    message: "the file is empty".into(),
+                });
             }
-            Err(c.diagnostics)
+            Err(checker.diagnostics)
         }
     }
 }
 
 fn build<'a>(
-    c: &mut Checker,
+    checker: &mut Checker,
     section: &dyn Fn(&str) -> Option<&'a Form<'a>>,
     forms: &[Form<'a>],
     folder: &Path,
 ) -> Option<Config> {
-    let missing = |c: &mut Checker, name: &str| {
+    let report_if_missing = |checker: &mut Checker, name: &str| {
         if section(name).is_none() {
-            c.diagnostics.push(Diagnostic {
+            checker.diagnostics.push(Diagnostic {
                 line: 1,
                 column: 1,
                 message: format!("({name} ...) is missing"),
@@ -97,7 +106,7 @@
         }
     };
     for name in ["gateway", "kinds", "classes"] {
-        missing(c, name);
+        report_if_missing(checker, name);
     }
     let (gateway, kinds, classes) = (section("gateway")?, section("kinds")?, section("classes")?);
     let known = [
@@ -112,108 +121,121 @@
         "tenant-tag",
         "repeat-tag",
     ];
-    let g = c.fields(gateway, 0, &known);
-    let number = g.integer(c, "number", (0, 1 << 20), 0);
-    let of = g.integer(c, "of", (1, 1 << 20), 1);
-    if number >= of {
-        c.error_at(
+    let gateway_fields = checker.fields(gateway, 0, &known);
+    let number = gateway_fields.integer(checker, "number", (0, 1 << 20), 0);
+    let gateways = gateway_fields.integer(checker, "of", (1, 1 << 20), 1);
+    if number >= gateways {
+        checker.error_at(
             gateway,
-            format!("gateway: number {number} must be under (of {of}): numbers count from 0"),
+            format!("gateway: number {number} must be under (of {gateways}): numbers count from 0"),
         );
     }
-    let zone = g.word(c, "zone", "default");
+    let zone = gateway_fields.word(checker, "zone", "default");
     let mut names = Names { zones: vec![zone], ..Names::default() };
-    let listen = g.require(c, "listen").cloned();
-    let listen = listen.and_then(|f| c.word(&f, "an address such as \"127.0.0.1:8080\"").map(|w| (f, w)));
+    let listen = gateway_fields.require(checker, "listen").cloned();
+    let listen =
+        listen.and_then(|f| checker.word(&f, "an address such as \"127.0.0.1:8080\"").map(|w| (f, w)));
     let listen = listen.and_then(|(f, w)| {
         let parsed = w.parse::<SocketAddr>().ok();
         if parsed.is_none() {
-            c.error_at(
+            checker.error_at(
                 &f,
                 format!("listen: expected an address and port such as \"127.0.0.1:8080\", found {w}"),
             );
         }
         parsed
     });
-    let origin = g.get("origin").cloned().and_then(|f| {
-        let word = c.word(&f, "the name of a zone")?;
+    let origin = gateway_fields.get("origin").cloned().and_then(|f| {
+        let word = checker.word(&f, "the name of a zone")?;
         let name = violetward_dns::name::Name::parse(&word, &violetward_dns::name::Name::root());
-        name.map_err(|e| c.error_at(&f, format!("origin: {e}"))).ok()
+        name.map_err(|e| checker.error_at(&f, format!("origin: {e}"))).ok()
     });
-    let engines = g.require(c, "engines").cloned().and_then(|f| c.word(&f, "the path of the engine list"));
+    let engines = gateway_fields
+        .require(checker, "engines")
+        .cloned()
+        .and_then(|f| checker.word(&f, "the path of the engine list"));
 
-    let zone_front = section("dns").and_then(|form| zone_front(c, form, &origin));
-    let peers = section("membership").and_then(|form| peer_terms(c, form, folder));
+    let zone_server = section("dns").and_then(|form| zone_server(checker, form, &origin));
+    let peers = section("membership").and_then(|form| peer_terms(checker, form, folder));
     let kernel = section("kernel").and_then(|form| {
-        let f = c.fields(form, 0, &["connection-file", "user", "rows"]);
-        let file = f.require(c, "connection-file").cloned().and_then(|f| c.word(&f, "a path"))?;
-        let user = f.word(c, "user", "notebook");
-        let rows = f.integer(c, "rows", (1, 1_000_000), 1000) as usize;
-        Some(KernelConfig { connection_file: folder.join(file), user, max_rows: rows })
+        let fields = checker.fields(form, 0, &["connection-file", "user", "rows"]);
+        let file =
+            fields.require(checker, "connection-file").cloned().and_then(|f| checker.word(&f, "a path"))?;
+        let user = fields.word(checker, "user", "notebook");
+        let max_rows = fields.integer(checker, "rows", (1, 1_000_000), 1000) as usize;
+        Some(KernelConfig { connection_file: folder.join(file), user, max_rows })
     });
-    let sessions = session_terms(c, section("sessions"), folder);
+    let sessions = session_terms(checker, section("sessions"), folder);
     let limits = section("limits");
-    let host = host_limits(c, limits, section("engine-properties"));
-    let (mut settings, drain_grace) = policy(c, section("policy"));
+    let host = host_limits(checker, limits, section("engine-properties"));
+    let (mut settings, drain_grace) = policy(checker, section("policy"));
     settings.own_id = PeerId(number);
-    settings.gateways = of as u32;
+    settings.gateways = gateways as u32;
 
     for datum in &kinds.args {
-        let Some(form) = c.form(*datum) else { continue };
-        let Some(name) = named(c, &form, "kind", &names.kinds) else { continue };
-        let f = c.fields(&form, 1, &["cores", "memory"]);
-        let cores = f.require(c, "cores").cloned().and_then(|f| c.number(&f, 0.1, 4096.0)).unwrap_or(1.0);
-        let memory = f.size(c, "memory", 0);
+        let Some(form) = checker.form(*datum) else { continue };
+        let Some(name) = unique_name(checker, &form, "kind", &names.kinds) else { continue };
+        let fields = checker.fields(&form, 1, &["cores", "memory"]);
+        let cores = fields
+            .require(checker, "cores")
+            .cloned()
+            .and_then(|f| checker.number(&f, 0.1, 4096.0))
+            .unwrap_or(1.0);
+        let memory = fields.size(checker, "memory", 0);
         settings.kinds.push(Kind { cores, memory_mb: memory as f64 / f64::from(1 << 20) });
         names.kinds.push(name);
     }
     if settings.kinds.is_empty() {
-        c.error_at(kinds, "kinds: expected at least one (kind NAME (cores N) (memory SIZE))");
+        checker.error_at(kinds, "kinds: expected at least one (kind NAME (cores N) (memory SIZE))");
     }
     if let Some(tenants) = section("tenants") {
         for datum in &tenants.args {
-            let Some(form) = c.form(*datum) else { continue };
-            let Some(name) = named(c, &form, "tenant", &names.tenants) else { continue };
-            let f = c.fields(&form, 1, &["per-second"]);
-            let rate =
-                f.require(c, "per-second").cloned().and_then(|f| c.number(&f, 0.0, 1e9)).unwrap_or(0.0);
+            let Some(form) = checker.form(*datum) else { continue };
+            let Some(name) = unique_name(checker, &form, "tenant", &names.tenants) else { continue };
+            let fields = checker.fields(&form, 1, &["per-second"]);
+            let rate = fields
+                .require(checker, "per-second")
+                .cloned()
+                .and_then(|f| checker.number(&f, 0.0, 1e9))
+                .unwrap_or(0.0);
             settings.tenants.push(Tenant { quota_per_s: rate });
             names.tenants.push(name);
         }
     }
     for datum in &classes.args {
-        let Some(form) = c.form(*datum) else { continue };
-        let Some(name) = named(c, &form, "class", &names.classes) else { continue };
-        let f = class(c, &form, &mut names, &host, &settings);
-        settings.classes.push(f);
+        let Some(form) = checker.form(*datum) else { continue };
+        let Some(name) = unique_name(checker, &form, "class", &names.classes) else { continue };
+        let class = class(checker, &form, &mut names, &host, &settings);
+        settings.classes.push(class);
         names.classes.push(name);
     }
     if settings.classes.is_empty() {
-        c.error_at(classes, "classes: expected at least one (class NAME ...)");
+        checker.error_at(classes, "classes: expected at least one (class NAME ...)");
     }
     let mut agreement =
-        section("agreement").and_then(|f| agreement_terms(c, f, peers.as_ref(), &names, folder));
-    let windows = section("windows").and_then(|f| window_terms(c, f, agreement.as_mut(), folder));
-    let custody = section("custody").and_then(|f| custody_terms::read(c, f, peers.as_ref(), &names, folder));
-    let sites = section("site-loss").and_then(|form| site_terms(c, form, peers.as_ref()));
+        section("agreement").and_then(|f| agreement_terms(checker, f, peers.as_ref(), &names, folder));
+    let windows = section("windows").and_then(|f| window_terms(checker, f, agreement.as_mut(), folder));
+    let custody =
+        section("custody").and_then(|f| custody_terms::read(checker, f, peers.as_ref(), &names, folder));
+    let sites = section("site-loss").and_then(|form| site_terms(checker, form, peers.as_ref()));
     let mut selection = Selection {
         selectors: Vec::new(),
-        key_tag: g.word(c, "key-tag", "key="),
-        group_tag: g.word(c, "group-tag", "group="),
-        tenant_tag: g.word(c, "tenant-tag", "tenant="),
-        repeat_tag: g.word(c, "repeat-tag", "repeat="),
+        key_tag: gateway_fields.word(checker, "key-tag", "key="),
+        group_tag: gateway_fields.word(checker, "group-tag", "group="),
+        tenant_tag: gateway_fields.word(checker, "tenant-tag", "tenant="),
+        repeat_tag: gateway_fields.word(checker, "repeat-tag", "repeat="),
     };
     for form in forms.iter().filter(|f| f.name == "select") {
-        let Some(name) = c.name(form) else { continue };
+        let Some(name) = checker.name(form) else { continue };
         let Some(class) = names.classes.iter().position(|n| *n == name) else {
-            c.error_at(
+            checker.error_at(
                 form,
                 format!("select: there is no class {name}; classes: {}", names.classes.join(", ")),
             );
             continue;
         };
-        let f = c.fields(form, 1, &["source", "user", "tag", "first-word"]);
-        let mut list = |name: &str| f.get(name).cloned().map(|f| c.words(&f)).unwrap_or_default();
+        let fields = checker.fields(form, 1, &["source", "user", "tag", "first-word"]);
+        let mut list = |name: &str| fields.get(name).cloned().map(|f| checker.words(&f)).unwrap_or_default();
         let (sources, users, tags) = (list("source"), list("user"), list("tag"));
         let first_words = list("first-word").iter().map(|w| w.to_lowercase()).collect();
         selection.selectors.push(Selector { class, sources, users, tags, first_words });
@@ -222,7 +244,7 @@
         listen: listen?,
         engines: folder.join(engines?),
         origin,
-        zone_server: zone_front,
+        zone_server,
         kernel,
         peers,
         agreement,
@@ -238,52 +260,55 @@
     })
 }
 
-fn named(c: &mut Checker, form: &Form<'_>, what: &str, before: &[String]) -> Option<String> {
+/// Reads the name of a form `(what NAME ...)`, which must not be among `before`.
+fn unique_name(checker: &mut Checker, form: &Form<'_>, what: &str, before: &[String]) -> Option<String> {
     if form.name != what {
-        c.error_at(form, format!("expected ({what} NAME ...), found ({} ...)", form.name));
+        checker.error_at(form, format!("expected ({what} NAME ...), found ({} ...)", form.name));
         return None;
     }
-    let name = c.name(form)?;
+    let name = checker.name(form)?;
     if before.contains(&name) {
-        c.error_at(form, format!("{what} {name} stands twice"));
+        checker.error_at(form, format!("{what} {name} is given twice"));
         return None;
     }
     Some(name)
 }
 
-/// Checks that only hold over several sections.
+/// Checks conditions that involve several sections.
 pub fn cross_checks(config: &Config) -> Vec<String> {
     let mut found = Vec::new();
     if config.host.list_poll_interval * 2 > config.drain_grace {
         found.push(format!(
-            "limits/list-every ({:?}) must be at most half of policy/drain-grace ({:?}): a drain seen late is not kept",
+            "limits/list-every ({:?}) must be at most half of policy/drain-grace ({:?}): \
+             a drain that is seen too late is not honoured in time",
             config.host.list_poll_interval, config.drain_grace
         ));
     }
-    let s = &config.settings;
-    let ordered = s.classes.iter().any(|c| c.in_order);
+    let classes = &config.settings.classes;
+    let ordered = classes.iter().any(|class| class.in_order);
     if ordered && config.selection.key_tag.is_empty() {
-        found
-            .push("a class is in-order, but gateway/key-tag is empty: no statement could carry a key".into());
+        found.push("a class is in-order, but gateway/key-tag is empty: no statement could name a key".into());
     }
-    if config.selection.selectors.is_empty() && s.classes.len() > 1 {
+    if config.selection.selectors.is_empty() && classes.len() > 1 {
         found.push(
-            "there are several classes and no (select ...): all statements would be of the first".into(),
+            "there are several classes and no (select ...): all statements would be of the first class"
+                .into(),
         );
     }
-    let keyed = s.classes.iter().any(|c| matches!(c.effect, Effect::Keyed { .. }));
+    let keyed = classes.iter().any(|class| matches!(class.effect, Effect::Keyed { .. }));
     if keyed && config.host.repeat_property.is_empty() {
         found.push(
-            "a class is keyed, but engine-properties/repeat is empty: engines could drop no repeat".into(),
+            "a class is keyed, but engine-properties/repeat is empty: engines could not recognize repeats"
+                .into(),
         );
     }
     found
 }
 
-/// Reads and checks a file.
+/// Reads and checks a configuration file.
 ///
 /// # Errors
-/// Lines that tell each mistake with its place.
+/// One line per error, with the file and the position.
 pub fn load(path: &Path) -> Result<Config, Vec<String>> {
     let shown = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| vec![format!("{shown}: {e}")])?;
--- a/crates/gateway/src/config/keys.rs
+++ b/crates/gateway/src/config/keys.rs
@@ -1,23 +1,23 @@
-//! Files of keys.
+//! Key files.
 
 use super::*;
 
-/// Reads a file of operators' keys: `(key NAME "secret")`, of sixteen octets or more.
+/// Reads the keys of operators: `(key NAME "secret")`, each secret of sixteen bytes or more.
 ///
 /// # Errors
 /// What is wrong.
 pub fn read_operator_keys(text: &str) -> Result<Vec<(String, String)>, String> {
     let keys = named_secrets(text)?;
     if keys.is_empty() || keys.iter().any(|k| k.1.len() < 16) {
-        return Err("expected (key NAME \"secret\") with a secret of sixteen octets or more".into());
+        return Err("expected (key NAME \"secret\") with a secret of sixteen bytes or more".into());
     }
     Ok(keys)
 }
 
-/// Reads a file of keys for datagrams: `(key NAME "secret")`, the first signs, all are believed.
+/// Reads the keys of membership: `(key NAME "secret")`; the first key signs, all keys verify.
 ///
 /// # Errors
-/// What is wrong, with its place.
+/// What is wrong, with its position if the file is not made of S-expressions.
 pub fn read_membership_keys(text: &str) -> Result<violetward_membership::Keys, String> {
     let keys = named_secrets(text)?;
     let key =
@@ -25,10 +25,10 @@
     violetward_membership::Keys::new(keys.into_iter().map(key).collect())
 }
 
-/// Reads a file of keys: `(key NAME "secret")`, the first signs, all are believed.
+/// Reads the keys of session tokens: `(key NAME "secret")`; the first key signs, all keys verify.
 ///
 /// # Errors
-/// What is wrong, with its place.
+/// What is wrong, with its position if the file is not made of S-expressions.
 pub fn read_session_keys(text: &str) -> Result<violetward_session::token::Keys, String> {
     let keys = named_secrets(text)?;
     let key = |(name, secret): (String, String)| violetward_session::token::Key {
@@ -38,13 +38,13 @@
     violetward_session::token::Keys::new(keys.into_iter().map(key).collect())
 }
 
-/// The forms `(key NAME "secret")` of a file.
+/// Reads the names and secrets of a file of forms `(key NAME "secret")`.
 fn named_secrets(text: &str) -> Result<Vec<(String, String)>, String> {
-    let data = forms::read(text).map_err(|m| m.to_string())?;
-    let mut c = Checker::default();
-    let each = |datum: &lexpr::Datum| {
-        let form = c.form(datum.as_ref()).filter(|f| f.name == "key")?;
-        <[String; 2]>::try_from(c.words(&form)).ok().map(|[name, secret]| (name, secret))
+    let data = forms::read(text).map_err(|diagnostic| diagnostic.to_string())?;
+    let mut checker = Checker::default();
+    let read_key = |datum: &lexpr::Datum| {
+        let form = checker.form(datum.as_ref()).filter(|f| f.name == "key")?;
+        <[String; 2]>::try_from(checker.words(&form)).ok().map(|[name, secret]| (name, secret))
     };
-    data.iter().map(each).collect::<Option<_>>().ok_or_else(|| "expected (key NAME \"secret\")".into())
+    data.iter().map(read_key).collect::<Option<_>>().ok_or_else(|| "expected (key NAME \"secret\")".into())
 }
--- a/crates/gateway/src/config/limits.rs
+++ b/crates/gateway/src/config/limits.rs
@@ -1,9 +1,9 @@
-//! Bounds and spans of the host.
+//! The sections `limits` and `engine-properties`: limits and time-outs of the host.
 
 use super::*;
 
 pub(super) fn host_limits(
-    c: &mut Checker,
+    checker: &mut Checker,
     limits: Option<&Form<'_>>,
     properties: Option<&Form<'_>>,
 ) -> HostLimits {
@@ -27,36 +27,36 @@
         "connect-within",
         "drain-within",
     ];
-    let f = c.fields(limits.unwrap_or(&empty), 0, &known);
+    let fields = checker.fields(limits.unwrap_or(&empty), 0, &known);
     let empty = Form::empty("engine-properties");
-    let p = c.fields(properties.unwrap_or(&empty), 0, &["grant", "priority", "repeat"]);
+    let properties = checker.fields(properties.unwrap_or(&empty), 0, &["grant", "priority", "repeat"]);
     let ms = Duration::from_millis;
     let host = HostLimits {
-        list_poll_interval: f.duration(c, "list-every", ms(50)),
-        reply_margin: f.duration(c, "reply-margin", ms(50)),
-        max_poll_wait: f.duration(c, "long-poll", ms(1000)),
-        abandon_timeout: f.duration(c, "abandon-after", ms(30_000)),
-        ended_retention: f.duration(c, "keep-ended", ms(10_000)),
-        row_buffer_bytes: f.size(c, "buffer", 1 << 20) as usize,
-        max_statement_bytes: f.size(c, "statement", 1 << 20) as usize,
-        max_page_bytes: f.size(c, "page", 16 << 20) as usize,
-        max_open_statements: f.integer(c, "open", (1, 10_000_000), 20_000) as usize,
-        max_connections: f.integer(c, "connections", (1, 10_000_000), 20_000) as usize,
-        request_timeout: f.duration(c, "request-within", ms(10_000)),
-        connection_idle_timeout: f.duration(c, "idle-connection", ms(120_000)),
-        stream_idle_timeout: f.duration(c, "stream-idle", ms(30_000)),
-        status_poll_interval: f.duration(c, "status-every", ms(250)),
-        probe_timeout: f.duration(c, "probe-within", ms(1000)),
-        connect_timeout: f.duration(c, "connect-within", ms(1000)),
-        drain_timeout: f.duration(c, "drain-within", ms(60_000)),
-        grant_property: p.word(c, "grant", "query_max_memory"),
-        priority_property: p.word(c, "priority", "query_priority"),
-        repeat_property: p.word(c, "repeat", "query_repeat_key"),
+        list_poll_interval: fields.duration(checker, "list-every", ms(50)),
+        reply_margin: fields.duration(checker, "reply-margin", ms(50)),
+        max_poll_wait: fields.duration(checker, "long-poll", ms(1000)),
+        abandon_timeout: fields.duration(checker, "abandon-after", ms(30_000)),
+        ended_retention: fields.duration(checker, "keep-ended", ms(10_000)),
+        row_buffer_bytes: fields.size(checker, "buffer", 1 << 20) as usize,
+        max_statement_bytes: fields.size(checker, "statement", 1 << 20) as usize,
+        max_page_bytes: fields.size(checker, "page", 16 << 20) as usize,
+        max_open_statements: fields.integer(checker, "open", (1, 10_000_000), 20_000) as usize,
+        max_connections: fields.integer(checker, "connections", (1, 10_000_000), 20_000) as usize,
+        request_timeout: fields.duration(checker, "request-within", ms(10_000)),
+        connection_idle_timeout: fields.duration(checker, "idle-connection", ms(120_000)),
+        stream_idle_timeout: fields.duration(checker, "stream-idle", ms(30_000)),
+        status_poll_interval: fields.duration(checker, "status-every", ms(250)),
+        probe_timeout: fields.duration(checker, "probe-within", ms(1000)),
+        connect_timeout: fields.duration(checker, "connect-within", ms(1000)),
+        drain_timeout: fields.duration(checker, "drain-within", ms(60_000)),
+        grant_property: properties.word(checker, "grant", "query_max_memory"),
+        priority_property: properties.word(checker, "priority", "query_priority"),
+        repeat_property: properties.word(checker, "repeat", "query_repeat_key"),
     };
     if host.max_poll_wait >= host.abandon_timeout {
-        c.error_at(
-            &f.form,
-            "limits: long-poll must be under abandon-after, or clients that wait would be let go",
+        checker.error_at(
+            &fields.form,
+            "limits: long-poll must be under abandon-after, or waiting clients would lose their statements",
         );
     }
     host
--- a/crates/gateway/src/config/membership.rs
+++ b/crates/gateway/src/config/membership.rs
@@ -1,14 +1,14 @@
-//! Membership among gateways.
+//! The section `membership`: membership among the gateways.
 
 use super::*;
 
-/// `(membership (listen ADDRESS) (name NAME) (site SITE) (seeds ADDRESS ...) (key NAME "secret") ...)`.
-pub(super) fn peer_terms(c: &mut Checker, form: &Form<'_>, folder: &Path) -> Option<PeerTerms> {
-    use violetward_membership::wire::NAME;
-    let several = ["key", "via"];
+/// Reads `(membership (listen ADDRESS) (name NAME) (site SITE) (seeds ADDRESS ...) (key NAME "secret") ...)`.
+pub(super) fn peer_terms(checker: &mut Checker, form: &Form<'_>, folder: &Path) -> Option<PeerTerms> {
+    use violetward_membership::wire::NAME as MAX_NAME_BYTES;
+    let repeatable = ["key", "via"];
     let mut fields: Vec<Form<'_>> = Vec::new();
     for datum in &form.args {
-        let Some(field) = c.form(*datum) else { continue };
+        let Some(field) = checker.form(*datum) else { continue };
         let known = [
             "listen",
             "advertise",
@@ -24,97 +24,100 @@
             "widen",
         ];
         if !known.contains(&field.name.as_str()) {
-            c.error_at(
+            checker.error_at(
                 &field,
                 format!("{} is not known in membership; known: {}", field.name, known.join(", ")),
             );
-        } else if !several.contains(&field.name.as_str()) && fields.iter().any(|f| f.name == field.name) {
-            c.error_at(&field, format!("{} stands twice", field.name));
+        } else if !repeatable.contains(&field.name.as_str()) && fields.iter().any(|f| f.name == field.name) {
+            checker.error_at(&field, format!("{} is given twice", field.name));
         }
         fields.push(field);
     }
     let get = |name: &str| fields.iter().find(|f| f.name == name).cloned();
-    let what = "an address and port such as \"10.0.0.4:7946\"";
-    let address = |c: &mut Checker, form: &Form<'_>, word: &str| -> Option<SocketAddr> {
+    let expected = "an address and port such as \"10.0.0.4:7946\"";
+    let parse_address = |checker: &mut Checker, form: &Form<'_>, word: &str| -> Option<SocketAddr> {
         let parsed = word.parse().ok();
         if parsed.is_none() {
-            c.error_at(form, format!("{}: expected {what}, found {word}", form.name));
+            checker.error_at(form, format!("{}: expected {expected}, found {word}", form.name));
         }
         parsed
     };
-    let one = |c: &mut Checker, name: &str| {
+    let read_address = |checker: &mut Checker, name: &str| {
         let form = get(name)?;
-        let word = c.word(&form, what)?;
-        address(c, &form, &word)
+        let word = checker.word(&form, expected)?;
+        parse_address(checker, &form, &word)
     };
-    let (listen, advertise) = (one(c, "listen"), one(c, "advertise"));
-    let name = |c: &mut Checker, field: &str, default: Option<&str>| {
+    let (listen, advertise) = (read_address(checker, "listen"), read_address(checker, "advertise"));
+    let read_name = |checker: &mut Checker, field: &str, default: Option<&str>| {
         let word = match get(field) {
-            Some(form) => c.word(&form, "a name").filter(|word| {
-                let fits = (1..=NAME).contains(&word.len());
+            Some(form) => checker.word(&form, "a name").filter(|word| {
+                let fits = (1..=MAX_NAME_BYTES).contains(&word.len());
                 if !fits {
-                    c.error_at(&form, format!("{field}: expected 1 to {NAME} octets"));
+                    checker.error_at(&form, format!("{field}: expected 1 to {MAX_NAME_BYTES} bytes"));
                 }
                 fits
             }),
             None => default.map(str::to_owned),
         };
         if word.is_none() && get(field).is_none() {
-            c.error_at(form, format!("membership needs ({field} ...)"));
+            checker.error_at(form, format!("membership needs ({field} ...)"));
         }
         word
     };
-    let (own, site) = (name(c, "name", None), name(c, "site", Some("default")));
+    let (own_name, site) = (read_name(checker, "name", None), read_name(checker, "site", Some("default")));
     let mut seeds = Vec::new();
     if let Some(form) = get("seeds") {
-        for word in c.words(&form) {
-            seeds.extend(address(c, &form, &word));
+        for word in checker.words(&form) {
+            seeds.extend(parse_address(checker, &form, &word));
         }
     }
-    let (mut via, mut keys) = (std::collections::BTreeMap::new(), Vec::new());
+    let (mut address_overrides, mut inline_keys) = (std::collections::BTreeMap::new(), Vec::new());
     for field in &fields {
-        let words = if several.contains(&field.name.as_str()) { c.words(field) } else { continue };
+        let words = if repeatable.contains(&field.name.as_str()) { checker.words(field) } else { continue };
         match (field.name.as_str(), words.as_slice()) {
-            ("via", [name, to]) => via.extend(address(c, field, to).map(|to| (name.clone(), to))),
-            ("key", [name, secret]) => keys
+            ("via", [name, to]) => {
+                address_overrides.extend(parse_address(checker, field, to).map(|to| (name.clone(), to)))
+            }
+            ("key", [name, secret]) => inline_keys
                 .push(violetward_membership::Key { name: name.clone(), secret: secret.clone().into_bytes() }),
-            _ => c.error_at(
+            _ => checker.error_at(
                 field,
                 format!("expected (key NAME \"secret\") or (via NAME ADDRESS), found ({} ...)", field.name),
             ),
         }
     }
-    let file = get("key-file").and_then(|form| Some((c.word(&form, "a path")?, form)));
+    let file = get("key-file").and_then(|form| Some((checker.word(&form, "a path")?, form)));
     let key_file = file.as_ref().map(|(path, _)| folder.join(path));
-    let ring = match &file {
+    let keys = match &file {
         Some((path, form)) => {
-            if !keys.is_empty() {
-                c.error_at(form, "key-file and key: expected one of them");
+            if !inline_keys.is_empty() {
+                checker.error_at(form, "key-file and key: expected one of them");
             }
             let read = std::fs::read_to_string(folder.join(path))
                 .map_err(|e| e.to_string())
                 .and_then(|t| read_membership_keys(&t));
-            read.map_err(|why| c.error_at(form, format!("key-file {path}: {why}"))).ok()
+            read.map_err(|why| checker.error_at(form, format!("key-file {path}: {why}"))).ok()
         }
-        None => violetward_membership::Keys::new(keys)
-            .map_err(|why| c.error_at(form, format!("membership: {why}")))
+        None => violetward_membership::Keys::new(inline_keys)
+            .map_err(|why| checker.error_at(form, format!("membership: {why}")))
             .ok(),
     };
-    let period = get("period").and_then(|f| c.duration(&f)).unwrap_or(Duration::from_millis(500));
-    if period < Duration::from_millis(20) {
-        c.error_at(form, "membership: period must be at least \"20ms\"");
+    let probe_interval =
+        get("period").and_then(|f| checker.duration(&f)).unwrap_or(Duration::from_millis(500));
+    if probe_interval < Duration::from_millis(20) {
+        checker.error_at(form, "membership: period must be at least \"20ms\"");
     }
-    let most = get("most").and_then(|f| c.integer(&f, 2, 100_000)).unwrap_or(4_096) as usize;
-    let widest = get("widest").and_then(|f| c.number(&f, 1.0, 10.0)).unwrap_or(2.0);
-    let widen = get("widen").and_then(|f| c.number(&f, 0.001, 10.0)).unwrap_or(0.1);
+    let max_members = get("most").and_then(|f| checker.integer(&f, 2, 100_000)).unwrap_or(4_096) as usize;
+    let max_total_share = get("widest").and_then(|f| checker.number(&f, 1.0, 10.0)).unwrap_or(2.0);
+    let share_growth_per_s = get("widen").and_then(|f| checker.number(&f, 0.001, 10.0)).unwrap_or(0.1);
     if listen.is_none() && get("listen").is_none() {
-        c.error_at(form, "membership needs (listen ADDRESS)");
+        checker.error_at(form, "membership needs (listen ADDRESS)");
     }
-    let (listen, name, site, keys) = (listen?, own?, site?, ring?);
+    let (listen, name, site, keys) = (listen?, own_name?, site?, keys?);
     if advertise.is_none() && listen.ip().is_unspecified() {
-        c.error_at(
+        checker.error_at(
             form,
-            "membership: (advertise ADDRESS) must tell where others reach a listener on all addresses",
+            "membership: (advertise ADDRESS) must name one address if the listener is on all addresses",
         );
     }
     Some(PeerTerms {
@@ -123,12 +126,12 @@
         name,
         site,
         seeds,
-        address_overrides: via,
+        address_overrides,
         keys,
         key_file,
-        probe_interval: period,
-        max_members: most,
-        max_total_share: widest,
-        share_growth_per_s: widen,
+        probe_interval,
+        max_members,
+        max_total_share,
+        share_growth_per_s,
     })
 }
--- a/crates/gateway/src/config/policy.rs
+++ b/crates/gateway/src/config/policy.rs
@@ -1,8 +1,8 @@
-//! What the decision module is told: policy, classes, effects.
+//! The settings of the decision module: policy, classes and their effects.
 
 use super::*;
 
-pub(super) fn policy(c: &mut Checker, form: Option<&Form<'_>>) -> (Settings, Duration) {
+pub(super) fn policy(checker: &mut Checker, form: Option<&Form<'_>>) -> (Settings, Duration) {
     let empty = Form::empty("policy");
     let known = [
         "attempts",
@@ -24,24 +24,29 @@
         "over-share-worth",
         "cross-zone-price",
     ];
-    let f = c.fields(form.unwrap_or(&empty), 0, &known);
-    let span = |c: &mut Checker, name: &str, ms: u64| micros(f.duration(c, name, Duration::from_millis(ms)));
-    let budget = f.get("budget").cloned().map(|b| {
-        let f = c.fields(&b, 0, &["free", "share", "window"]);
-        let window =
-            f.require(c, "window").cloned().and_then(|w| c.duration(&w)).unwrap_or(Duration::from_secs(5));
+    let fields = checker.fields(form.unwrap_or(&empty), 0, &known);
+    let micros_of = |checker: &mut Checker, name: &str, ms: u64| {
+        micros(fields.duration(checker, name, Duration::from_millis(ms)))
+    };
+    let budget = fields.get("budget").cloned().map(|b| {
+        let fields = checker.fields(&b, 0, &["free", "share", "window"]);
+        let window = fields
+            .require(checker, "window")
+            .cloned()
+            .and_then(|w| checker.duration(&w))
+            .unwrap_or(Duration::from_secs(5));
         AttemptBudget {
-            free: f.number(c, "free", (0.0, 1e6), 5.0),
-            per_request: f.number(c, "share", (0.0, 1.0), 0.1),
+            free: fields.number(checker, "free", (0.0, 1e6), 5.0),
+            per_request: fields.number(checker, "share", (0.0, 1.0), 0.1),
             window: micros(window),
         }
     });
-    let when = [
+    let shortage_choices = [
         ("wait", MemoryShortage::Queue),
         ("shrink", MemoryShortage::Reduce),
         ("page", MemoryShortage::Overcommit),
     ];
-    let default = AttemptBudget { free: 5.0, per_request: 0.1, window: 5_000_000 };
+    let default_budget = AttemptBudget { free: 5.0, per_request: 0.1, window: 5_000_000 };
     let settings = Settings {
         own_id: PeerId(0),
         zone: ZoneId(0),
@@ -49,43 +54,46 @@
         classes: Vec::new(),
         kinds: Vec::new(),
         tenants: Vec::new(),
-        over_share_worth: f.number(c, "over-share-worth", (0.0, 1.0), 0.1),
-        grants: f.flag(c, "grants", true),
-        priorities: f.flag(c, "priorities", true),
-        grant_cap: f.number(c, "grant-cap", (0.01, 1.0), 0.4),
-        memory_shortage: f
+        over_share_worth: fields.number(checker, "over-share-worth", (0.0, 1.0), 0.1),
+        grants: fields.flag(checker, "grants", true),
+        priorities: fields.flag(checker, "priorities", true),
+        grant_cap: fields.number(checker, "grant-cap", (0.01, 1.0), 0.4),
+        memory_shortage: fields
             .get("when-short")
             .cloned()
-            .and_then(|f| c.choice(&f, &when))
+            .and_then(|f| checker.choice(&f, &shortage_choices))
             .unwrap_or(MemoryShortage::Queue),
-        reports_cost: f.flag(c, "tells-cost", true),
+        reports_cost: fields.flag(checker, "tells-cost", true),
         list_poll_interval: None,
-        cold_capacity: f.number(c, "cold-from", (0.01, 1.0), 0.3),
-        cold_span: span(c, "cold-span", 15_000),
-        overload_multiple: f.number(c, "fall-multiple", (1.0, 100.0), 4.0),
-        overload_span: span(c, "fall-span", 1_500).max(1),
-        key_cooldown: span(c, "key-rest", 2_000),
-        budget: Some(budget.unwrap_or(default)),
-        attempts_cap: f.integer(c, "attempts", (1, 10), 3) as u32,
-        may_cancel: f.flag(c, "cancels", true),
+        cold_capacity: fields.number(checker, "cold-from", (0.01, 1.0), 0.3),
+        cold_span: micros_of(checker, "cold-span", 15_000),
+        overload_multiple: fields.number(checker, "fall-multiple", (1.0, 100.0), 4.0),
+        overload_span: micros_of(checker, "fall-span", 1_500).max(1),
+        key_cooldown: micros_of(checker, "key-rest", 2_000),
+        budget: Some(budget.unwrap_or(default_budget)),
+        attempts_cap: fields.integer(checker, "attempts", (1, 10), 3) as u32,
+        may_cancel: fields.flag(checker, "cancels", true),
         may_duplicate: false,
-        may_probe: f.flag(c, "probes", true),
+        may_probe: fields.flag(checker, "probes", true),
         peer_messages: false,
-        max_retry_after: Some(span(c, "retry-advice", 30_000)),
+        max_retry_after: Some(micros_of(checker, "retry-advice", 30_000)),
         quantum: 5_000,
         note_period: None,
         load_reports: LoadReports::WithAnswers,
-        prices: Prices { cross_zone: f.number(c, "cross-zone-price", (0.0, 1.0), 0.0), ..Prices::default() },
+        prices: Prices {
+            cross_zone: fields.number(checker, "cross-zone-price", (0.0, 1.0), 0.0),
+            ..Prices::default()
+        },
     };
-    let grace = f.duration(c, "drain-grace", Duration::from_millis(250));
+    let grace = fields.duration(checker, "drain-grace", Duration::from_millis(250));
     if grace < Duration::from_millis(1) {
-        c.error_at(&f.form, "policy: drain-grace must be at least \"1ms\"");
+        checker.error_at(&fields.form, "policy: drain-grace must be at least \"1ms\"");
     }
     (settings, grace)
 }
 
 pub(super) fn class(
-    c: &mut Checker,
+    checker: &mut Checker,
     form: &Form<'_>,
     names: &mut Names,
     host: &HostLimits,
@@ -105,79 +113,92 @@
         "load",
         "waits-for-loads",
     ];
-    let f = c.fields(form, 1, &known);
-    let aim = f.require(c, "aim").cloned().and_then(|f| c.duration(&f)).unwrap_or(Duration::from_secs(1));
-    let give_up = f.require(c, "give-up").cloned().and_then(|f| c.duration(&f)).unwrap_or(aim * 2);
+    let fields = checker.fields(form, 1, &known);
+    let aim = fields
+        .require(checker, "aim")
+        .cloned()
+        .and_then(|f| checker.duration(&f))
+        .unwrap_or(Duration::from_secs(1));
+    let give_up =
+        fields.require(checker, "give-up").cloned().and_then(|f| checker.duration(&f)).unwrap_or(aim * 2);
     if give_up <= aim {
-        c.error_at(form, "class: give-up must be over aim: nothing could be late and still be answered");
+        checker
+            .error_at(form, "class: give-up must be over aim: no late answer could still reach the client");
     }
     if give_up <= host.reply_margin * 2 {
-        c.error_at(
+        checker.error_at(
             form,
-            "class: give-up must be over twice limits/reply-margin: no time to run would be left",
+            "class: give-up must be over twice limits/reply-margin: no time to run would remain",
         );
     }
-    let effect = f.require(c, "effect").cloned().and_then(|e| effect(c, &e));
+    let effect = fields.require(checker, "effect").cloned().and_then(|e| effect(checker, &e));
     let effect = effect.unwrap_or(Effect::Repeatable);
-    let in_order = f.flag(c, "in-order", false);
+    let in_order = fields.flag(checker, "in-order", false);
     if in_order && settings.key_cooldown == 0 {
-        c.error_at(
+        checker.error_at(
             form,
-            "class: in-order needs policy/key-rest over 0: work whose end is not known may go on",
+            "class: in-order needs policy/key-rest over 0: work of unknown outcome may still be running",
         );
     }
     if let Effect::Keyed { window, .. } = effect {
         if window <= 2 * settings.quantum {
-            c.error_at(form, "class: the window of a keyed effect is too short for any further attempt");
+            checker
+                .error_at(form, "class: the window of a keyed effect is too short for any further attempt");
         }
     }
-    let places = |c: &mut Checker, name: &str, known: &mut Vec<String>, open: bool| -> Option<Vec<usize>> {
-        let form = f.get(name).cloned()?;
-        let words = c.words(&form);
+    let numbers_of = |checker: &mut Checker,
+                      name: &str,
+                      known: &mut Vec<String>,
+                      add_unknown: bool|
+     -> Option<Vec<usize>> {
+        let form = fields.get(name).cloned()?;
+        let words = checker.words(&form);
         let mut numbers = Vec::new();
         for word in words {
             match known.iter().position(|k| *k == word) {
                 Some(n) => numbers.push(n),
-                None if open => {
+                None if add_unknown => {
                     known.push(word);
                     numbers.push(known.len() - 1);
                 }
-                None => c.error_at(&form, format!("{name}: there is no {word}; known: {}", known.join(", "))),
+                None => checker
+                    .error_at(&form, format!("{name}: there is no {word}; known: {}", known.join(", "))),
             }
         }
         Some(numbers)
     };
-    let kinds = places(c, "kinds", &mut names.kinds, false);
-    let zones = places(c, "zones", &mut names.zones, true);
+    let kinds = numbers_of(checker, "kinds", &mut names.kinds, false);
+    let zones = numbers_of(checker, "zones", &mut names.zones, true);
     Class {
         latency_target: micros(aim),
-        target_stretch: f.number(c, "aim-stretch", (0.0, 100.0), 0.0),
+        target_stretch: fields.number(checker, "aim-stretch", (0.0, 100.0), 0.0),
         client_timeout: micros(give_up),
-        worth: f.number(c, "worth", (0.0, 1e6), 1.0),
-        late_worth: f.number(c, "late-worth", (0.0, 1.0), 0.3),
+        worth: fields.number(checker, "worth", (0.0, 1e6), 1.0),
+        late_worth: fields.number(checker, "late-worth", (0.0, 1.0), 0.3),
         effect,
         in_order,
         kinds: kinds.map(|k| k.into_iter().map(KindId).collect()),
         zones: zones.map(|z| z.into_iter().map(ZoneId).collect()),
-        threads: f.integer(c, "threads", (1, 1024), 1) as u32,
-        is_load: f.flag(c, "load", false),
-        waits_for_loads: f.flag(c, "waits-for-loads", false),
+        threads: fields.integer(checker, "threads", (1, 1024), 1) as u32,
+        is_load: fields.flag(checker, "load", false),
+        waits_for_loads: fields.flag(checker, "waits-for-loads", false),
     }
 }
 
-fn effect(c: &mut Checker, form: &Form<'_>) -> Option<Effect> {
-    let datum = c.single_arg(form, "repeatable, once or (keyed (scope all) (window \"25s\"))")?;
+fn effect(checker: &mut Checker, form: &Form<'_>) -> Option<Effect> {
+    let datum = checker.single_arg(form, "repeatable, once or (keyed (scope all) (window \"25s\"))")?;
     if datum.list_iter().is_none() {
-        return c.choice(form, &[("repeatable", Effect::Repeatable), ("once", Effect::Once)]);
+        return checker.choice(form, &[("repeatable", Effect::Repeatable), ("once", Effect::Once)]);
     }
-    let keyed = c.form(datum)?;
+    let keyed = checker.form(datum)?;
     if keyed.name != "keyed" {
-        c.error_at(&keyed, "effect: expected repeatable, once or (keyed ...)");
+        checker.error_at(&keyed, "effect: expected repeatable, once or (keyed ...)");
         return None;
     }
-    let f = c.fields(&keyed, 0, &["scope", "window"]);
+    let fields = checker.fields(&keyed, 0, &["scope", "window"]);
     let scopes = [("all", KeyScope::All), ("zone", KeyScope::Zone), ("cell", KeyScope::Cell)];
-    let scope = f.get("scope").cloned().and_then(|f| c.choice(&f, &scopes)).unwrap_or(KeyScope::All);
-    let window = f.require(c, "window").cloned().and_then(|f| c.duration(&f))?;
+    let scope =
+        fields.get("scope").cloned().and_then(|f| checker.choice(&f, &scopes)).unwrap_or(KeyScope::All);
+    let window = fields.require(checker, "window").cloned().and_then(|f| checker.duration(&f))?;
     Some(Effect::Keyed { scope, window: micros(window) })
 }
--- a/crates/gateway/src/config/sites.rs
+++ b/crates/gateway/src/config/sites.rs
@@ -1,40 +1,44 @@
-//! The loss of a site.
+//! The section `site-loss`: sites and the response to the loss of one.
 
 use violetward_digest::GossipConfig;
 
 use super::*;
 use crate::terms::{SiteConfig, SiteTerms};
 
-/// `(site-loss (site NAME (gateways N) (zones ZONE ...) (engines NAME ...)) ...)`: all sites, in the same order at every
-/// gateway, and how they are watched.
-pub(super) fn site_terms(c: &mut Checker, form: &Form<'_>, peers: Option<&PeerTerms>) -> Option<SiteTerms> {
+/// Reads `(site-loss (site NAME (gateways N) (zones ZONE ...) (engines NAME ...)) ...)`: all sites, in the
+/// same order at every gateway, and how their states are determined.
+pub(super) fn site_terms(
+    checker: &mut Checker,
+    form: &Form<'_>,
+    peers: Option<&PeerTerms>,
+) -> Option<SiteTerms> {
     let Some(peers) = peers else {
-        c.error_at(
+        checker.error_at(
             form,
-            "site-loss needs (membership ...): who lives, and what gateways tell each other, come from there",
+            "site-loss needs (membership ...): it tells which gateways are alive and carries summaries",
         );
         return None;
     };
-    let (mut sites, mut rest): (Vec<SiteConfig>, Vec<_>) = (Vec::new(), Vec::new());
+    let (mut sites, mut other_args): (Vec<SiteConfig>, Vec<_>) = (Vec::new(), Vec::new());
     for datum in &form.args {
-        let Some(f) = c.form(*datum).filter(|f| f.name == "site") else {
-            rest.push(*datum);
+        let Some(site) = checker.form(*datum).filter(|form| form.name == "site") else {
+            other_args.push(*datum);
             continue;
         };
-        let Some(name) = c.name(&f) else { continue };
+        let Some(name) = checker.name(&site) else { continue };
         if sites.iter().any(|s| s.name == name) {
-            c.error_at(&f, format!("site {name} stands twice"));
+            checker.error_at(&site, format!("site {name} is given twice"));
             continue;
         }
-        let g = c.fields(&f, 1, &["gateways", "zones", "engines"]);
-        let gateways = g.integer(c, "gateways", (0, 1 << 20), 1) as u32;
-        let mut list = |field: &str| g.get(field).cloned().map(|f| c.words(&f));
+        let site_fields = checker.fields(&site, 1, &["gateways", "zones", "engines"]);
+        let gateways = site_fields.integer(checker, "gateways", (0, 1 << 20), 1) as u32;
+        let mut list = |field: &str| site_fields.get(field).cloned().map(|f| checker.words(&f));
         let (zones, engines) = (list("zones"), list("engines").unwrap_or_default());
-        // Where neither is told, a site's engines are those of the zone of its name.
+        // Without zones and engines, the engines of a site are those of the zone with the site's name.
         let zones = zones.unwrap_or_else(|| if engines.is_empty() { vec![name.clone()] } else { Vec::new() });
         sites.push(SiteConfig { name, gateways, zones, engines });
     }
-    let fields = form.with_args(rest);
+    let other_fields = form.with_args(other_args);
     let known = [
         "acts",
         "site-tag",
@@ -54,62 +58,67 @@
         "stay-away",
         "fill",
     ];
-    let f = c.fields(&fields, 0, &known);
-    let own = sites.iter().position(|s| s.name == peers.site);
-    if own.is_none() {
-        c.error_at(
+    let fields = checker.fields(&other_fields, 0, &known);
+    let own_site = sites.iter().position(|s| s.name == peers.site);
+    if own_site.is_none() {
+        checker.error_at(
             form,
-            format!("site-loss: membership's site {} is none of the sites told here", peers.site),
+            format!("site-loss: membership's site {} is not one of the sites given here", peers.site),
         );
     }
     if !(2..=64).contains(&sites.len()) {
-        c.error_at(form, "site-loss: expected two to 64 (site NAME ...)");
+        checker.error_at(form, "site-loss: expected two to 64 (site NAME ...)");
     }
-    let usual = violetward_site::state::Terms::default();
-    let mut span = |name: &str, default: u64| micros(f.duration(c, name, Duration::from_micros(default)));
-    let watch = violetward_site::state::Terms {
-        doubt: span("doubt", usual.doubt),
-        settle: span("settle", usual.settle),
-        back: span("back", usual.back),
-        back_most: span("back-most", usual.back_most),
-        ramp: span("ramp", usual.ramp),
-        calm: span("calm", usual.calm),
-        ..usual
+    let defaults = violetward_site::state::Terms::default();
+    let mut micros_of =
+        |name: &str, default: u64| micros(fields.duration(checker, name, Duration::from_micros(default)));
+    let detection = violetward_site::state::Terms {
+        doubt: micros_of("doubt", defaults.doubt),
+        settle: micros_of("settle", defaults.settle),
+        back: micros_of("back", defaults.back),
+        back_most: micros_of("back-most", defaults.back_most),
+        ramp: micros_of("ramp", defaults.ramp),
+        calm: micros_of("calm", defaults.calm),
+        ..defaults
     };
-    let pace = GossipConfig {
-        round_interval: span("round", GossipConfig::default().round_interval),
+    let gossip = GossipConfig {
+        round_interval: micros_of("round", GossipConfig::default().round_interval),
         ..GossipConfig::default()
     };
-    let (average, every, stay_away) =
-        (span("average", 20_000_000), span("every", 500_000), span("stay-away", 1_000_000));
-    let pace = GossipConfig {
-        bytes_per_second: f.number(c, "octets", (1_000.0, 1e9), pace.bytes_per_second),
-        ..pace
+    let (demand_window, limit_interval, retry_after) =
+        (micros_of("average", 20_000_000), micros_of("every", 500_000), micros_of("stay-away", 1_000_000));
+    let gossip = GossipConfig {
+        bytes_per_second: fields.number(checker, "octets", (1_000.0, 1e9), gossip.bytes_per_second),
+        ..gossip
     };
-    let (low, high) = (f.number(c, "low", (0.0, 10.0), 0.3), f.number(c, "high", (0.0, 10.0), 0.8));
-    if low >= high {
-        c.error_at(form, "site-loss: low must be under high");
+    let (loosen_below, tighten_above) =
+        (fields.number(checker, "low", (0.0, 10.0), 0.3), fields.number(checker, "high", (0.0, 10.0), 0.8));
+    if loosen_below >= tighten_above {
+        checker.error_at(form, "site-loss: low must be under high");
     }
-    if watch.back_most < watch.back || average < 1_000_000 || pace.round_interval < 100_000 || every < 50_000
+    if detection.back_most < detection.back
+        || demand_window < 1_000_000
+        || gossip.round_interval < 100_000
+        || limit_interval < 50_000
     {
-        c.error_at(
+        checker.error_at(
             form,
             "site-loss: expected back-most >= back, average >= \"1s\", round >= \"100ms\", every >= \"50ms\"",
         );
     }
     Some(SiteTerms {
-        own_site: own?,
-        enforce: f.flag(c, "acts", true),
-        site_tag: f.word(c, "site-tag", "site="),
-        limit_step: f.number(c, "step", (0.001, 1.0), 0.02),
-        max_utilization: f.number(c, "fill", (0.1, 1.0), 1.0),
+        own_site: own_site?,
+        enforce: fields.flag(checker, "acts", true),
+        site_tag: fields.word(checker, "site-tag", "site="),
+        limit_step: fields.number(checker, "step", (0.001, 1.0), 0.02),
+        max_utilization: fields.number(checker, "fill", (0.1, 1.0), 1.0),
         sites,
-        detection: watch,
-        demand_window: average,
-        gossip: pace,
-        limit_interval: every,
-        loosen_below: low,
-        tighten_above: high,
-        retry_after: stay_away,
+        detection,
+        demand_window,
+        gossip,
+        limit_interval,
+        loosen_below,
+        tighten_above,
+        retry_after,
     })
 }
--- a/crates/gateway/src/forms.rs
+++ b/crates/gateway/src/forms.rs
@@ -1,4 +1,4 @@
-//! Reads S-expressions with the place of every mistake. Knows nothing of what the forms mean.
+//! Reads S-expressions and reports each error with its position. Independent of the meaning of the forms.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,14 +7,17 @@
 use lexpr::{Datum, Parser};
 use violetward_statement::session;
 
-/// Something in a file that cannot be used, and where it stands.
+/// Durations of a week or more are rejected.
+const MAX_DURATION: Duration = Duration::from_secs(7 * 86_400);
+
+/// An error in a file and its position.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Diagnostic {
     /// Line, from 1.
     pub line: usize,
     /// Column, from 1.
     pub column: usize,
-    /// What is wrong and what was expected.
+    /// What is wrong, and what was expected.
     pub message: String,
 }
 
@@ -27,10 +30,11 @@
 /// One form `(name argument ...)`.
 #[derive(Clone)]
 pub struct Form<'a> {
-    /// Its first word.
+    /// The first word of the form.
     pub name: String,
-    /// The rest.
+    /// The arguments after the name.
     pub args: Vec<Ref<'a>>,
+    /// Line and column, from 1.
     position: (usize, usize),
 }
 
@@ -42,23 +46,23 @@
 }
 
 impl<'a> Form<'a> {
-    /// The same form, at the same place, with other arguments.
-    pub fn with_args(&self, rest: Vec<Ref<'a>>) -> Form<'a> {
-        Form { args: rest, ..self.clone() }
+    /// The same form, at the same position, with other arguments.
+    pub fn with_args(&self, args: Vec<Ref<'a>>) -> Form<'a> {
+        Form { args, ..self.clone() }
     }
 }
 
-/// Collects the mistakes of one file.
+/// Collects the errors of one file.
 #[derive(Debug, Default)]
 pub struct Checker {
-    /// What has been found so far.
+    /// The errors found so far.
     pub diagnostics: Vec<Diagnostic>,
 }
 
-/// The top-level data of a text.
+/// Reads the top-level data of a text.
 ///
 /// # Errors
-/// The place where the text stops being S-expressions.
+/// The first position at which the text is not an S-expression.
 pub fn read(text: &str) -> Result<Vec<Datum>, Diagnostic> {
     let mut parser = Parser::from_str(text);
     let mut all = Vec::new();
@@ -67,7 +71,7 @@
             Ok(Some(datum)) => all.push(datum),
             Ok(None) => return Ok(all),
             Err(e) => {
-                let (line, column) = e.location().map_or((1, 1), |l| (l.line(), l.column()));
+                let (line, column) = e.location().map_or((1, 1), |at| (at.line(), at.column()));
                 return Err(Diagnostic {
                     line,
                     column: column.max(1),
@@ -78,97 +82,102 @@
     }
 }
 
-fn place(datum: &Ref<'_>) -> (usize, usize) {
+fn position(datum: &Ref<'_>) -> (usize, usize) {
     let start = datum.span().start();
     (start.line(), start.column() + 1)
 }
 
-/// How a value is called in a message.
-fn shown(datum: &Ref<'_>) -> String {
+/// A value as it is quoted in a message, shortened if it is long.
+fn excerpt(datum: &Ref<'_>) -> String {
+    const MAX_CHARS: usize = 40;
     let text = datum.value().to_string();
-    if text.chars().count() > 40 {
-        text.chars().take(40).chain("...".chars()).collect()
+    if text.chars().count() > MAX_CHARS {
+        text.chars().take(MAX_CHARS).chain("...".chars()).collect()
     } else {
         text
     }
 }
 
 impl Checker {
-    /// Notes a mistake at a form.
-    pub fn error_at(&mut self, form: &Form<'_>, text: impl Into<String>) {
-        self.push_error(form.position, text.into());
+    /// Reports an error at the position of a form.
+    pub fn error_at(&mut self, form: &Form<'_>, message: impl Into<String>) {
+        self.push_error(form.position, message.into());
     }
 
-    fn push_error(&mut self, (line, column): (usize, usize), text: String) {
-        self.diagnostics.push(Diagnostic { line, column, message: text });
+    fn push_error(&mut self, (line, column): (usize, usize), message: String) {
+        self.diagnostics.push(Diagnostic { line, column, message });
     }
 
-    /// Reads a form; notes what is none.
+    /// Reads a form; reports a datum that is not a form.
     pub fn form<'a>(&mut self, datum: Ref<'a>) -> Option<Form<'a>> {
-        let place = place(&datum);
+        let position = position(&datum);
         let mut items = match datum.list_iter() {
             Some(items) => items.collect::<Vec<_>>().into_iter(),
             None => {
-                self.push_error(place, format!("expected a form like (name value), found {}", shown(&datum)));
+                self.push_error(
+                    position,
+                    format!("expected a form like (name value), found {}", excerpt(&datum)),
+                );
                 return None;
             }
         };
-        let name = items.next().and_then(|n| word(&n));
+        let name = items.next().and_then(|first| word(&first));
         match name {
-            Some(name) => Some(Form { name, args: items.collect(), position: place }),
+            Some(name) => Some(Form { name, args: items.collect(), position }),
             None => {
-                self.push_error(place, "expected a form that begins with a name".into());
+                self.push_error(position, "expected a form that begins with a name".into());
                 None
             }
         }
     }
 
-    /// Reads the arguments of a form, from `skip` on, as fields; notes unknown and repeated ones.
+    /// Reads the arguments of a form, without the first `skip`, as fields; reports unknown and repeated ones.
     pub fn fields<'a>(&mut self, form: &Form<'a>, skip: usize, known: &[&str]) -> Fields<'a> {
-        let forms: Vec<Form<'a>> = form.args.iter().skip(skip).filter_map(|d| self.form(*d)).collect();
-        for (i, field) in forms.iter().enumerate() {
+        let fields: Vec<Form<'a>> = form.args.iter().skip(skip).filter_map(|d| self.form(*d)).collect();
+        for (i, field) in fields.iter().enumerate() {
             if !known.contains(&field.name.as_str()) {
-                let text =
+                let message =
                     format!("{} is not known in {}; known: {}", field.name, form.name, known.join(", "));
-                self.push_error(field.position, text);
-            } else if forms[..i].iter().any(|f| f.name == field.name) {
-                self.push_error(field.position, format!("{} stands twice in {}", field.name, form.name));
+                self.push_error(field.position, message);
+            } else if fields[..i].iter().any(|f| f.name == field.name) {
+                self.push_error(field.position, format!("{} is given twice in {}", field.name, form.name));
             }
         }
-        Fields { form: form.clone(), fields: forms }
+        Fields { form: form.clone(), fields }
     }
 
-    /// The one argument of a form.
-    pub fn single_arg<'a>(&mut self, form: &Form<'a>, what: &str) -> Option<Ref<'a>> {
+    /// The only argument of a form. `expected` describes it in the error.
+    pub fn single_arg<'a>(&mut self, form: &Form<'a>, expected: &str) -> Option<Ref<'a>> {
         match form.args.as_slice() {
             [one] => Some(*one),
             _ => {
-                self.error_at(form, format!("{}: expected {what}", form.name));
+                self.error_at(form, format!("{}: expected {expected}", form.name));
                 None
             }
         }
     }
 
+    /// Parses the only argument of a form. `expected` describes it in the error.
     fn parse_arg<T>(
         &mut self,
         form: &Form<'_>,
-        what: &str,
+        expected: &str,
         read: impl Fn(&Ref<'_>) -> Option<T>,
     ) -> Option<T> {
-        let datum = self.single_arg(form, what)?;
+        let datum = self.single_arg(form, expected)?;
         let value = read(&datum);
         if value.is_none() {
             self.push_error(
-                place(&datum),
-                format!("{}: expected {what}, found {}", form.name, shown(&datum)),
+                position(&datum),
+                format!("{}: expected {expected}, found {}", form.name, excerpt(&datum)),
             );
         }
         value
     }
 
-    /// A word: a string or a symbol.
-    pub fn word(&mut self, form: &Form<'_>, what: &str) -> Option<String> {
-        self.parse_arg(form, what, word)
+    /// The only argument as a word: a string or a symbol.
+    pub fn word(&mut self, form: &Form<'_>, expected: &str) -> Option<String> {
+        self.parse_arg(form, expected, word)
     }
 
     /// The first argument as a name.
@@ -185,44 +194,48 @@
         if form.args.is_empty() {
             self.error_at(form, format!("{}: expected at least one word", form.name));
         }
-        let rest = form.args.clone();
-        let each = |d: Ref<'_>| {
+        let args = form.args.clone();
+        let read_word = |d: Ref<'_>| {
             let found = word(&d);
             if found.is_none() {
-                self.push_error(place(&d), format!("{}: expected a word, found {}", form.name, shown(&d)));
+                self.push_error(
+                    position(&d),
+                    format!("{}: expected a word, found {}", form.name, excerpt(&d)),
+                );
             }
             found
         };
-        rest.into_iter().filter_map(each).collect()
+        args.into_iter().filter_map(read_word).collect()
     }
 
-    /// A number within bounds.
+    /// The only argument as a number within bounds.
     pub fn number(&mut self, form: &Form<'_>, least: f64, most: f64) -> Option<f64> {
-        let what = format!("a number from {least} to {most}");
-        self.parse_arg(form, &what, |d| d.value().as_f64().filter(|n| (least..=most).contains(n)))
+        let expected = format!("a number from {least} to {most}");
+        self.parse_arg(form, &expected, |d| d.value().as_f64().filter(|n| (least..=most).contains(n)))
     }
 
-    /// A whole number within bounds.
+    /// The only argument as an integer within bounds.
     pub fn integer(&mut self, form: &Form<'_>, least: u64, most: u64) -> Option<u64> {
-        let what = format!("a whole number from {least} to {most}");
-        self.parse_arg(form, &what, |d| d.value().as_u64().filter(|n| (least..=most).contains(n)))
+        let expected = format!("a whole number from {least} to {most}");
+        self.parse_arg(form, &expected, |d| d.value().as_u64().filter(|n| (least..=most).contains(n)))
     }
 
-    /// A span, as a string like `"250ms"`.
+    /// The only argument as a duration under a week, a string such as `"250ms"`.
     pub fn duration(&mut self, form: &Form<'_>) -> Option<Duration> {
-        let read =
-            |d: &Ref<'_>| word(d).and_then(|w| session::duration(&w)).filter(|d| d.as_secs() < 86_400 * 7);
+        let read = |d: &Ref<'_>| {
+            word(d).and_then(|w| session::duration(&w)).filter(|duration| *duration < MAX_DURATION)
+        };
         self.parse_arg(form, "a span such as \"250ms\" or \"1.5s\"", read)
     }
 
-    /// A size, as a string like `"16GB"`.
+    /// The only argument as a size in bytes, a string such as `"16GB"`.
     pub fn size(&mut self, form: &Form<'_>) -> Option<u64> {
         self.parse_arg(form, "a size such as \"512kB\" or \"16GB\"", |d| {
             word(d).and_then(|w| session::bytes(&w))
         })
     }
 
-    /// `yes` or `no`.
+    /// The only argument as a flag, `yes` or `no`.
     pub fn flag(&mut self, form: &Form<'_>) -> Option<bool> {
         self.parse_arg(form, "yes or no", |d| match word(d)?.as_str() {
             "yes" => Some(true),
@@ -231,11 +244,11 @@
         })
     }
 
-    /// One of some words.
+    /// The only argument as one of the given words.
     pub fn choice<T: Copy>(&mut self, form: &Form<'_>, choices: &[(&str, T)]) -> Option<T> {
         let names: Vec<&str> = choices.iter().map(|c| c.0).collect();
-        let what = format!("one of {}", names.join(", "));
-        self.parse_arg(form, &what, |d| {
+        let expected = format!("one of {}", names.join(", "));
+        self.parse_arg(form, &expected, |d| {
             let w = word(d)?;
             choices.iter().find(|c| c.0 == w).map(|c| c.1)
         })
@@ -247,20 +260,20 @@
     value.as_str().or_else(|| value.as_symbol()).map(str::to_owned)
 }
 
-/// The fields of a form.
+/// The arguments of a form, read as fields `(name value ...)`.
 pub struct Fields<'a> {
-    /// The form that they belong to.
+    /// The form that the fields belong to.
     pub form: Form<'a>,
     fields: Vec<Form<'a>>,
 }
 
 impl<'a> Fields<'a> {
-    /// A field.
+    /// The field of this name.
     pub fn get(&self, name: &str) -> Option<&Form<'a>> {
         self.fields.iter().find(|f| f.name == name)
     }
 
-    /// A field that must be there.
+    /// The field of this name; reports an error if it is missing.
     pub fn require(&self, checker: &mut Checker, name: &str) -> Option<&Form<'a>> {
         let found = self.get(name);
         if found.is_none() {
@@ -269,32 +282,32 @@
         found
     }
 
-    /// A span, with a default.
+    /// The value of a field as a duration, or the default if it is missing or invalid.
     pub fn duration(&self, checker: &mut Checker, name: &str, default: Duration) -> Duration {
         self.get(name).and_then(|f| checker.duration(f)).unwrap_or(default)
     }
 
-    /// A whole number, with a default.
+    /// The value of a field as an integer, or the default.
     pub fn integer(&self, checker: &mut Checker, name: &str, bounds: (u64, u64), default: u64) -> u64 {
         self.get(name).and_then(|f| checker.integer(f, bounds.0, bounds.1)).unwrap_or(default)
     }
 
-    /// A number, with a default.
+    /// The value of a field as a number, or the default.
     pub fn number(&self, checker: &mut Checker, name: &str, bounds: (f64, f64), default: f64) -> f64 {
         self.get(name).and_then(|f| checker.number(f, bounds.0, bounds.1)).unwrap_or(default)
     }
 
-    /// A flag, with a default.
+    /// The value of a field as a flag, or the default.
     pub fn flag(&self, checker: &mut Checker, name: &str, default: bool) -> bool {
         self.get(name).and_then(|f| checker.flag(f)).unwrap_or(default)
     }
 
-    /// A size, with a default.
+    /// The value of a field as a size in bytes, or the default.
     pub fn size(&self, checker: &mut Checker, name: &str, default: u64) -> u64 {
         self.get(name).and_then(|f| checker.size(f)).unwrap_or(default)
     }
 
-    /// A word, with a default.
+    /// The value of a field as a word, or the default.
     pub fn word(&self, checker: &mut Checker, name: &str, default: &str) -> String {
         self.get(name).and_then(|f| checker.word(f, "a word")).unwrap_or_else(|| default.to_owned())
     }
--- a/crates/gateway/src/rules/syntax.rs
+++ b/crates/gateway/src/rules/syntax.rs
@@ -17,88 +17,97 @@
     /// Every mistake, with its place: a name that this gateway does not know is one.
     pub fn parse(text: &str, names: &Names) -> Result<Rules, Vec<Diagnostic>> {
         let data = forms::read(text).map_err(|m| vec![m])?;
-        let mut c = Checker::default();
+        let mut checker = Checker::default();
         let mut rules = Rules::default();
         for datum in &data {
-            let Some(form) = c.form(datum.as_ref()) else { continue };
+            let Some(form) = checker.form(datum.as_ref()) else { continue };
             match form.name.as_str() {
                 "class" => {
-                    let Some(name) = c.name(&form) else { continue };
+                    let Some(name) = checker.name(&form) else { continue };
                     if !names.classes.contains(&name) {
-                        c.error_at(
+                        checker.error_at(
                             &form,
                             format!("there is no class {name} here; known: {}", names.classes.join(", ")),
                         );
                     }
-                    let f = c.fields(&form, 1, &["admit", "kinds", "zones", "once"]);
-                    let admit = f.get("admit").cloned();
-                    let admit = admit.and_then(|f| c.choice(&f, &[("yes", true), ("no", false)]));
-                    let kinds = f.get("kinds").cloned().map(|f| set(&mut c, &f, &names.kinds, "kind"));
-                    let zones = f.get("zones").cloned().map(|f| set(&mut c, &f, &names.zones, "zone"));
-                    let once = f.flag(&mut c, "once", false);
+                    let fields = checker.fields(&form, 1, &["admit", "kinds", "zones", "once"]);
+                    let admit = fields.get("admit").cloned();
+                    let admit = admit.and_then(|f| checker.choice(&f, &[("yes", true), ("no", false)]));
+                    let kinds =
+                        fields.get("kinds").cloned().map(|f| set(&mut checker, &f, &names.kinds, "kind"));
+                    let zones =
+                        fields.get("zones").cloned().map(|f| set(&mut checker, &f, &names.zones, "zone"));
+                    let once = fields.flag(&mut checker, "once", false);
                     let class = ClassRules { closed: admit == Some(false), kinds, zones, once };
                     if rules.classes.insert(name.clone(), class).is_some() {
-                        c.error_at(&form, format!("class {name} stands twice"));
+                        checker.error_at(&form, format!("class {name} is given twice"));
                     }
                 }
                 "tenant" => {
-                    let Some(name) = c.name(&form) else { continue };
+                    let Some(name) = checker.name(&form) else { continue };
                     if !names.tenants.contains(&name) {
-                        c.error_at(&form, format!("there is no tenant {name} here"));
+                        checker.error_at(&form, format!("there is no tenant {name} here"));
                     }
-                    let f = c.fields(&form, 1, &["per-second"]);
-                    let rate = f.require(&mut c, "per-second").cloned().and_then(|f| c.number(&f, 0.0, 1e9));
+                    let fields = checker.fields(&form, 1, &["per-second"]);
+                    let rate = fields
+                        .require(&mut checker, "per-second")
+                        .cloned()
+                        .and_then(|f| checker.number(&f, 0.0, 1e9));
                     rules.tenants.insert(name, rate.unwrap_or(0.0));
                 }
                 "attempts" => {
-                    let f = c.fields(&form, 0, &["cap", "free", "per-request"]);
+                    let fields = checker.fields(&form, 0, &["cap", "free", "per-request"]);
                     rules.attempts = AttemptLimits {
-                        cap: f.integer(&mut c, "cap", (1, 1_000), u64::from(u32::MAX)) as u32,
-                        free: f.number(&mut c, "free", (0.0, 1e9), f64::INFINITY),
-                        per_request: f.number(&mut c, "per-request", (0.0, 1e3), f64::INFINITY),
+                        cap: fields.integer(&mut checker, "cap", (1, 1_000), u64::from(u32::MAX)) as u32,
+                        free: fields.number(&mut checker, "free", (0.0, 1e9), f64::INFINITY),
+                        per_request: fields.number(&mut checker, "per-request", (0.0, 1e3), f64::INFINITY),
                     };
                 }
                 "engine" => {
-                    let Some(name) = c.name(&form) else { continue };
-                    let f = c.fields(&form, 1, &["state"]);
+                    let Some(name) = checker.name(&form) else { continue };
+                    let fields = checker.fields(&form, 1, &["state"]);
                     let states =
                         [("up", Listed::Up), ("draining", Listed::Draining), ("removed", Listed::Removed)];
-                    let state = f.require(&mut c, "state").cloned().and_then(|f| c.choice(&f, &states));
+                    let state = fields
+                        .require(&mut checker, "state")
+                        .cloned()
+                        .and_then(|f| checker.choice(&f, &states));
                     rules.engines.insert(name, state.unwrap_or(Listed::Up));
                 }
                 "window" => {
-                    let Some(grant) = window(&mut c, &form) else { continue };
+                    let Some(grant) = window(&mut checker, &form) else { continue };
                     if rules.windows.iter().any(|g| g.name == grant.name) {
-                        c.error_at(&form, format!("window {} stands twice", grant.name));
+                        checker.error_at(&form, format!("window {} is given twice", grant.name));
                     }
                     rules.windows.push(grant);
                 }
-                other => c.error_at(
+                other => checker.error_at(
                     &form,
                     format!("{other} is not known; known: class, tenant, attempts, engine, window"),
                 ),
             }
         }
-        c.diagnostics.sort();
-        if c.diagnostics.is_empty() {
+        checker.diagnostics.sort();
+        if checker.diagnostics.is_empty() {
             Ok(rules.normalized())
         } else {
-            Err(c.diagnostics)
+            Err(checker.diagnostics)
         }
     }
 }
 
 /// `(window NAME (engines E ...) (from TIME) (until TIME) (by WHO) (off yes))`.
-fn window(c: &mut Checker, form: &forms::Form<'_>) -> Option<Grant> {
-    let name = c.name(form)?;
-    let f = c.fields(form, 1, &["engines", "from", "until", "by", "off"]);
-    let engines = f.require(c, "engines").cloned().map(|f| c.words(&f))?.into_iter().collect();
+fn window(checker: &mut Checker, form: &forms::Form<'_>) -> Option<Grant> {
+    let name = checker.name(form)?;
+    let fields = checker.fields(form, 1, &["engines", "from", "until", "by", "off"]);
+    let engines =
+        fields.require(checker, "engines").cloned().map(|f| checker.words(&f))?.into_iter().collect();
     let mut time = |name: &str| {
-        let field = f.require(c, name).cloned()?;
-        let word = c.word(&field, "a time such as \"2026-12-02T03:00:00Z\"")?;
+        let field = fields.require(checker, name).cloned()?;
+        let word = checker.word(&field, "a time such as \"2026-12-02T03:00:00Z\"")?;
         let at = timestamp::parse(&word);
         if at.is_none() {
-            c.error_at(
+            checker.error_at(
                 &field,
                 format!("{name}: expected a time such as \"2026-12-02T03:00:00Z\", found {word}"),
             );
@@ -106,7 +115,7 @@
         at
     };
     let (from, until) = (time("from"), time("until"));
-    let (by, off) = (f.word(c, "by", ""), f.flag(c, "off", false));
+    let (by, off) = (fields.word(checker, "by", ""), fields.flag(checker, "off", false));
     Some(Grant { name, engines, from: from?, until: until?, by, off })
 }
 
@@ -117,9 +126,9 @@
     let (mut found, mut out) = (false, String::new());
     for datum in &data {
         let shown = datum.value().to_string();
-        let mut c = Checker::default();
-        let form = c.form(datum.as_ref()).filter(|f| f.name == "window");
-        let grant = form.and_then(|f| window(&mut c, &f)).filter(|g| g.name == name && !g.off);
+        let mut checker = Checker::default();
+        let form = checker.form(datum.as_ref()).filter(|f| f.name == "window");
+        let grant = form.and_then(|f| window(&mut checker, &f)).filter(|g| g.name == name && !g.off);
         let open = grant.and(shown.strip_suffix(')'));
         match open {
             // `(off no)` may be said.
@@ -135,10 +144,10 @@
     found.then_some(out)
 }
 
-fn set(c: &mut Checker, form: &forms::Form<'_>, known: &[String], what: &str) -> BTreeSet<String> {
-    let words = c.words(form);
+fn set(checker: &mut Checker, form: &forms::Form<'_>, known: &[String], what: &str) -> BTreeSet<String> {
+    let words = checker.words(form);
     for word in words.iter().filter(|w| !known.contains(w)) {
-        c.error_at(form, format!("there is no {what} {word} here; known: {}", known.join(", ")));
+        checker.error_at(form, format!("there is no {what} {word} here; known: {}", known.join(", ")));
     }
     words.into_iter().collect()
 }
--- a/crates/gateway/tests/config.rs
+++ b/crates/gateway/tests/config.rs
@@ -52,8 +52,8 @@
         ("(number 1)", "(number 3)", "number 3 must be under (of 3)"),
         ("127.0.0.1:0", "somewhere", "1:37: listen: expected an address and port"),
         ("\"4s\"", "\"900ms\"", "give-up must be over aim"),
-        ("(aim \"1s\")", "(aim \"1s\") (aim \"2s\")", "aim stands twice in class"),
-        ("(class load", "(class lookup", "5:3: class lookup stands twice"),
+        ("(aim \"1s\")", "(aim \"1s\") (aim \"2s\")", "aim is given twice in class"),
+        ("(class load", "(class lookup", "5:3: class lookup is given twice"),
         ("(kinds (kind", "(beds (kind", "(kinds ...) is missing"),
         ("(select lookup)", "(select lookup", "not an S-expression"),
         ("(select lookup)", "select", "expected a form like (name value), found select"),
@@ -72,8 +72,9 @@
 #[test]
 fn settings_that_break_the_rules_are_refused() {
     let crossed = |more: &str| cross_checks(&read(&format!("{GOOD}{more}")).unwrap());
-    assert!(crossed("(limits (list-every \"200ms\"))")[0].contains("a drain seen late is not kept"));
-    assert!(crossed("(engine-properties (repeat \"\"))")[0].contains("engines could drop no repeat"));
+    assert!(crossed("(limits (list-every \"200ms\"))")[0]
+        .contains("a drain that is seen too late is not honoured in time"));
+    assert!(crossed("(engine-properties (repeat \"\"))")[0].contains("engines could not recognize repeats"));
     let found = read(&format!("{GOOD}(policy (key-rest \"0ms\"))")).unwrap_err();
     assert!(found[0].contains("in-order needs policy/key-rest over 0"));
     let found = read(&format!("{GOOD}(limits (long-poll \"60s\"))")).unwrap_err();
@@ -104,7 +105,7 @@
         ("\"sixteen octets or more\"", "\"short\"", "the secret of k1 is under sixteen octets"),
         ("(key k0", "(key k1", "the key k1 stands twice"),
         ("(via g0 \"127.0.0.1:3\")", "(via g0)", "expected (key NAME \"secret\") or (via NAME ADDRESS)"),
-        ("(listen \"127.0.0.1:0\")", "(listen \"0.0.0.0:0\")", "(advertise ADDRESS) must tell"),
+        ("(listen \"127.0.0.1:0\")", "(listen \"0.0.0.0:0\")", "(advertise ADDRESS) must name one address"),
         ("(period \"250ms\")", "(key-file \"none\")", "key-file and key: expected one of them"),
     ];
     for (from, to, told) in cases {
@@ -144,8 +145,8 @@
     let alone = read(&format!("{GOOD}{SITES}")).unwrap_err();
     assert!(alone.iter().any(|m| m.contains("site-loss needs (membership ...)")), "{alone:?}");
     let cases = [
-        ("(site south ", "(site east ", "membership's site south is none of the sites"),
-        ("(site west ", "(site north ", "site north stands twice"),
+        ("(site south ", "(site east ", "membership's site south is not one of the sites"),
+        ("(site west ", "(site north ", "site north is given twice"),
         ("(gateways 2)", "(gateway 2)", "gateway is not known"),
         ("(back \"4s\")", "(back \"4m\")", "back-most >= back"),
         ("(acts no)", "(acts no) (low 2)", "low must be under high"),
