--- a/crates/gateway/src/forms.rs
+++ b/crates/gateway/src/forms.rs
@@ -140,7 +140,7 @@
                     format!("{} is not known in {}; known: {}", field.name, form.name, known.join(", "));
                 self.push_error(field.position, message);
             } else if fields[..i].iter().any(|f| f.name == field.name) {
-                self.push_error(field.position, format!("{} is given twice in {}", field.name, form.name));
+                self.push_error(field.position, format!("{} stands twice in {}", field.name, form.name));
             }
         }
         Fields { form: form.clone(), fields }
--- a/crates/gateway/src/rules/syntax.rs
+++ b/crates/gateway/src/rules/syntax.rs
@@ -1,4 +1,4 @@
-//! Reading the text of a version.
+//! Parses the text of a version of the settings.
 
 use std::collections::BTreeSet;
 
@@ -11,10 +11,10 @@
 use crate::timestamp;
 
 impl Rules {
-    /// Reads a version's content.
+    /// Parses a version's content.
     ///
     /// # Errors
-    /// Every mistake, with its place: a name that this gateway does not know is one.
+    /// All errors with their positions. A name unknown to this gateway is an error.
     pub fn parse(text: &str, names: &Names) -> Result<Rules, Vec<Diagnostic>> {
         let data = forms::read(text).map_err(|m| vec![m])?;
         let mut checker = Checker::default();
@@ -33,14 +33,18 @@
                     let fields = checker.fields(&form, 1, &["admit", "kinds", "zones", "once"]);
                     let admit = fields.get("admit").cloned();
                     let admit = admit.and_then(|f| checker.choice(&f, &[("yes", true), ("no", false)]));
-                    let kinds =
-                        fields.get("kinds").cloned().map(|f| set(&mut checker, &f, &names.kinds, "kind"));
-                    let zones =
-                        fields.get("zones").cloned().map(|f| set(&mut checker, &f, &names.zones, "zone"));
+                    let kinds = fields
+                        .get("kinds")
+                        .cloned()
+                        .map(|f| known_names(&mut checker, &f, &names.kinds, "kind"));
+                    let zones = fields
+                        .get("zones")
+                        .cloned()
+                        .map(|f| known_names(&mut checker, &f, &names.zones, "zone"));
                     let once = fields.flag(&mut checker, "once", false);
                     let class = ClassRules { closed: admit == Some(false), kinds, zones, once };
                     if rules.classes.insert(name.clone(), class).is_some() {
-                        checker.error_at(&form, format!("class {name} is given twice"));
+                        checker.error_at(&form, format!("class {name} stands twice"));
                     }
                 }
                 "tenant" => {
@@ -77,7 +81,7 @@
                 "window" => {
                     let Some(grant) = window(&mut checker, &form) else { continue };
                     if rules.windows.iter().any(|g| g.name == grant.name) {
-                        checker.error_at(&form, format!("window {} is given twice", grant.name));
+                        checker.error_at(&form, format!("window {} stands twice", grant.name));
                     }
                     rules.windows.push(grant);
                 }
@@ -96,7 +100,7 @@
     }
 }
 
-/// `(window NAME (engines E ...) (from TIME) (until TIME) (by WHO) (off yes))`.
+/// Reads `(window NAME (engines E ...) (from TIME) (until TIME) (by WHO) (off yes))`.
 fn window(checker: &mut Checker, form: &forms::Form<'_>) -> Option<Grant> {
     let name = checker.name(form)?;
     let fields = checker.fields(form, 1, &["engines", "from", "until", "by", "off"]);
@@ -119,32 +123,38 @@
     Some(Grant { name, engines, from: from?, until: until?, by, off })
 }
 
-/// A version's text with one of its windows called off, on its own lines and without comments; `None` if it is not there, or
-/// off already.
+/// A version's text with one of its windows called off, one form per line and without comments. `None` if
+/// there is no such window or it is called off already.
 pub fn cancel_window(text: &str, name: &str) -> Option<String> {
     let data = forms::read(text).ok()?;
     let (mut found, mut out) = (false, String::new());
     for datum in &data {
-        let shown = datum.value().to_string();
+        let form_text = datum.value().to_string();
         let mut checker = Checker::default();
         let form = checker.form(datum.as_ref()).filter(|f| f.name == "window");
         let grant = form.and_then(|f| window(&mut checker, &f)).filter(|g| g.name == name && !g.off);
-        let open = grant.and(shown.strip_suffix(')'));
-        match open {
-            // `(off no)` may be said.
-            Some(open) => {
+        let unclosed = grant.and(form_text.strip_suffix(')'));
+        match unclosed {
+            // The form may contain `(off no)`, which is replaced.
+            Some(unclosed) => {
                 found = true;
-                out += &open.replace(" (off no)", "");
+                out += &unclosed.replace(" (off no)", "");
                 out += " (off yes))";
             }
-            None => out += &shown,
+            None => out += &form_text,
         }
         out.push('\n');
     }
     found.then_some(out)
 }
 
-fn set(checker: &mut Checker, form: &forms::Form<'_>, known: &[String], what: &str) -> BTreeSet<String> {
+/// Reads the words of a form, which must be known names of kinds or zones.
+fn known_names(
+    checker: &mut Checker,
+    form: &forms::Form<'_>,
+    known: &[String],
+    what: &str,
+) -> BTreeSet<String> {
     let words = checker.words(form);
     for word in words.iter().filter(|w| !known.contains(w)) {
         checker.error_at(form, format!("there is no {what} {word} here; known: {}", known.join(", ")));
