--- a/crates/gateway/src/agreement.rs
+++ b/crates/gateway/src/agreement.rs
@@ -1,9 +1,10 @@
-//! Carries out agreement on settings: moves its sayings over membership, keeps on disk what has to be kept before it is told,
-//! and hands the rules that hold to the core. Decides nothing about versions: that is `violetward-agreement`.
+//! Runs the agreement on settings: exchanges its messages through membership, writes votes to disk before
+//! they are sent, and passes the rules in force to the core. Decisions about versions are made by
+//! `violetward-agreement`.
 
-mod asking;
-mod disk;
+mod operators;
 mod report;
+mod vote_file;
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,42 +26,46 @@
 use crate::host::Host;
 use crate::list::EngineRecord;
 use crate::rules::{self, Rules};
-pub(crate) use asking::http_get;
-pub use asking::{
+pub(crate) use operators::http_get;
+pub use operators::{
     confirm_clock, fetch_status, fetch_status_since, propose, AFTER_HEADER, CODE_HEADER, KEY_HEADER,
     SETTINGS_PATH,
 };
-pub use disk::{init_votes, replace_votes};
-use disk::{open, read, unusable};
 pub use report::{ProposalReport, SettingsStatus, VersionRow};
+pub use vote_file::{init_votes, replace_votes};
+use vote_file::{open_folder, read_votes, unusable};
 
-/// Gateways that a drain or a removal is told to at once; each of them passes it on.
-const SOME: usize = 4;
+/// Number of gateways that are sent a drain or a removal at once; each of them forwards it.
+const CLAIM_FANOUT: usize = 4;
 
-/// The settings on which this gateway agrees with the others.
+/// The agreement of this gateway with the others on the settings.
 pub struct SettingsAgreement {
     member: RefCell<Member>,
     terms: AgreementTerms,
     floor: Rules,
     names: Names,
-    /// The range that the core's rules are made from; `None` is the floor.
-    applied: Cell<Option<(u64, u64)>>,
-    /// When the rules were last changed, and how long this gateway has been without a lease in all.
-    since: Cell<u64>,
-    lapsed: Cell<(u64, u64)>,
+    /// The range of versions that the core's rules are made from; `None` is the floor.
+    applied_range: Cell<Option<(u64, u64)>>,
+    /// When the core's rules were last changed.
+    applied_at: Cell<u64>,
+    /// Total time without a lease up to the start of the current span without one, and that start.
+    time_without_lease: Cell<(u64, u64)>,
     alarm: Alarm,
-    due: Event,
-    waiting: RefCell<Option<async_channel::Sender<Outcome>>>,
-    /// Where a voter's file is; held as long as this lives.
+    /// Signalled when the member may have effects to run.
+    effects_due: Event,
+    /// Receives the outcome of the operator's proposal in progress.
+    proposal_reply: RefCell<Option<async_channel::Sender<Outcome>>>,
+    /// The folder of a voter's file, locked for as long as this value exists.
     folder: Option<Arc<Mutex<Whole<Folder>>>>,
-    /// The file cannot be used, or is an old copy: it stays as it is.
-    stays: Cell<bool>,
+    /// The voter's file is unusable or an old copy, and must not be overwritten.
+    file_frozen: Cell<bool>,
+    /// Why this gateway does not vote, or cannot write its votes.
     trouble: RefCell<Option<String>>,
-    /// Engines that nothing new is sent to because of windows, as the core has been told.
-    away: RefCell<BTreeSet<String>>,
+    /// Engines that get no new work because of windows, as last passed to the core.
+    engines_in_windows: RefCell<BTreeSet<String>>,
 }
 
-fn listed(state: EngineState) -> Listed {
+fn listed_state(state: EngineState) -> Listed {
     match state {
         EngineState::Up => Listed::Up,
         EngineState::Draining => Listed::Draining,
@@ -69,7 +74,7 @@
 }
 
 impl SettingsAgreement {
-    /// Starts the tasks of agreement; they run as long as the host's executor does.
+    /// Starts the tasks of the agreement, which run as long as the host's executor.
     ///
     /// # Errors
     /// If another process uses the same folder.
@@ -79,32 +84,33 @@
         let (mut folder, mut trouble) = (None, None);
         let mut kept = (Kept::default(), 0);
         if votes {
-            // Two processes that vote as one would forget each other's votes.
-            let mut held = open(terms).map_err(|e| match e {
+            // Two processes that vote under one name would overwrite each other's votes.
+            let mut opened = open_folder(terms).map_err(|e| match e {
                 StoreError::Busy => {
                     std::io::Error::other(format!("{} is used by another process", terms.folder.display()))
                 }
                 e => std::io::Error::other(unusable(terms, e)),
             })?;
-            match read(&mut held, terms) {
+            match read_votes(&mut opened, terms) {
                 Ok(found) => kept = found,
                 Err(why) => {
                     tracing::error!("this gateway does not vote: {why}");
                     trouble = Some(why);
                 }
             }
-            folder = Some(Arc::new(Mutex::new(held)));
+            folder = Some(Arc::new(Mutex::new(opened)));
         }
         let votes = votes && trouble.is_none();
         let floor = Rules::floor(&terms.floor.0, &terms.floor.1, &names);
-        let check = {
-            let (floor, names, holds) = (floor.clone(), names.clone(), terms.windows_fingerprint.is_some());
-            Box::new(move |content: &[u8]| match check(content, &names, &floor)? {
-                rules if holds || rules.windows().is_empty() => Ok(()),
+        let content_check = {
+            let (floor, names, has_windows) =
+                (floor.clone(), names.clone(), terms.windows_fingerprint.is_some());
+            Box::new(move |content: &[u8]| match parse_content(content, &names, &floor)? {
+                rules if has_windows || rules.windows().is_empty() => Ok(()),
                 _ => Err("windows are not held here: the configuration has no (windows ...)".into()),
             })
         };
-        let fitness = fitness(host, &names, &floor);
+        let fitness = fitness_check(host, &names, &floor);
         let member_terms = MemberTerms {
             name: terms.name.clone(),
             voters: terms.voters.clone(),
@@ -119,67 +125,68 @@
         let now = host.now();
         let agreed = Rc::new(SettingsAgreement {
             member: RefCell::new(
-                Member::new(member_terms, kept, rand::random(), now, check).with_fitness(fitness),
+                Member::new(member_terms, kept, rand::random(), now, content_check).with_fitness(fitness),
             ),
             terms: terms.clone(),
             floor,
             names,
-            applied: Cell::new(Some((0, 0))),
-            since: Cell::new(now),
-            lapsed: Cell::new((0, now)),
+            applied_range: Cell::new(Some((0, 0))),
+            applied_at: Cell::new(now),
+            time_without_lease: Cell::new((0, now)),
             alarm: Alarm::default(),
-            due: Event::new(),
-            waiting: RefCell::default(),
+            effects_due: Event::new(),
+            proposal_reply: RefCell::default(),
             folder,
-            stays: Cell::new(!votes),
+            file_frozen: Cell::new(!votes),
             trouble: RefCell::new(trouble),
-            away: RefCell::default(),
+            engines_in_windows: RefCell::default(),
         });
         *host.agreed.borrow_mut() = Some(agreed.clone());
         agreed.refresh_rules(host);
-        host.spawn(agreed.clone().pump(host.clone()));
-        host.spawn(agreed.clone().wake(host.clone()));
+        host.spawn(agreed.clone().run_effects(host.clone()));
+        host.spawn(agreed.clone().run_timer(host.clone()));
         Ok(agreed)
     }
 
-    fn with<T>(&self, host: &Rc<Host>, act: impl FnOnce(&mut Member, u64) -> T) -> T {
+    fn with_member<T>(&self, host: &Rc<Host>, act: impl FnOnce(&mut Member, u64) -> T) -> T {
         let result = act(&mut self.member.borrow_mut(), host.now());
         self.refresh_rules(host);
-        self.lists(host);
-        self.due.notify(1);
+        self.run_list_effects(host);
+        self.effects_due.notify(1);
         self.alarm.set(Some(self.member.borrow().next_wake()));
         result
     }
 
-    /// Carries out what lists lead to.
-    fn lists(&self, host: &Rc<Host>) {
+    /// Runs the effects of changed engine lists, own and remote.
+    fn run_list_effects(&self, host: &Rc<Host>) {
         loop {
             let effect = self.member.borrow_mut().list_effect();
             match effect {
                 None => break,
                 Some(ListEffect::Tell(claim)) => {
                     let said = Said::Listed(claim).write();
-                    host.peers().iter().for_each(|p| p.say_some(host, &said, SOME));
+                    host.peers().iter().for_each(|p| p.say_some(host, &said, CLAIM_FANOUT));
                 }
                 Some(ListEffect::Changed) => {
                     let claims = self.member.borrow().claimed();
-                    tracing::info!(?claims, at = host.now(), "others' lists");
-                    let listed = |(name, (came_up, state))| (name, (came_up, listed(state)));
-                    let claims = claims.into_iter().map(listed).collect();
+                    tracing::info!(?claims, at = host.now(), "engine states claimed by other gateways");
+                    let with_listed_state = |(name, (came_up, state))| (name, (came_up, listed_state(state)));
+                    let claims = claims.into_iter().map(with_listed_state).collect();
                     host.with_core(|core, now| core.set_remote_states(now, claims));
                 }
                 Some(ListEffect::Mass(gone, of)) => {
                     tracing::error!(
                         gone,
                         of,
-                        "most engines went from the list at once: obeyed here, not passed on"
+                        "most engines left the list at once: applied here, not forwarded to other gateways"
                     );
                 }
             }
         }
     }
 
-    /// This gateway's own list has been read: what it takes away is told to the others.
+    /// Takes the engine list that this gateway has read. Drains and removals in it are sent to the other
+    /// gateways.
     pub fn set_local_list(&self, host: &Rc<Host>, list: &BTreeMap<String, EngineRecord>) {
         let state = |listed| match listed {
             Listed::Up => EngineState::Up,
@@ -188,16 +195,16 @@
         };
         let list =
             list.iter().map(|(name, r)| (name.clone(), (r.entry.came_up, state(r.entry.listed)))).collect();
-        self.with(host, |member, now| member.listed(now, list));
+        self.with_member(host, |member, now| member.listed(now, list));
     }
 
-    /// Another gateway, known and proved by membership, said something.
+    /// Takes a message of another gateway, which membership has authenticated.
     pub fn receive(&self, host: &Rc<Host>, from: &str, bytes: &[u8]) {
-        self.with(host, |member, now| member.heard(now, from, bytes));
+        self.with_member(host, |member, now| member.heard(now, from, bytes));
     }
 
-    /// Hands the core the rules that hold now. Called whenever something may have changed, and by the host before the core
-    /// does anything at or after the time that this leaves behind.
+    /// Passes the rules in force to the core. Called whenever they may have changed, and by the host before
+    /// the core acts at or after the time that this method stores in `rules_valid_until`.
     pub fn refresh_rules(&self, host: &Rc<Host>) {
         let now = host.now();
         let windows = host.windows.borrow().clone();
@@ -206,67 +213,69 @@
             (member.acts_on(now), member.voter().until(now))
         };
         host.rules_valid_until.set(until.unwrap_or(u64::MAX));
-        if self.applied.get() != range {
+        if self.applied_range.get() != range {
             windows.iter().for_each(|w| w.versions(range.and_then(|range| self.windows_of(range))));
         }
-        // Without a lease nobody may leave out anything.
+        // Without a lease, no engine may be left out because of a window.
         let away = windows.filter(|_| range.is_some()).map(|w| w.away()).unwrap_or_default();
-        if self.applied.get() == range && *self.away.borrow() == away {
+        if self.applied_range.get() == range && *self.engines_in_windows.borrow() == away {
             return;
         }
-        if self.applied.get().is_none() {
-            let (total, from) = self.lapsed.get();
-            self.lapsed.set((total + now.saturating_sub(from), now));
+        if self.applied_range.get().is_none() {
+            let (total, from) = self.time_without_lease.get();
+            self.time_without_lease.set((total + now.saturating_sub(from), now));
         } else if range.is_none() {
-            self.lapsed.set((self.lapsed.get().0, now));
+            self.time_without_lease.set((self.time_without_lease.get().0, now));
         }
-        self.applied.set(range);
-        self.since.set(now);
+        self.applied_range.set(range);
+        self.applied_at.set(now);
         let mut rules = self.rules_of(range);
         if !away.is_empty() {
             rules = rules.intersect(&Rules::draining(&away));
         }
         tracing::info!(?range, ?away, at = now, "rules");
-        *self.away.borrow_mut() = away;
+        *self.engines_in_windows.borrow_mut() = away;
         host.with_core(|core, now| core.set_rules(now, rules));
     }
 
-    /// What all versions of a range allow. A version that this gateway does not have or cannot read leaves the floor.
+    /// The rules that all versions of a range allow. They are the floor if this gateway does not have a
+    /// version or cannot read it.
     fn rules_of(&self, range: Option<(u64, u64)>) -> Rules {
         let member = self.member.borrow();
         let history = member.voter().history();
-        let read = |number: u64| match number {
+        let rules_at = |number: u64| match number {
             0 => Some(Rules::default()),
-            _ => check(&history.get(number)?.content, &self.names, &self.floor).ok(),
+            _ => parse_content(&history.get(number)?.content, &self.names, &self.floor).ok(),
         };
         let Some((low, top)) = range else { return self.floor.clone() };
-        let all: Option<Vec<Rules>> = (low..=top).map(read).collect();
+        let all: Option<Vec<Rules>> = (low..=top).map(rules_at).collect();
         let Some(all) = all else {
             tracing::error!(
                 low,
                 top,
-                "a version of the settings cannot be used here: only the floor is served"
+                "a version of the settings cannot be used here: only what the floor allows is served"
             );
             return self.floor.clone();
         };
-        all.iter().fold(Rules::default(), |rules, more| rules.intersect(more))
+        all.iter().fold(Rules::default(), |rules, next| rules.intersect(next))
     }
 
     /// The windows of each version of a range; `None` if one of them cannot be used here.
     fn windows_of(&self, (low, top): (u64, u64)) -> Option<Vec<Vec<Grant>>> {
         let member = self.member.borrow();
         let history = member.voter().history();
-        let read = |number: u64| match number {
+        let rules_at = |number: u64| match number {
             0 => Some(Vec::new()),
             _ => {
                 let version = history.get(number)?;
-                check(&version.content, &self.names, &self.floor).ok().map(|r| r.windows().to_vec())
+                parse_content(&version.content, &self.names, &self.floor).ok().map(|r| r.windows().to_vec())
             }
         };
-        (low..=top).map(read).collect()
+        (low..=top).map(rules_at).collect()
     }
 
-    /// Proposes a version that calls a window off, where the newest does not say so. What comes of it is seen in the versions.
+    /// Proposes a version that calls a window off, unless the newest one does so already. The outcome shows
+    /// in the versions.
     pub fn cancel_window(&self, host: &Rc<Host>, window: &str) {
         let (newest, content) = {
             let member = self.member.borrow();
@@ -276,21 +285,22 @@
         };
         let content = content.and_then(|c| String::from_utf8(c).ok());
         let Some(content) = content.and_then(|text| rules::cancel_window(&text, window)) else { return };
-        let begun = self.with(host, |member, now| member.propose(now, content.as_bytes(), Some(newest)));
+        let begun =
+            self.with_member(host, |member, now| member.propose(now, content.as_bytes(), Some(newest)));
         tracing::error!(window, newest, ?begun, at = host.now(), "a window is to be called off by a version");
     }
 
-    /// Whether this gateway acts under a lease.
+    /// Whether this gateway holds a lease.
     pub fn has_lease(&self) -> bool {
-        self.applied.get().is_some()
+        self.applied_range.get().is_some()
     }
 
-    /// Carries out effects, one after the other: what follows a write waits for it. Never ends.
-    async fn pump(self: Rc<Self>, host: Rc<Host>) {
+    /// Runs effects one after the other, so that each waits for the writes before it. Never returns.
+    async fn run_effects(self: Rc<Self>, host: Rc<Host>) {
         loop {
-            let listener = self.due.listen();
+            let listener = self.effects_due.listen();
             let effect = self.member.borrow_mut().effect(host.now());
-            // What the gateway says to itself changes what it may act on.
+            // A gateway's messages to itself may change its lease.
             self.refresh_rules(&host);
             self.alarm.set(Some(self.member.borrow().next_wake()));
             let Some(effect) = effect else {
@@ -298,27 +308,36 @@
                 continue;
             };
             match effect {
-                Effect::Keep(bytes) => self.keep(bytes).await,
+                Effect::Keep(bytes) => self.write_votes(bytes).await,
                 Effect::Say(to, bytes) => host.peers().iter().for_each(|p| p.say(&host, &to, &bytes)),
                 Effect::SayAll(bytes) => host.peers().iter().for_each(|p| p.say_all(&host, &bytes)),
                 Effect::OldFile => {
                     let why = "its file is an old copy: others have heard of later votes of this gateway";
                     tracing::error!("this gateway does not vote: {why}");
                     *self.trouble.borrow_mut() = Some(why.into());
-                    self.stays.set(true);
+                    self.file_frozen.set(true);
                 }
                 Effect::Learned(version) => {
                     let (number, hash) = (version.number, format!("{:016x}", version.hash));
-                    tracing::info!(number, hash, at = host.now(), "a version of the settings is committed");
+                    tracing::info!(
+                        number,
+                        hash,
+                        at = host.now(),
+                        "a version of the settings has been committed"
+                    );
                 }
                 Effect::Proposed(outcome) => {
                     tracing::info!(?outcome, at = host.now(), "a proposal has ended");
-                    self.waiting.borrow_mut().take().iter().for_each(|w| drop(w.try_send(outcome.clone())));
+                    self.proposal_reply
+                        .borrow_mut()
+                        .take()
+                        .iter()
+                        .for_each(|sender| drop(sender.try_send(outcome.clone())));
                 }
                 Effect::OtherTerms(from) => {
                     tracing::error!(
                         from,
-                        "that gateway's (agreement ...) says something else than this one's"
+                        "the other gateway's configuration of (agreement ...) differs from this one's"
                     );
                 }
             }
@@ -326,38 +345,38 @@
         }
     }
 
-    async fn wake(self: Rc<Self>, host: Rc<Host>) {
+    async fn run_timer(self: Rc<Self>, host: Rc<Host>) {
         loop {
             self.alarm.wait(&host.clock, || Some(self.member.borrow().next_wake())).await;
-            self.with(&host, Member::wake);
+            self.with_member(&host, Member::wake);
             future::yield_now().await;
         }
     }
 
-    /// Gives the lease back: nothing is taken any more.
+    /// Returns the lease. Called when no further requests are accepted.
     pub fn release_lease(&self, host: &Rc<Host>) {
-        self.with(host, |member, _| member.give_back());
+        self.with_member(host, |member, _| member.give_back());
     }
 }
 
-/// What finds a content fit to follow a version: its windows have to be safe beside each other.
-fn fitness(host: &Rc<Host>, names: &Names, floor: &Rules) -> Fitness {
+/// The check whether a content may follow a version: their windows must be safe together.
+fn fitness_check(host: &Rc<Host>, names: &Names, floor: &Rules) -> Fitness {
     let (host, names, floor) = (Rc::downgrade(host), names.clone(), floor.clone());
     Box::new(move |content, before| {
         let Some(host) = host.upgrade() else { return Ok(false) };
         let Some(windows) = host.windows.borrow().clone() else { return Ok(false) };
-        let asked = check(content, &names, &floor)?;
-        // One that cannot be read here may have any windows.
-        let before = before.map_or(Ok(Rules::default()), |v| check(&v.content, &names, &floor))?;
-        if before.windows().is_empty() && asked.windows().is_empty() {
+        let proposed = parse_content(content, &names, &floor)?;
+        // An unreadable version could have any windows, so it is an error.
+        let before = before.map_or(Ok(Rules::default()), |v| parse_content(&v.content, &names, &floor))?;
+        if before.windows().is_empty() && proposed.windows().is_empty() {
             return Ok(false);
         }
-        windows.fit(&host, &before, &asked)
+        windows.fit(&host, &before, &proposed)
     })
 }
 
-/// Reads a content, and that it allows the floor.
-fn check(content: &[u8], names: &Names, floor: &Rules) -> Result<Rules, String> {
+/// Parses a content and checks that it allows the floor.
+fn parse_content(content: &[u8], names: &Names, floor: &Rules) -> Result<Rules, String> {
     let text = std::str::from_utf8(content).map_err(|_| "it is not UTF-8".to_owned())?;
     let rules = Rules::parse(text, names)
         .map_err(|mistakes| mistakes.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
--- a/crates/gateway/src/agreement/asking.rs
+++ b/crates/gateway/src/agreement/operators.rs
@@ -1,4 +1,4 @@
-//! Operators' questions and proposals: how they are signed, asked and answered.
+//! Requests of operators about the settings: how they are signed, sent and answered.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,48 +10,52 @@
 use violetward_net::Connection;
 use violetward_statement::http::{Headers, Limits};
 
-use super::report::{shown, ProposalReport, SettingsStatus};
-use super::{check, SettingsAgreement};
+use super::report::{change_lines, ProposalReport, SettingsStatus};
+use super::{parse_content, SettingsAgreement};
 use crate::host::Host;
 
-/// How long an operator's command waits for its answer.
-const ASK: Duration = Duration::from_secs(10);
-/// Path and headers of the operators' questions.
+/// Maximum time that an operator's command waits for the answer.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// Path of the operators' requests.
 pub const SETTINGS_PATH: &str = "/v1/settings";
-/// The newest version that the proposal was made for.
+/// Header with the newest version at the time of the proposal.
 pub const AFTER_HEADER: &str = "X-Violetward-After";
-/// The name of the key, and the code of the proposal in hexadecimal digits.
+/// Header with the name of the key that signed the proposal.
 pub const KEY_HEADER: &str = "X-Violetward-Key";
-/// See `KEY`.
+/// Header with the proposal's authentication code in hexadecimal digits.
 pub const CODE_HEADER: &str = "X-Violetward-Code";
-/// What is signed to say that a gateway's wall clock is right.
-const CLOCK: &[u8] = b"the wall clock is right";
+/// The content that is signed to confirm that a gateway's wall clock is right.
+const CLOCK_STATEMENT: &[u8] = b"the wall clock is right";
 
-/// The code of a proposal: over the version that it was made for and its content.
-fn code(secret: &str, after: u64, dry: bool, content: &[u8]) -> Hmac<Sha256> {
-    let mut mac = Hmac::<Sha256>::new_from_slice(secret.as_bytes()).expect("any length will do");
+/// The authentication code of a proposal, computed over the version it follows, the dry-run flag and its
+/// content.
+fn proposal_mac(secret: &str, after: u64, dry_run: bool, content: &[u8]) -> Hmac<Sha256> {
+    let mut mac = Hmac::<Sha256>::new_from_slice(secret.as_bytes()).expect("a key of any length is valid");
     mac.update(&after.to_be_bytes());
-    mac.update(&[u8::from(dry)]);
+    mac.update(&[u8::from(dry_run)]);
     mac.update(content);
     mac
 }
 
 impl SettingsAgreement {
-    /// Whether an operator's key signed this.
-    fn signed(&self, content: &[u8], after: u64, dry: bool, key: &str, given: &str) -> bool {
-        let given = (0..given.len() / 2).map(|i| given.get(2 * i..2 * i + 2));
-        let given: Option<Vec<u8>> = given.map(|d| u8::from_str_radix(d?, 16).ok()).collect();
-        let known = self.terms.operator_keys.iter().find(|(name, _)| name == key);
-        let fits = |secret: &str, given: &[u8]| code(secret, after, dry, content).verify_slice(given).is_ok();
-        known.zip(given).is_some_and(|((_, secret), given)| fits(secret, &given))
+    /// Whether an operator's key signed this content.
+    fn is_signed(&self, content: &[u8], after: u64, dry_run: bool, key: &str, code: &str) -> bool {
+        let digits = (0..code.len() / 2).map(|i| code.get(2 * i..2 * i + 2));
+        let code: Option<Vec<u8>> = digits.map(|d| u8::from_str_radix(d?, 16).ok()).collect();
+        let operator = self.terms.operator_keys.iter().find(|(name, _)| name == key);
+        let verifies = |secret: &str, code: &[u8]| {
+            proposal_mac(secret, after, dry_run, content).verify_slice(code).is_ok()
+        };
+        operator.zip(code).is_some_and(|((_, secret), code)| verifies(secret, &code))
     }
 
-    /// An operator says that this gateway's wall clock, which was set, is right. The status to answer with, and the words.
-    pub fn confirm_clock(&self, host: &Host, after: u64, key: &str, given: &str) -> (u16, &'static str) {
-        if !self.signed(CLOCK, after, false, key, given) {
+    /// Takes an operator's confirmation that this gateway's wall clock, which was set, is right. Returns
+    /// the status and the text of the answer.
+    pub fn confirm_clock(&self, host: &Host, after: u64, key: &str, code: &str) -> (u16, &'static str) {
+        if !self.is_signed(CLOCK_STATEMENT, after, false, key, code) {
             return (403, "no operator's key signed this");
         }
-        // What was said at another time says nothing of now: versions tell the times apart.
+        // A confirmation holds only for the newest version, so that an old one cannot be replayed.
         if after != self.member.borrow().voter().history().newest().0 {
             return (409, "it was said for another version than the newest");
         }
@@ -62,15 +66,16 @@
         (200, "windows go by the wall clock again")
     }
 
-    /// Takes an operator's proposal, or only tells what it would change. The status to answer with, and the report.
+    /// Takes an operator's proposal, or with `dry_run` only reports what it would change. Returns the
+    /// status and the report of the answer.
     pub async fn handle_proposal(
         &self,
         host: &Rc<Host>,
         content: &[u8],
         after: u64,
-        dry: bool,
+        dry_run: bool,
         key: &str,
-        given: &str,
+        code: &str,
     ) -> (u16, ProposalReport) {
         let report = |outcome: &str, number, text: String, changes| ProposalReport {
             outcome: outcome.to_owned(),
@@ -78,33 +83,34 @@
             text,
             changes,
         };
-        if !self.signed(content, after, dry, key, given) {
+        if !self.is_signed(content, after, dry_run, key, code) {
             return (403, report("not allowed", None, "no operator's key signed this".into(), vec![]));
         }
         let (newest, before) = {
             let member = self.member.borrow();
             let history = member.voter().history();
             let (newest, _) = history.newest();
-            let before = history.get(newest).and_then(|v| check(&v.content, &self.names, &self.floor).ok());
+            let before =
+                history.get(newest).and_then(|v| parse_content(&v.content, &self.names, &self.floor).ok());
             (newest, before.unwrap_or_default())
         };
-        let rules = match check(content, &self.names, &self.floor) {
+        let rules = match parse_content(content, &self.names, &self.floor) {
             Ok(rules) => rules,
             Err(why) => return (422, report("unfit", None, why, vec![])),
         };
-        let changes = shown(&before.differences(&rules));
-        if dry {
-            // Whether it is fit as things are, as far as this gateway can tell.
+        let changes = change_lines(&before.differences(&rules));
+        if dry_run {
+            // Whether the content is fit at present, as far as this gateway knows.
             if let Err(why) = self.member.borrow().fit(content) {
                 return (422, report("unfit", None, why, changes));
             }
             return (200, report("would commit", Some(newest + 1), String::new(), changes));
         }
-        let (send, wait) = async_channel::bounded(1);
-        let begun = self.with(host, |member, now| {
+        let (sender, receiver) = async_channel::bounded(1);
+        let begun = self.with_member(host, |member, now| {
             let begun = member.propose(now, content, Some(after));
             if begun.is_ok() {
-                *self.waiting.borrow_mut() = Some(send);
+                *self.proposal_reply.borrow_mut() = Some(sender);
             }
             begun
         });
@@ -123,7 +129,7 @@
                 return (409, report("stale", Some(newest), text, changes));
             }
         }
-        match wait.recv().await.unwrap_or(Outcome::Unknown) {
+        match receiver.recv().await.unwrap_or(Outcome::Unknown) {
             Outcome::Committed(number) => (200, report("committed", Some(number), String::new(), changes)),
             Outcome::Conflict(number) => {
                 let text = format!("another proposal became version {number}");
@@ -139,22 +145,22 @@
     }
 }
 
-async fn call(
+async fn request(
     address: SocketAddr,
     method: &str,
     path: &str,
     headers: Headers,
     body: &[u8],
 ) -> Result<Vec<u8>, String> {
-    let asked = async {
+    let exchange = async {
         let limits = Limits { body: 16 << 20, ..Limits::default() };
         let mut connection = Connection::connect(address, limits).await.map_err(|e| e.to_string())?;
-        let mut all = Headers::default();
-        all.push("Host", address.to_string());
-        headers.iter().for_each(|(name, value)| all.push(name, value));
-        connection.call(method, path, &all, body).await.map_err(|e| e.to_string())
+        let mut all_headers = Headers::default();
+        all_headers.push("Host", address.to_string());
+        headers.iter().for_each(|(name, value)| all_headers.push(name, value));
+        connection.call(method, path, &all_headers, body).await.map_err(|e| e.to_string())
     };
-    let message = violetward_net::timeout(ASK, asked).await.ok_or("no answer")??;
+    let message = violetward_net::timeout(REQUEST_TIMEOUT, exchange).await.ok_or("no answer")??;
     match message.status() {
         200 | 409 | 422 | 504 if method == "POST" => Ok(message.body),
         200 => Ok(message.body),
@@ -162,63 +168,63 @@
     }
 }
 
-/// What a gateway answers to a question for one of its resources.
+/// Gets a resource of a gateway.
 pub(crate) async fn http_get(address: SocketAddr, path: &str) -> Result<Vec<u8>, String> {
-    call(address, "GET", path, Headers::default(), b"").await
+    request(address, "GET", path, Headers::default(), b"").await
 }
 
-/// Asks a gateway how it stands.
+/// Gets a gateway's status of the settings.
 ///
 /// # Errors
-/// What it answers instead, or why it does not.
+/// The gateway's answer if it is not a status, or why there is none.
 pub async fn fetch_status(address: SocketAddr) -> Result<SettingsStatus, String> {
     fetch_status_since(address, 0).await
 }
 
-/// The same, with the versions from a number on alone.
+/// Gets a gateway's status of the settings with the versions from the number `since` on only.
 ///
 /// # Errors
-/// What it answers instead, or why it does not.
+/// The gateway's answer if it is not a status, or why there is none.
 pub async fn fetch_status_since(address: SocketAddr, since: u64) -> Result<SettingsStatus, String> {
     let body =
-        call(address, "GET", &format!("{SETTINGS_PATH}?since={since}"), Headers::default(), b"").await?;
+        request(address, "GET", &format!("{SETTINGS_PATH}?since={since}"), Headers::default(), b"").await?;
     serde_json::from_slice(&body).map_err(|e| e.to_string())
 }
 
-/// Proposes a content as the version after `after`, or has told what it would change.
+/// Proposes a content as the version after `after`, or with `dry_run` gets what it would change.
 ///
 /// # Errors
-/// What the gateway answers instead of a report, or why it does not.
+/// The gateway's answer if it is not a report, or why there is none.
 pub async fn propose(
     address: SocketAddr,
     content: &[u8],
     after: u64,
-    dry: bool,
+    dry_run: bool,
     key: &(String, String),
 ) -> Result<ProposalReport, String> {
-    let headers = signature(content, after, dry, key);
-    let path = if dry { format!("{SETTINGS_PATH}?dry") } else { SETTINGS_PATH.to_owned() };
-    let body = call(address, "POST", &path, headers, content).await?;
+    let headers = signature_headers(content, after, dry_run, key);
+    let path = if dry_run { format!("{SETTINGS_PATH}?dry") } else { SETTINGS_PATH.to_owned() };
+    let body = request(address, "POST", &path, headers, content).await?;
     serde_json::from_slice(&body).map_err(|e| e.to_string())
 }
 
-/// Says that the wall clock of the gateway there, which was set, is right. What it answers.
+/// Confirms that the wall clock of a gateway, which was set, is right. Returns the text of the answer.
 ///
 /// # Errors
-/// Why it does not believe that, or does not answer.
+/// Why the gateway rejects the confirmation or does not answer.
 pub async fn confirm_clock(address: SocketAddr, key: &(String, String)) -> Result<String, String> {
     let after = fetch_status_since(address, u64::MAX).await?.newest;
-    let headers = signature(CLOCK, after, false, key);
-    let body = call(address, "POST", &format!("{SETTINGS_PATH}?clock"), headers, b"").await?;
+    let headers = signature_headers(CLOCK_STATEMENT, after, false, key);
+    let body = request(address, "POST", &format!("{SETTINGS_PATH}?clock"), headers, b"").await?;
     Ok(String::from_utf8_lossy(&body).trim().to_owned())
 }
 
-/// The headers of what an operator signs.
-fn signature(content: &[u8], after: u64, dry: bool, key: &(String, String)) -> Headers {
+/// The headers that sign an operator's request.
+fn signature_headers(content: &[u8], after: u64, dry_run: bool, key: &(String, String)) -> Headers {
     let mut headers = Headers::default();
     headers.push(AFTER_HEADER, after.to_string());
     headers.push(KEY_HEADER, key.0.clone());
-    let code = code(&key.1, after, dry, content).finalize().into_bytes();
+    let code = proposal_mac(&key.1, after, dry_run, content).finalize().into_bytes();
     let digits = code.iter().map(|b| format!("{b:02x}")).collect::<String>();
     headers.push(CODE_HEADER, digits);
     headers
--- a/crates/gateway/src/agreement/report.rs
+++ b/crates/gateway/src/agreement/report.rs
@@ -1,103 +1,105 @@
-//! What a gateway tells of the settings, and what comes of a proposal.
+//! A gateway's status of the settings, and the outcome of a proposal.
 
 use serde::{Deserialize, Serialize};
 use violetward_agreement::Version;
 
-use super::{check, SettingsAgreement};
+use super::{parse_content, SettingsAgreement};
 use crate::rules::{Difference, Rules};
 
-/// A version, as `/v1/settings` tells it.
+/// A version of the settings in `/v1/settings`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct VersionRow {
-    /// Its number.
+    /// Number of the version.
     pub number: u64,
     /// The hash of its content and of its predecessor's hash.
     pub hash: String,
-    /// Its content.
+    /// The version's content.
     pub content: String,
-    /// What it changed, as this gateway reads it; a line that begins with `+` lets something in anew.
+    /// Its changes as this gateway reads them; a line that begins with `+` allows something new.
     pub changes: Vec<String>,
 }
 
-/// What `/v1/settings` tells.
+/// The answer of `/v1/settings`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct SettingsStatus {
-    /// This gateway.
+    /// Name of this gateway.
     pub name: String,
-    /// The newest version that it knows; 0: none.
+    /// The newest version known to this gateway; 0: none.
     pub newest: u64,
-    /// The range of versions that it acts on; `None`: it has no lease and does what the floor allows.
+    /// The range of versions that this gateway acts on; `None`: it has no lease and does what the floor
+    /// allows.
     pub acts: Option<(u64, u64)>,
-    /// Since when, and until when it may without a renewal: microseconds since the Unix epoch, by its clock.
+    /// Since when it acts on them, in microseconds since the Unix epoch by its clock.
     pub since: u64,
-    /// See `since`.
+    /// Until when it may act without renewing its lease, by the same clock.
     pub until: Option<u64>,
-    /// How long it was without a lease since its start, microseconds.
+    /// Time without a lease since the start of the gateway, in microseconds.
     pub without_lease: u64,
-    /// Those that vote, and whether this one does.
+    /// Names of the gateways that vote.
     pub voters: Vec<String>,
-    /// See `voters`.
+    /// Whether this gateway votes.
     pub votes: bool,
-    /// What keeps it from voting.
+    /// Why it does not vote, if it is a voter.
     pub trouble: Option<String>,
-    /// Grants that it remembers, and whether it keeps still after its start.
+    /// Number of leases granted by this gateway that may still be in force.
     pub grants: usize,
-    /// See `grants`.
+    /// Whether it grants nothing yet after its start.
     pub silent: bool,
-    /// The bound in microseconds.
+    /// The bound *T* in microseconds: see [`crate::terms::AgreementTerms::switch_bound_micros`].
     pub bound: u64,
-    /// Sayings taken, unreadable, of gateways with other terms.
+    /// Messages received, unreadable, and of gateways with other terms.
     pub counts: [u64; 3],
-    /// The versions that it keeps, the oldest first.
+    /// The stored versions, the oldest first.
     pub history: Vec<VersionRow>,
 }
 
-/// What a proposal leads to.
+/// The outcome of a proposal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct ProposalReport {
     /// `committed`, `would commit`, `conflict`, `stale`, `unfit`, `unknown`, `busy` or `not a voter`.
     pub outcome: String,
-    /// The version, where there is one.
+    /// Number of the version concerned, if there is one.
     pub number: Option<u64>,
-    /// More for people.
+    /// Explanation for people.
     pub text: String,
-    /// What it changes.
+    /// The changes of the proposal.
     pub changes: Vec<String>,
 }
 
-pub(super) fn shown(changes: &[Difference]) -> Vec<String> {
+pub(super) fn change_lines(changes: &[Difference]) -> Vec<String> {
     changes.iter().map(|c| format!("{} {}", if c.widens { '+' } else { '-' }, c.description)).collect()
 }
 
 impl SettingsAgreement {
-    /// What is known, with the versions from a number on.
+    /// The status of the settings, with the versions from the number `since` on.
     pub fn status(&self, now: u64, since: u64) -> SettingsStatus {
         let member = self.member.borrow();
         let voter = member.voter();
         let (grants, silent) = voter.granting(now);
         let history = voter.history();
-        let read = |v: &Version| check(&v.content, &self.names, &Rules::floor(&[], &[], &self.names));
+        let parse =
+            |v: &Version| parse_content(&v.content, &self.names, &Rules::floor(&[], &[], &self.names));
         let row = |v: &Version| {
-            let before = history.get(v.number - 1).and_then(|v| read(v).ok()).unwrap_or_default();
-            let changes = match read(v) {
-                Ok(rules) => shown(&before.differences(&rules)),
+            let before = history.get(v.number - 1).and_then(|v| parse(v).ok()).unwrap_or_default();
+            let changes = match parse(v) {
+                Ok(rules) => change_lines(&before.differences(&rules)),
                 Err(why) => vec![format!("! cannot be read here: {why}")],
             };
             let content = String::from_utf8_lossy(&v.content).into_owned();
             VersionRow { number: v.number, hash: format!("{:016x}", v.hash), content, changes }
         };
-        let (total, from) = self.lapsed.get();
-        let open = if self.applied.get().is_none() { now.saturating_sub(from) } else { 0 };
+        let (earlier, from) = self.time_without_lease.get();
+        let current = if self.applied_range.get().is_none() { now.saturating_sub(from) } else { 0 };
         SettingsStatus {
             name: self.terms.name.clone(),
             newest: voter.history().newest().0,
-            acts: self.applied.get(),
-            since: self.since.get(),
+            acts: self.applied_range.get(),
+            since: self.applied_at.get(),
             until: voter.until(now),
-            without_lease: total + open,
+            without_lease: earlier + current,
             voters: self.terms.voters.clone(),
             votes: voter.votes(),
             trouble: self.trouble.borrow().clone(),
