--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -1,34 +1,43 @@
-//! Watches the file that lists the engines.
+//! Watches the file of the engine list and key files for changes.
 
 use std::cell::RefCell;
 use std::rc::Rc;
-use std::time::{Instant, SystemTime};
+use std::time::{Duration, Instant, SystemTime};
 
 use crate::host::Host;
 use crate::membership::{Membership, Verdict};
 
-/// Reads the list whenever it changes, and says when it learned what. Never ends.
+/// Time after a change during which the engine list is read at each check.
+const REREAD_AFTER_CHANGE: Duration = Duration::from_secs(2);
+/// Minimum time between two checks of a key file.
+const MIN_KEY_POLL_INTERVAL: Duration = Duration::from_millis(100);
+
+/// Reads the engine list whenever its file changes, applies it and logs the differences. Never returns.
 pub async fn watch_engine_list(host: Rc<Host>, membership: Rc<RefCell<Membership>>) {
     let path = host.config.engines.clone();
-    let mut seen: Option<(SystemTime, u64)> = None;
-    let mut changed = Instant::now();
+    let mut last_stamp: Option<(SystemTime, u64)> = None;
+    let mut changed_at = Instant::now();
     let mut text = String::new();
     loop {
-        let mark = std::fs::metadata(&path).and_then(|m| Ok((m.modified()?, m.len()))).ok();
-        // Two writes within one tick of the file system's clock look alike: a fresh file is read again for a while.
-        if mark != seen || changed.elapsed().as_secs() < 2 {
-            if mark != seen {
-                changed = Instant::now();
+        let stamp = std::fs::metadata(&path).and_then(|m| Ok((m.modified()?, m.len()))).ok();
+        // Two writes within one tick of the file system's clock may leave equal stamps. A changed file is
+        // therefore read again for some time.
+        if stamp != last_stamp || changed_at.elapsed() < REREAD_AFTER_CHANGE {
+            if stamp != last_stamp {
+                changed_at = Instant::now();
             }
-            seen = mark;
+            last_stamp = stamp;
             match std::fs::read_to_string(&path) {
                 Ok(new) if new == text => {}
                 Ok(new) => {
                     text = new;
-                    take(&host, &text, &mut membership.borrow_mut());
+                    apply_engine_list(&host, &text, &mut membership.borrow_mut());
                 }
                 Err(e) => {
-                    tracing::warn!(file = %path.display(), "the engine list cannot be read, the old one stands: {e}")
+                    tracing::warn!(
+                        file = %path.display(),
+                        "the engine list cannot be read, the old list remains in use: {e}"
+                    );
                 }
             }
         }
@@ -36,42 +45,43 @@
     }
 }
 
-/// Passes on the text of a file of keys whenever it changes. A file that cannot be read or is wrong leaves the old keys.
-/// Never ends.
+/// Passes the text of a key file to `apply` whenever it changes. An unreadable or invalid file leaves the
+/// old keys in use. Never returns.
 pub async fn watch_key_file(
     path: std::path::PathBuf,
-    every: std::time::Duration,
-    take: impl Fn(&str) -> Result<(), String>,
+    interval: Duration,
+    apply: impl Fn(&str) -> Result<(), String>,
 ) {
     let mut text = std::fs::read_to_string(&path).unwrap_or_default();
     loop {
-        violetward_net::sleep(every.max(std::time::Duration::from_millis(100))).await;
+        violetward_net::sleep(interval.max(MIN_KEY_POLL_INTERVAL)).await;
         let Ok(new) = std::fs::read_to_string(&path) else { continue };
         if new == text {
             continue;
         }
-        match take(&new) {
-            Ok(()) => tracing::info!(file = %path.display(), "keys have changed"),
-            Err(why) => tracing::warn!("{}: {why}; the old keys stand", path.display()),
+        match apply(&new) {
+            Ok(()) => tracing::info!(file = %path.display(), "the keys have been replaced"),
+            Err(why) => tracing::warn!("{}: {why}; the old keys remain in use", path.display()),
         }
         text = new;
     }
 }
 
-fn take(host: &Rc<Host>, text: &str, membership: &mut Membership) {
+/// Applies the text of the engine list. A text that cannot be used leaves the old list in place.
+fn apply_engine_list(host: &Rc<Host>, text: &str, membership: &mut Membership) {
     let (file, names) = (host.config.engines.display().to_string(), &host.config.names);
     let known = membership.list().clone();
-    let (verdict, told) = match &host.config.origin {
+    let (verdict, diagnostics) = match &host.config.origin {
         Some(origin) => {
             membership.zone(text, origin, names, &mut |name| read_include(&host.config.engines, name))
         }
         None => membership.forms(text, names),
     };
-    told.iter().for_each(|mistake| tracing::warn!("{file}:{mistake}"));
+    diagnostics.iter().for_each(|diagnostic| tracing::warn!("{file}:{diagnostic}"));
     let new = match verdict {
         Verdict::Holds(new) => new,
         Verdict::Stands(why) => {
-            tracing::warn!("{file}: {why}; the old list stands");
+            tracing::warn!("{file}: {why}; the old list remains in use");
             return;
         }
     };
@@ -81,16 +91,16 @@
         }
     }
     for name in known.keys().filter(|name| !new.contains_key(*name)) {
-        tracing::info!(engine = name, at = host.now(), "learned that an engine is gone");
+        tracing::info!(engine = name, at = host.now(), "an engine is no longer listed");
     }
     host.update_engine_list(&new);
 }
 
-/// Reads a file that a zone includes: only from the folder of the zone's own file, and below.
+/// Reads a file that a zone's master file includes. It must be in the folder of the master file or below.
 pub fn read_include(zone: &std::path::Path, name: &str) -> Result<String, String> {
     let path = std::path::Path::new(name);
-    let plain = path.components().all(|c| matches!(c, std::path::Component::Normal(_)));
-    if !plain {
+    let stays_within = path.components().all(|c| matches!(c, std::path::Component::Normal(_)));
+    if !stays_within {
         return Err("it is not within the folder of the zone".into());
     }
     let folder = zone.parent().unwrap_or(std::path::Path::new("."));
--- a/crates/gateway/src/zone_server.rs
+++ b/crates/gateway/src/zone_server.rs
@@ -1,9 +1,9 @@
-//! Moves DNS messages for the zone that lists the engines: UDP and TCP on one port.
+//! Receives and sends DNS messages for the zone that lists the engines, over UDP and TCP on one port.
 
 use std::cell::RefCell;
 use std::net::{TcpListener, TcpStream, UdpSocket};
 use std::rc::Rc;
-use std::time::{SystemTime, UNIX_EPOCH};
+use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -14,7 +14,12 @@
 use crate::membership::Membership;
 use crate::zone_updates::ZoneUpdates;
 
-/// The front: one zone, shared with the watcher of its file.
+/// Pause after a socket error, so that a lasting error does not keep the thread busy.
+const ERROR_PAUSE: Duration = Duration::from_millis(20);
+/// Size of the buffer for datagrams: the maximum size of a UDP datagram.
+const MAX_DATAGRAM_BYTES: usize = 65_535;
+
+/// The server of one zone, which it shares with the watcher of the zone's file.
 pub struct ZoneServer {
     host: Rc<Host>,
     membership: Rc<RefCell<Membership>>,
@@ -22,7 +27,7 @@
 }
 
 impl ZoneServer {
-    /// Binds both sockets and starts to answer; gives the port.
+    /// Binds both sockets and starts to answer. Returns the bound address.
     ///
     /// # Errors
     /// If a socket cannot be bound.
@@ -35,9 +40,9 @@
         let tcp = Async::<TcpListener>::bind(listen)?;
         let address = tcp.get_ref().local_addr()?;
         let udp = Async::<UdpSocket>::bind(address)?;
-        let front = Rc::new(ZoneServer { host: host.clone(), membership, updates: RefCell::new(updates) });
-        host.spawn(front.clone().datagrams(udp));
-        host.spawn(front.streams(tcp));
+        let server = Rc::new(ZoneServer { host: host.clone(), membership, updates: RefCell::new(updates) });
+        host.spawn(server.clone().serve_datagrams(udp));
+        host.spawn(server.accept_connections(tcp));
         tracing::info!(%address, "serving the zone");
         Ok(address)
     }
@@ -47,8 +52,8 @@
         let names = &self.host.config.names;
         let mut membership = self.membership.borrow_mut();
         let outcome = self.updates.borrow_mut().handle_message(now, bytes, stream, &mut membership, names);
-        if let Some(said) = &outcome.log_line {
-            tracing::info!("{said}");
+        if let Some(line) = &outcome.log_line {
+            tracing::info!("{line}");
         }
         if outcome.changed {
             let list = membership.list().clone();
@@ -58,8 +63,8 @@
         outcome.answers
     }
 
-    async fn datagrams(self: Rc<Self>, socket: Async<UdpSocket>) {
-        let mut buffer = vec![0; 65_535];
+    async fn serve_datagrams(self: Rc<Self>, socket: Async<UdpSocket>) {
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
         loop {
             match socket.recv_from(&mut buffer).await {
                 Ok((size, from)) => {
@@ -67,25 +72,25 @@
                         socket.send_to(&answer, from).await.ok();
                     }
                 }
-                Err(_) => sleep(std::time::Duration::from_millis(20)).await,
+                Err(_) => sleep(ERROR_PAUSE).await,
             }
         }
     }
 
-    async fn streams(self: Rc<Self>, listener: Async<TcpListener>) {
+    async fn accept_connections(self: Rc<Self>, listener: Async<TcpListener>) {
         loop {
             match listener.accept().await {
                 Ok((socket, _)) => {
-                    let front = self.clone();
-                    self.host.spawn(async move { front.serve(socket).await });
+                    let server = self.clone();
+                    self.host.spawn(async move { server.serve_connection(socket).await });
                 }
-                Err(_) => sleep(std::time::Duration::from_millis(20)).await,
+                Err(_) => sleep(ERROR_PAUSE).await,
             }
         }
     }
 
-    /// One connection: messages until it is closed or idle for long.
-    async fn serve(&self, mut socket: Async<TcpStream>) {
+    /// Serves one connection until it is closed or has been idle for the request time-out.
+    async fn serve_connection(&self, mut socket: Async<TcpStream>) {
         let (mut stream, mut chunk) = (Stream::default(), vec![0; 4096]);
         let idle = self.host.config.host.request_timeout;
         while let Some(Ok(size)) = timeout(idle, socket.read(&mut chunk)).await {
--- a/crates/gateway/src/zone_updates.rs
+++ b/crates/gateway/src/zone_updates.rs
@@ -1,5 +1,5 @@
-//! The zone that lists the engines, served and changed by DNS messages: queries, transfers, and updates signed with a known key. Free
-//! of I/O and clock.
+//! Answers DNS messages for the zone that lists the engines: queries, transfers, and updates signed with a
+//! known key. Performs no I/O and reads no clock.
 
 use std::collections::VecDeque;
 
@@ -11,35 +11,39 @@
 use crate::membership::Membership;
 use crate::terms::Names;
 
-/// Signatures that are remembered against replays, for as long as one could be believed.
-const REMEMBERED: usize = 10_000;
-const BELIEVED_FOR: Seconds = 600;
+/// Maximum number of signatures remembered to recognize replays.
+const MAX_REMEMBERED_SIGNATURES: usize = 10_000;
+/// Time for which a signature is remembered: none is accepted for longer.
+const SIGNATURE_LIFETIME_S: Seconds = 600;
+/// Records per message of a zone transfer, so that each message stays within the size limit.
+const TRANSFER_RECORDS_PER_MESSAGE: usize = 100;
 
-/// What a message leads to.
+/// The result of a message.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Outcome {
-    /// Messages to be sent back; none to what is no question at all.
+    /// Messages to send back; none if the message is not a request.
     pub answers: Vec<Vec<u8>>,
-    /// The zone has changed: the list is to be told to the core.
+    /// Whether the zone has changed, so that the core needs the new list.
     pub changed: bool,
-    /// For the log.
+    /// Text for the log.
     pub log_line: Option<String>,
 }
 
-/// Answers for one zone.
+/// Answers DNS messages for one zone.
 #[derive(Debug, Default)]
 pub struct ZoneUpdates {
     keys: Vec<Key>,
-    seen: VecDeque<(Seconds, Vec<u8>)>,
+    /// Times and signatures of recent updates.
+    recent_signatures: VecDeque<(Seconds, Vec<u8>)>,
 }
 
 impl ZoneUpdates {
-    /// Believes updates signed with one of these keys; without any, none.
+    /// Accepts updates signed with one of these keys; without keys, no updates.
     pub fn new(keys: Vec<Key>) -> Self {
-        ZoneUpdates { keys, seen: VecDeque::new() }
+        ZoneUpdates { keys, recent_signatures: VecDeque::new() }
     }
 
-    /// Takes a message. `stream` says that it came over TCP, where transfers are answered.
+    /// Handles a message. `stream` tells whether it came over TCP, where transfers are answered.
     pub fn handle_message(
         &mut self,
         now: Seconds,
@@ -49,10 +53,10 @@
         names: &Names,
     ) -> Outcome {
         let Ok(message) = Message::read(bytes) else {
-            // Not even a header to answer to, or an answer to nobody.
-            let question = bytes.len() >= 12 && bytes[2] & 0x80 == 0;
+            // A message without a complete header, or a response, gets no answer.
+            let is_request = bytes.len() >= 12 && bytes[2] & 0x80 == 0;
             let mut answer = bytes.get(..12).unwrap_or_default().to_vec();
-            if !question {
+            if !is_request {
                 return Outcome::default();
             }
             (answer[2], answer[3]) = (bytes[2] & 0x78 | 0x80, Rcode::FORMERR.0);
@@ -80,7 +84,7 @@
             return refused(Rcode::REFUSED);
         }
         if question.kind == Type::AXFR {
-            // A datagram has no room for it; who may ask is restricted by the listening address alone.
+            // A datagram has no room for a transfer. Access is restricted by the listening address only.
             return if stream { transfer(message, zone) } else { refused(Rcode::REFUSED) };
         }
         vec![lookup(message, question, zone).write()]
@@ -98,33 +102,30 @@
             Ok(verified) => verified,
             Err(why) => {
                 let code = if why == tsig::TsigError::Unsigned { Rcode::REFUSED } else { Rcode::NOTAUTH };
-                let said = Some(format!("an update is not believed: {why}"));
-                return Outcome {
-                    answers: vec![message.answer(code).write()],
-                    changed: false,
-                    log_line: said,
-                };
+                let log_line = Some(format!("an update is rejected: {why}"));
+                return Outcome { answers: vec![message.answer(code).write()], changed: false, log_line };
             }
         };
-        while self.seen.front().is_some_and(|(at, _)| at + BELIEVED_FOR < now)
-            || self.seen.len() >= REMEMBERED
+        while self.recent_signatures.front().is_some_and(|(at, _)| at + SIGNATURE_LIFETIME_S < now)
+            || self.recent_signatures.len() >= MAX_REMEMBERED_SIGNATURES
         {
-            self.seen.pop_front();
+            self.recent_signatures.pop_front();
         }
-        let replayed = self.seen.iter().any(|(_, mac)| *mac == verified.mac);
+        let replayed = self.recent_signatures.iter().any(|(_, mac)| *mac == verified.mac);
         let unsigned = Message::read(&verified.message).ok();
         let result = match unsigned {
-            // What was done once is not done again: what came in between would be undone.
+            // A replayed update is not applied again, because it could undo the updates in between.
             Some(_) if replayed => Err(Rcode::REFUSED),
             Some(update) => membership.update(&update, names),
             None => Err(Rcode::FORMERR),
         };
-        self.seen.push_back((now, verified.mac.clone()));
-        let (code, said) = match &result {
-            Ok(told) => {
-                (Rcode::NOERROR, format!("an update by {} is done {}", verified.key, told.join("; ")))
-            }
-            Err(code) if replayed => (*code, "an update that has come before is not done again".to_owned()),
+        self.recent_signatures.push_back((now, verified.mac.clone()));
+        let (code, log_line) = match &result {
+            Ok(changes) => (
+                Rcode::NOERROR,
+                format!("an update by {} has been applied {}", verified.key, changes.join("; ")),
+            ),
+            Err(code) if replayed => (*code, "a replayed update is not applied again".to_owned()),
             Err(code) => (*code, format!("an update by {} is refused with code {}", verified.key, code.0)),
         };
         let mut answer = message.answer(code);
@@ -132,7 +133,7 @@
         let key = self.keys.iter().find(|k| k.name == verified.key);
         let answer = answer.write();
         let answer = key.map_or(answer.clone(), |key| tsig::sign(&answer, key, now, Some(&verified.mac)).0);
-        Outcome { answers: vec![answer], changed: result.is_ok(), log_line: Some(said) }
+        Outcome { answers: vec![answer], changed: result.is_ok(), log_line: Some(log_line) }
     }
 }
 
@@ -149,7 +150,7 @@
         }));
     }
     if answer.answers.is_empty() {
-        // A name that only leads to others exists too (RFC 8020).
+        // A name without records exists if there are names below it (RFC 8020).
         answer.rcode = if zone.exists(&question.name) { Rcode::NOERROR } else { Rcode::NXDOMAIN };
         let soa = zone.records().next().filter(|r| r.data.kind() == Type::SOA);
         answer.authorities.extend(soa.map(Entry::from));
@@ -157,14 +158,14 @@
     answer
 }
 
-/// The whole zone, its start at both ends (RFC 5936, section 2.2), in messages of a bounded size.
+/// The whole zone in messages of limited size. The SOA record is sent first and last (RFC 5936, section 2.2).
 fn transfer(message: &Message, zone: &Zone) -> Vec<Vec<u8>> {
     let mut records: Vec<Entry> = zone.records().map(Entry::from).collect();
     records.extend(records.first().cloned());
-    let whole = records.chunks(100).map(|some| {
+    let messages = records.chunks(TRANSFER_RECORDS_PER_MESSAGE).map(|chunk| {
         let mut answer = message.answer(Rcode::NOERROR);
-        answer.answers = some.to_vec();
+        answer.answers = chunk.to_vec();
         answer.write()
     });
-    whole.collect()
+    messages.collect()
 }
