--- a/crates/platform/tests/descriptors.rs
+++ b/crates/platform/tests/descriptors.rs
@@ -1,5 +1,6 @@
-//! A gateway whose process has no descriptor free: what it holds goes on, and what it lacks comes when one is free again.
-//! The limit is the process's, so that these tests have one of their own and take turns.
+//! A gateway whose process has no free file descriptor: its open sockets continue to work, and it opens
+//! further ones once descriptors are free again. The limit applies to the whole process; for this reason
+//! these tests are in a binary of their own and run one at a time.
 
 mod bed;
 
@@ -12,43 +13,43 @@
 use bed::scripted::*;
 use violetward_standin::platform::{limit_descriptors, PlatformEngine};
 
-/// Descriptors of this process: few, so that all are soon taken.
-const LIMIT: u64 = 160;
+/// The limit of this process: low, so that all descriptors are soon in use.
+const DESCRIPTOR_LIMIT: u64 = 160;
 
-/// One test at a time has the process's descriptors.
-static TURN: Mutex<()> = Mutex::new(());
+/// Held by the test that uses up the descriptors of the process.
+static DESCRIPTORS_LOCK: Mutex<()> = Mutex::new(());
 
-/// Takes every descriptor that is free, and each one that gets free, until it is dropped.
-struct Hog {
+/// Occupies every free descriptor, and each one that becomes free, until it is dropped.
+struct DescriptorExhaustion {
     stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Hog {
+impl DescriptorExhaustion {
     /// Returns once no descriptor is free.
-    fn start() -> Hog {
-        limit_descriptors(LIMIT).unwrap();
+    fn start() -> DescriptorExhaustion {
+        limit_descriptors(DESCRIPTOR_LIMIT).unwrap();
         let stop = Arc::new(AtomicBool::new(false));
-        let stopped = stop.clone();
-        let (tell, full) = std::sync::mpsc::channel();
+        let thread_stop = stop.clone();
+        let (exhausted_sender, exhausted) = std::sync::mpsc::channel();
         let thread = std::thread::spawn(move || {
-            let mut taken = Vec::new();
-            while !stopped.load(Ordering::Relaxed) {
+            let mut files = Vec::new();
+            while !thread_stop.load(Ordering::Relaxed) {
                 match File::open("/dev/null") {
-                    Ok(file) => taken.push(file),
+                    Ok(file) => files.push(file),
                     Err(_) => {
-                        tell.send(()).ok();
+                        exhausted_sender.send(()).ok();
                         std::thread::sleep(Duration::from_micros(200));
                     }
                 }
             }
         });
-        full.recv_timeout(TIMEOUT).unwrap();
-        Hog { stop, thread: Some(thread) }
+        exhausted.recv_timeout(TIMEOUT).unwrap();
+        DescriptorExhaustion { stop, thread: Some(thread) }
     }
 }
 
-impl Drop for Hog {
+impl Drop for DescriptorExhaustion {
     fn drop(&mut self) {
         self.stop.store(true, Ordering::Relaxed);
         self.thread.take().map(JoinHandle::join);
@@ -56,56 +57,56 @@
 }
 
 #[test]
-fn the_list_is_asked_for_without_a_free_descriptor_and_at_a_new_address_too() {
-    let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+fn the_resolver_is_queried_without_a_free_descriptor_even_after_it_has_moved() {
+    let _lock = DESCRIPTORS_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let (old, new) = (ScriptedResolver::start(), ScriptedResolver::start());
     let engine = PlatformEngine::start().unwrap();
     let gateway = Gateway::start(old.address, &[engine.address.into()], &[]);
     let mut client = Client::connect(&gateway);
-    // A connection that rests, so that requests need no descriptor.
+    // The idle connection to the engine serves further requests without a new descriptor.
     client.send(&request_id(0), "look", 2_500);
     assert_eq!(client.read_response().1, served_page(&request_id(0)));
-    let hog = Hog::start();
-    // Each of these fails, and each failure asks for a new socket.
+    let exhaustion = DescriptorExhaustion::start();
+    // None of these queries is answered, and after each failure the gateway wants a new socket.
     (0..6).for_each(|_| drop(old.next_query()));
     client.send(&request_id(1), "look", 2_500);
     assert_eq!(client.read_response().1, served_page(&request_id(1)));
     gateway.move_resolver(new.address);
-    // An answer that comes too late is not taken; the next one is.
+    // An answer that comes too late is not accepted, but a later one is.
     let started = Instant::now();
     for n in 2.. {
-        let question = new.next_query();
-        new.send(&question, &new.encode_list(&question, 2, &[(engine.address.into(), true)]));
+        let query = new.next_query();
+        new.send(&query, &new.encode_list(&query, 2, &[(engine.address.into(), true)]));
         new.next_query();
         client.send(&request_id(n), "look", 2_500);
         if client.read_response().1 == Response::Refused {
             break;
         }
-        assert!(started.elapsed() < TIMEOUT, "the engine is never seen to drain");
+        assert!(started.elapsed() < TIMEOUT, "the gateway does not notice that the engine drains");
     }
-    drop(hog);
+    drop(exhaustion);
 }
 
 #[test]
-fn a_dial_without_a_free_descriptor_waits_for_one_and_costs_its_engine_nothing() {
-    let _turn = TURN.lock().unwrap_or_else(PoisonError::into_inner);
+fn connecting_without_a_free_descriptor_waits_for_one_and_does_not_count_against_the_engine() {
+    let _lock = DESCRIPTORS_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let (engine, resolver) = (ScriptedEngine::start(), ScriptedResolver::start());
     let gateway = Gateway::start(resolver.address, &[engine.address], &[bed::LONG_CONNECT_TIMEOUT]);
     let mut client = Client::connect(&gateway);
     client.wait_until_processed();
-    let hog = Hog::start();
+    let exhaustion = DescriptorExhaustion::start();
     client.send(&request_id(2), "look", 2_500);
-    assert!(client.is_silent(), "the engine was taken for one that is gone");
-    drop(hog);
+    assert!(client.is_silent(), "the request ended although its engine is reachable");
+    drop(exhaustion);
     let (connection, _) = engine.wait_for_command("fetch");
     engine.serve(connection, &request_id(2));
     assert_eq!(client.read_response().1, served_page(&request_id(2)));
-    // A cold engine would be sent a few of these at most.
-    let wanted = 20;
-    for n in 0..wanted {
+    // If the engine were now treated as cold, it would get only a few of these requests.
+    let requests = 20;
+    for n in 0..requests {
         client.send(&request_id(100 + n), "look", 2_500);
     }
-    for _ in 0..wanted {
+    for _ in 0..requests {
         let (connection, words) = engine.wait_for_command("fetch");
         engine.serve(connection, &words[1]);
     }
--- a/crates/platform/tests/engine_races.rs
+++ b/crates/platform/tests/engine_races.rs
@@ -1,4 +1,5 @@
-//! Orders of events between the gateway and its engines over real connections, each forced by a scripted engine.
+//! Races between the gateway and its engines over real connections; scripted engines force the order of
+//! events.
 
 mod bed;
 
@@ -6,7 +7,7 @@
 use bed::LONG_CONNECT_TIMEOUT;
 use violetward_standin::platform::page;
 
-/// Makes the first class unsafe to repeat.
+/// Makes the class `look` unsafe to repeat.
 const UNSAFE: (&str, &str) = (
     r#""Effect": "repeatable", "Group": "all", "HardLimitUs": 3000000"#,
     r#""Effect": "once", "Group": "all", "HardLimitUs": 3000000"#,
@@ -15,20 +16,21 @@
 /// Leaves room for eight connections to engines.
 const EIGHT_CONNECTIONS: (&str, &str) = ("\"sockets\":256", "\"sockets\":48");
 
-/// A gateway with one engine and a resolver that says nothing: the list of the start stands. No dial is late, so that there
-/// is one connection as long as one is enough.
+/// A gateway with one engine and a resolver that never answers, so that the list of the configuration stays
+/// in force. With the long connect timeout no connection attempt counts as late, so that the gateway opens
+/// only one connection as long as one suffices.
 fn one_engine(changes: &[(&str, &str)]) -> (Gateway, ScriptedEngine) {
     let engine = ScriptedEngine::start();
     let resolver = ScriptedResolver::start();
     let gateway =
         Gateway::start(resolver.address, &[engine.address], &[changes, &[LONG_CONNECT_TIMEOUT]].concat());
-    // Its socket stays open, so that no question is refused.
+    // The resolver's socket stays open, so that queries to it are not refused.
     std::mem::forget(resolver);
     (gateway, engine)
 }
 
 #[test]
-fn a_second_refusal_never_ends_the_attempt_after_it() {
+fn a_second_refusal_does_not_end_the_next_attempt() {
     let (gateway, engine) = one_engine(&[]);
     let mut client = Client::connect(&gateway);
     client.send(&request_id(1), "look", 2_500);
@@ -37,7 +39,7 @@
     let (second, _) = engine.wait_for_command("fetch");
     assert_ne!(
         first, second,
-        "answers name the request alone: one connection cannot tell its attempts apart"
+        "answers name only the request, so attempts of one request must not share a connection"
     );
     engine.send_answer(first, [&request_id(1), "refused", "-", ""]);
     engine.serve(second, &request_id(1));
@@ -45,26 +47,26 @@
 }
 
 #[test]
-fn a_refusal_behind_a_good_end_is_no_proof_that_nothing_ran() {
+fn a_refusal_after_an_ok_answer_does_not_prove_that_the_request_did_not_run() {
     let (gateway, engine) = one_engine(&[UNSAFE]);
     let mut client = Client::connect(&gateway);
     client.send(&request_id(1), "look", 2_500);
     let (connection, _) = engine.wait_for_command("fetch");
     engine.send_answer(connection, [&request_id(1), "ok", "batches=2", &page(&request_id(1), 0)]);
     engine.send_answer(connection, [&request_id(1), "refused", "-", ""]);
-    assert_eq!(client.read_response().1, Response::Failed, "it ran");
-    assert_eq!(engine.collect_fetches(), Vec::<String>::new(), "it was sent a second time");
+    assert_eq!(client.read_response().1, Response::Failed, "the request ran");
+    assert_eq!(engine.collect_fetches(), Vec::<String>::new(), "the request was sent a second time");
 }
 
 #[test]
-fn behind_half_an_answer_nothing_more_is_asked() {
+fn a_connection_with_half_an_answer_is_not_reused() {
     let (gateway, engine) = one_engine(&[UNSAFE]);
     let mut client = Client::connect(&gateway);
     client.send(&request_id(1), "look", 300);
     let (first, _) = engine.wait_for_command("fetch");
     let whole = encode_answer([&request_id(1), "ok", SUCCESS_FIELDS, &page(&request_id(1), 0)]);
     engine.write(first, &whole[..whole.len() / 2]);
-    assert_eq!(client.read_response().1, Response::Failed, "it may have run");
+    assert_eq!(client.read_response().1, Response::Failed, "the request may have run");
     client.send(&request_id(2), "look", 2_500);
     let (second, _) = engine.wait_for_command("fetch");
     assert_ne!(first, second, "the answer would be read as the rest of the first one");
@@ -73,13 +75,13 @@
 }
 
 #[test]
-fn behind_half_a_second_answer_nothing_more_is_asked() {
+fn a_connection_with_half_a_duplicate_answer_is_not_reused() {
     let (gateway, engine) = one_engine(&[]);
     let mut client = Client::connect(&gateway);
     client.send(&request_id(1), "look", 2_500);
     let (first, _) = engine.wait_for_command("fetch");
     let whole = encode_answer([&request_id(1), "ok", SUCCESS_FIELDS, &page(&request_id(1), 0)]);
-    // The second copy breaks off, and comes in the same breath as the first.
+    // The second copy is incomplete and arrives together with the first.
     engine.write(first, &[&whole[..], &whole[..whole.len() / 2]].concat());
     assert_eq!(client.read_response().1, served_page(&request_id(1)));
     client.send(&request_id(2), "look", 2_500);
@@ -90,11 +92,11 @@
 }
 
 #[test]
-fn connections_stay_in_their_bound_when_idle_ones_make_room() {
+fn the_limit_of_connections_holds_while_idle_ones_are_replaced() {
     let (one, two, resolver) = (ScriptedEngine::start(), ScriptedEngine::start(), ScriptedResolver::start());
     let gateway = Gateway::start(resolver.address, &[one.address], &[EIGHT_CONNECTIONS]);
     let mut client = Client::connect(&gateway);
-    // All eight go to the only engine, and rest there.
+    // All eight connections lead to the only engine and become idle.
     for n in 0..8 {
         client.send(&request_id(n), "look", 2_500);
     }
@@ -103,7 +105,8 @@
     fetches.iter().for_each(|_| assert!(matches!(client.read_response().1, Response::Served(_))));
     assert_eq!(one.open_connections(), 8);
     resolver.publish(2, &[(one.address, false), (two.address, false)]);
-    // In one breath: each one for the other engine needs a connection of its own to be closed.
+    // In one write: each request for the second engine requires an idle connection of the first one to be
+    // closed.
     client.send_burst((100..108).map(request_id), "look", 2_500);
     let (sent_to_one, sent_to_two) = (one.collect_fetches(), two.collect_fetches());
     assert!(sent_to_two.len() > 2, "{sent_to_one:?} and {sent_to_two:?}");
@@ -116,11 +119,11 @@
 }
 
 #[test]
-fn where_no_connection_may_be_added_requests_share_those_of_their_engine() {
+fn requests_share_connections_if_no_further_one_is_allowed() {
     let (one, two, resolver) = (ScriptedEngine::start(), ScriptedEngine::start(), ScriptedResolver::start());
     let gateway = Gateway::start(resolver.address, &[one.address], &[EIGHT_CONNECTIONS]);
     let mut client = Client::connect(&gateway);
-    // Seven are in use at an engine that may have four once there are two.
+    // Seven connections are in use at an engine that may have four as soon as there are two engines.
     for n in 0..7 {
         client.send(&request_id(n), "look", 2_500);
     }
@@ -129,38 +132,42 @@
     client.send_burst((100..104).map(request_id), "look", 2_500);
     let (sent_to_one, sent_to_two) = (one.collect_fetches(), two.collect_fetches());
     assert!(sent_to_two.len() > 1, "{sent_to_one:?} and {sent_to_two:?}");
-    assert_eq!(sent_to_one.len() + sent_to_two.len(), 4, "one waits for a connection that nobody may dial");
+    assert_eq!(
+        sent_to_one.len() + sent_to_two.len(),
+        4,
+        "a request waits for a connection that must not be opened"
+    );
     assert!(one.open_connections() + two.open_connections() <= 8);
 }
 
 #[test]
-fn a_probe_whose_connection_breaks_is_asked_again() {
+fn a_probe_whose_connection_breaks_is_repeated() {
     let engines = [(); 3].map(|()| ScriptedEngine::start());
     let resolver = ScriptedResolver::start();
     let addresses = engines.each_ref().map(|engine| engine.address);
     let gateway = Gateway::start(resolver.address, &addresses, &[UNSAFE]);
     let mut client = Client::connect(&gateway);
-    // Each engine has one request. One gives no answer for so long that it is checked.
+    // Each engine gets one request. The first engine does not answer for so long that it is probed.
     for n in 0..3 {
         client.send(&request_id(n), "look", 3_500);
     }
-    let asked = engines.each_ref().map(|engine| engine.wait_for_command("fetch"));
-    for (engine, (connection, words)) in engines.iter().zip(&asked).skip(1) {
+    let fetches = engines.each_ref().map(|engine| engine.wait_for_command("fetch"));
+    for (engine, (connection, words)) in engines.iter().zip(&fetches).skip(1) {
         engine.serve(*connection, &words[1]);
         assert!(matches!(client.read_response().1, Response::Served(_)));
     }
     let (probed, _) = engines[0].wait_for_command("stats");
-    assert_ne!(asked[0].0, probed, "a connection of its own");
+    assert_ne!(fetches[0].0, probed, "a probe has a connection of its own");
     engines[0].reset(probed);
     let (probed, words) = engines[0].wait_for_command("stats");
     engines[0].send_answer(probed, [&words[1], "yes", "l=util:0.25", ""]);
-    // It is not left alone: it gets its part of these, and not one as a trial.
+    // The engine is not excluded: it gets its share of these requests, not just a single trial request.
     client.send_burst((10..22).map(request_id), "look", 2_500);
     assert!(engines[0].collect_fetches().len() > 1);
 }
 
 #[test]
-fn connections_to_the_process_before_are_not_used_once_a_new_one_is_listed() {
+fn connections_to_an_engines_old_process_are_not_used_once_a_new_process_is_listed() {
     let (engine, resolver) = (ScriptedEngine::start(), ScriptedResolver::start());
     let gateway = Gateway::start(resolver.address, &[engine.address], &[]);
     let mut client = Client::connect(&gateway);
@@ -168,31 +175,32 @@
     let (first, _) = engine.wait_for_command("fetch");
     engine.serve(first, &request_id(1));
     assert_eq!(client.read_response().1, served_page(&request_id(1)));
-    resolver.publish_with(|question| {
-        let mut list = resolver.encode_list(question, 2, &[(engine.address, false)]);
+    // The list names a later start of the engine.
+    resolver.publish_with(|query| {
+        let mut list = resolver.encode_list(query, 2, &[(engine.address, false)]);
         let started = list.windows(9).position(|w| w == b"started=0").unwrap();
         list[started + 8] = b'9';
         list
     });
     client.send(&request_id(2), "look", 2_500);
     let (second, _) = engine.wait_for_command("fetch");
-    assert_ne!(first, second, "it belongs to a process that has ended");
+    assert_ne!(first, second, "the connection belongs to a process that has ended");
 }
 
-/// Attempts that are out must not be withdrawn.
+/// Forbids cancelling attempts that have been written.
 const NO_CANCEL: (&str, &str) = ("\"MayCancel\": true", "\"MayCancel\": false");
 
 #[test]
-fn what_was_given_up_while_it_was_dialled_for_is_never_written() {
+fn requests_cancelled_while_their_connection_is_established_are_never_written() {
     for changes in [&[LONG_CONNECT_TIMEOUT][..], &[LONG_CONNECT_TIMEOUT, NO_CANCEL]] {
         let (engine, resolver) = (ScriptedEngine::start_held(), ScriptedResolver::start());
         let gateway = Gateway::start(resolver.address, &[engine.address], changes);
         let mut client = Client::connect(&gateway);
-        let given_up: Vec<i32> = (0..20).map(|n| client.send(&request_id(n), "look", 2_500)).collect();
+        let cancelled: Vec<i32> = (0..20).map(|n| client.send(&request_id(n), "look", 2_500)).collect();
         client.wait_until_processed();
-        given_up.into_iter().for_each(|seqid| client.cancel(seqid));
+        cancelled.into_iter().for_each(|seqid| client.cancel(seqid));
         client.wait_until_processed();
-        // One that waits beside them, so that the dials go on and come up.
+        // Another waiting request keeps the gateway connecting until the connections are established.
         client.send(&request_id(100), "look", 2_500);
         client.wait_until_processed();
         engine.release();
@@ -205,18 +213,19 @@
 }
 
 #[test]
-fn what_waits_for_an_engine_that_begins_to_drain_is_never_written() {
+fn requests_waiting_for_an_engine_that_begins_to_drain_are_never_written() {
     let (engine, resolver) = (ScriptedEngine::start_held(), ScriptedResolver::start());
     let gateway = Gateway::start(resolver.address, &[engine.address], &[LONG_CONNECT_TIMEOUT]);
     let mut client = Client::connect(&gateway);
     client.send(&request_id(1), "look", 2_500);
     client.wait_until_processed();
-    // Later than a dial is late: others go beside it.
+    // After this time the gateway opens further connections beside the late one.
     assert!(client.is_silent());
     resolver.publish(2, &[(engine.address, true)]);
     assert_eq!(client.read_response().1, Response::Refused);
     engine.release();
-    // Up again under a newer list: the dials of before have come up and gone.
+    // A newer list names the engine as ready again. The earlier connections have been established and closed
+    // by then.
     resolver.publish(3, &[(engine.address, false)]);
     client.send(&request_id(2), "look", 2_500);
     let (connection, words) = engine.wait_for_command("fetch");
@@ -227,7 +236,7 @@
 }
 
 #[test]
-fn what_waits_for_an_engine_that_moves_goes_to_its_new_address_alone() {
+fn requests_waiting_for_an_engine_that_moves_go_only_to_its_new_address() {
     let (old, new) = (ScriptedEngine::start_held(), ScriptedEngine::start());
     let resolver = ScriptedResolver::start();
     let gateway = Gateway::start(resolver.address, &[old.address], &[LONG_CONNECT_TIMEOUT]);
@@ -247,7 +256,7 @@
 }
 
 #[test]
-fn a_new_engine_at_a_gone_ones_address_gets_connections_of_its_own() {
+fn a_new_engine_at_the_address_of_a_removed_one_gets_connections_of_its_own() {
     let (engine, resolver) = (ScriptedEngine::start(), ScriptedResolver::start());
     let gateway = Gateway::start(resolver.address, &[engine.address], &[]);
     let mut client = Client::connect(&gateway);
@@ -255,9 +264,7 @@
     let (first, _) = engine.wait_for_command("fetch");
     engine.serve(first, &request_id(1));
     assert_eq!(client.read_response().1, served_page(&request_id(1)));
-    resolver.publish_with(|question| {
-        resolver.encode_named_list(question, 2, &[("e-new", engine.address, false)])
-    });
+    resolver.publish_with(|query| resolver.encode_named_list(query, 2, &[("e-new", engine.address, false)]));
     client.send(&request_id(2), "look", 2_500);
     let (second, _) = engine.wait_for_command("fetch");
     assert_ne!(first, second);
@@ -266,20 +273,20 @@
 }
 
 #[test]
-fn an_unsafe_request_is_sent_once_whenever_its_connection_is_reset() {
+fn an_unsafe_request_is_not_repeated_after_a_reset_of_its_connection() {
     let half = encode_answer([&request_id(1), "ok", SUCCESS_FIELDS, &page(&request_id(1), 0)]);
     let half = &half[..half.len() / 2];
-    for begun in [&b""[..], half] {
+    for received in [&b""[..], half] {
         let (gateway, engine) = one_engine(&[UNSAFE]);
         let mut client = Client::connect(&gateway);
         client.send(&request_id(1), "look", 2_500);
         let (connection, _) = engine.wait_for_command("fetch");
-        engine.write(connection, begun);
+        engine.write(connection, received);
         engine.reset(connection);
-        assert_eq!(client.read_response().1, Response::Failed, "it may have run");
-        assert_eq!(engine.collect_fetches(), Vec::<String>::new(), "it was sent a second time");
+        assert_eq!(client.read_response().1, Response::Failed, "the request may have run");
+        assert_eq!(engine.collect_fetches(), Vec::<String>::new(), "the request was sent a second time");
     }
-    // Behind a whole answer the reset costs nothing.
+    // A reset after a complete answer has no effect on the request.
     let (gateway, engine) = one_engine(&[UNSAFE]);
     let mut client = Client::connect(&gateway);
     client.send(&request_id(1), "look", 2_500);
@@ -287,7 +294,7 @@
     engine.serve(connection, &request_id(1));
     engine.reset(connection);
     assert_eq!(client.read_response().1, served_page(&request_id(1)));
-    // Nor does one of a resting connection: the next request finds it gone.
+    // Nor does the reset of an idle connection affect the next request.
     client.send(&request_id(2), "look", 2_500);
     let (connection, _) = engine.wait_for_command("fetch");
     engine.serve(connection, &request_id(2));
@@ -295,7 +302,7 @@
 }
 
 #[test]
-fn a_late_second_answer_is_never_told_to_the_request_after_it() {
+fn a_late_second_answer_is_not_taken_for_the_answer_to_the_next_request() {
     let (gateway, engine) = one_engine(&[]);
     let mut client = Client::connect(&gateway);
     client.send(&request_id(1), "look", 2_500);
@@ -304,7 +311,7 @@
     assert_eq!(client.read_response().1, served_page(&request_id(1)));
     client.send(&request_id(2), "look", 2_500);
     let (second, _) = engine.wait_for_command("fetch");
-    assert_eq!(first, second, "a quiet connection is used again");
+    assert_eq!(first, second, "an idle connection is reused");
     engine.serve(first, &request_id(1));
     engine.serve(first, &request_id(2));
     assert_eq!(client.read_response().1, served_page(&request_id(2)));
--- a/crates/platform/tests/leaving.rs
+++ b/crates/platform/tests/leaving.rs
@@ -1,4 +1,5 @@
-//! Clients that leave while their request waits for a connection to its engine, over real connections.
+//! Clients that cancel or disconnect while their request waits for a connection to its engine, over real
+//! connections.
 
 mod bed;
 
@@ -14,32 +15,32 @@
 use violetward_standin::platform::{Listed, PlatformEngine, PlatformResolver};
 use violetward_thrift::{FrameDecoder, MessageType, Writer};
 
-/// A gateway on loopback before one engine; it ends with the process.
-struct Bed {
-    address: SocketAddr,
+/// A gateway on loopback with one engine; it runs until the process ends.
+struct TestBed {
+    gateway_address: SocketAddr,
     engine: PlatformEngine,
     _resolver: PlatformResolver,
 }
 
-fn bed(may_cancel: bool) -> Bed {
+fn start_test_bed(may_cancel: bool) -> TestBed {
     let engine = PlatformEngine::start().unwrap();
     let resolver = PlatformResolver::start("east", "std").unwrap();
     resolver
         .tell(1, vec![Listed { id: "e-0".into(), address: engine.address, draining: false, started_ms: 0 }]);
     let text = bed::config(&resolver.address.to_string(), &[("e-0", engine.address.to_string())]);
-    // The engine's connections come up as late as a test likes.
-    let text = text.replace(bed::CONNECT_TIMEOUT_SETTING, "\"ConnectTimeoutUs\": 20000000");
+    // The engine can hold connections for long before the gateway gives them up.
+    let text = text.replace(bed::LONG_CONNECT_TIMEOUT.0, bed::LONG_CONNECT_TIMEOUT.1);
     let text = text.replace("\"MayCancel\": true", &format!("\"MayCancel\": {may_cancel}"));
-    let (tell, told) = std::sync::mpsc::channel();
+    let (address_sender, address_receiver) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
         let config = config::parse(&text).unwrap();
         let executor = Rc::new(LocalExecutor::new());
-        let follow = Resolver::new(config.resolver);
-        let (_host, address) = service::start(config, &executor, &follow).unwrap();
-        tell.send(address).unwrap();
+        let resolver = Resolver::new(config.resolver);
+        let (_host, address) = service::start(config, &executor, &resolver).unwrap();
+        address_sender.send(address).unwrap();
         async_io::block_on(executor.run(std::future::pending::<()>()));
     });
-    Bed { address: told.recv().unwrap(), engine, _resolver: resolver }
+    TestBed { gateway_address: address_receiver.recv().unwrap(), engine, _resolver: resolver }
 }
 
 struct Client {
@@ -48,13 +49,13 @@
 }
 
 impl Client {
-    fn new(bed: &Bed) -> Client {
-        let socket = TcpStream::connect(bed.address).unwrap();
+    fn connect(test_bed: &TestBed) -> Client {
+        let socket = TcpStream::connect(test_bed.gateway_address).unwrap();
         socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         Client { socket, frames: FrameDecoder::new(1 << 20) }
     }
 
-    fn dispatch(&mut self, seqid: i32, id: &str) {
+    fn send_request(&mut self, seqid: i32, id: &str) {
         let fields = [("id", id), ("class", "look"), ("wait", "2900"), ("cost", "20.0"), ("heap_mb", "64")];
         let mut writer = Writer::message("dispatch", MessageType::Call, seqid);
         writer.string_map(1, fields.into_iter());
@@ -70,59 +71,67 @@
         self.socket.write_all(&writer.into_frame()).unwrap();
     }
 
-    /// All that was sent before has been taken once this is answered.
-    fn alive(&mut self, seqid: i32) {
+    /// Calls `alive`. Once this is answered, the gateway has received everything that was sent before.
+    fn call_alive(&mut self, seqid: i32) {
         let mut writer = Writer::message("alive", MessageType::Call, seqid);
         writer.bool(1, false);
         writer.end_struct();
         self.socket.write_all(&writer.into_frame()).unwrap();
-        self.read();
+        self.read_frame();
     }
 
-    fn read(&mut self) -> Vec<u8> {
+    fn read_frame(&mut self) -> Vec<u8> {
         let mut bytes = [0; 8 << 10];
         loop {
             if let Some(frame) = self.frames.next_frame().unwrap() {
                 return frame;
             }
             let read = self.socket.read(&mut bytes).unwrap();
-            assert!(read > 0, "closed");
+            assert!(read > 0, "the gateway closed the connection");
             self.frames.feed(&bytes[..read]);
         }
     }
 }
 
-fn written(bed: &Bed) -> Vec<String> {
-    bed.engine.journal().into_iter().filter(|c| c[0] == "fetch").map(|c| c[1].clone()).collect()
+/// The ids of the requests that the engine received.
+fn fetched_ids(test_bed: &TestBed) -> Vec<String> {
+    let commands = test_bed.engine.journal().into_iter();
+    commands.filter(|words| words[0] == "fetch").map(|words| words[1].clone()).collect()
 }
 
-const FIRST: &str = "00000000000000a1";
-const SECOND: &str = "00000000000000a2";
+const FIRST_ID: &str = "00000000000000a1";
+const SECOND_ID: &str = "00000000000000a2";
 
-/// The connection comes up once the client has gone: it carries the next client's request, and not the first one's.
+/// The engine accepts the connection after the first client has left: it must carry only the second client's
+/// request.
 #[test]
-fn what_waits_for_a_connection_is_not_written_for_a_client_that_has_gone() {
-    for (may_cancel, closes) in [(true, true), (true, false), (false, true), (false, false)] {
-        let bed = bed(may_cancel);
-        bed.engine.hold().unwrap();
-        let mut first = Client::new(&bed);
-        first.dispatch(1, FIRST);
-        // The answer shows that the request was read; one more read that it was handed in.
-        first.alive(2);
-        first.alive(3);
-        let mut second = Client::new(&bed);
-        if closes {
+fn requests_waiting_for_a_connection_are_not_written_after_their_client_has_left() {
+    for (may_cancel, disconnects) in [(true, true), (true, false), (false, true), (false, false)] {
+        let test_bed = start_test_bed(may_cancel);
+        test_bed.engine.hold().unwrap();
+        let mut first = Client::connect(&test_bed);
+        first.send_request(1, FIRST_ID);
+        // The first answer shows that the request has been read, the second one that it has been submitted to
+        // the core.
+        first.call_alive(2);
+        first.call_alive(3);
+        let mut second = Client::connect(&test_bed);
+        if disconnects {
             drop(first);
-            // The end of the connection was there before the first of these was asked.
-            (1..=5).for_each(|seqid| second.alive(seqid));
+            // The gateway could see the end of the first connection before the first of these calls.
+            (1..=5).for_each(|seqid| second.call_alive(seqid));
         } else {
             first.cancel(1);
-            first.alive(4);
+            first.call_alive(4);
         }
-        second.dispatch(10, SECOND);
-        second.alive(11);
-        bed.engine.release().unwrap();
-        second.read();
-        assert_eq!(written(&bed), [SECOND], "withdrawing allowed: {may_cancel}, connection closed: {closes}");
+        second.send_request(10, SECOND_ID);
+        second.call_alive(11);
+        test_bed.engine.release().unwrap();
+        second.read_frame();
+        assert_eq!(
+            fetched_ids(&test_bed),
+            [SECOND_ID],
+            "cancelling allowed: {may_cancel}, client disconnects: {disconnects}"
+        );
     }
 }
