--- a/crates/platform/tests/list_races.rs
+++ b/crates/platform/tests/list_races.rs
@@ -1,4 +1,5 @@
-//! Orders of events between the gateway and its resolver over real sockets, each forced by a scripted resolver.
+//! Races between the gateway and its resolver over real sockets; a scripted resolver forces the order of
+//! events.
 
 mod bed;
 
@@ -7,8 +8,8 @@
 use bed::scripted::*;
 use bed::LONG_CONNECT_TIMEOUT;
 
-/// Has a request served by the engine, which shows that it is listed as up.
-fn assert_used(gateway: &Gateway, engine: &ScriptedEngine, number: u64) {
+/// Has a request served by the engine, which shows that the gateway lists it as ready.
+fn assert_engine_used(gateway: &Gateway, engine: &ScriptedEngine, number: u64) {
     let mut client = Client::connect(gateway);
     client.send(&request_id(number), "look", 2_500);
     let (connection, _) = engine.wait_for_command("fetch");
@@ -16,92 +17,95 @@
     assert_eq!(client.read_response().1, served_page(&request_id(number)));
 }
 
-/// Has a request refused, which shows that no engine is listed as up.
-fn assert_unused(gateway: &Gateway, number: u64) {
+/// Has a request refused, which shows that the gateway lists no engine as ready.
+fn assert_no_engine_used(gateway: &Gateway, number: u64) {
     let mut client = Client::connect(gateway);
     client.send(&request_id(number), "look", 2_500);
     assert_eq!(client.read_response().1, Response::Refused);
 }
 
 #[test]
-fn what_the_old_address_answers_after_a_move_does_not_count() {
+fn an_answer_from_the_resolvers_old_address_is_ignored_after_a_move() {
     let (engine, old, new) = (ScriptedEngine::start(), ScriptedResolver::start(), ScriptedResolver::start());
     let gateway = Gateway::start(old.address, &[engine.address], &[]);
-    let question = old.next_query();
+    let query = old.next_query();
     gateway.move_resolver(new.address);
-    // A list that is newer than any of the new address's, in which the engine drains.
-    old.send(&question, &old.encode_list(&question, 100, &[(engine.address, true)]));
+    // A list in which the engine drains and whose number is higher than any that the new resolver sends.
+    old.send(&query, &old.encode_list(&query, 100, &[(engine.address, true)]));
     new.publish(2, &[(engine.address, false)]);
-    assert_used(&gateway, &engine, 1);
+    assert_engine_used(&gateway, &engine, 1);
 }
 
 #[test]
-fn questions_get_no_rarer_while_nothing_is_heard() {
+fn queries_stay_frequent_while_no_answer_comes() {
     let (engine, resolver) = (ScriptedEngine::start(), ScriptedResolver::start());
     let gateway = Gateway::start(resolver.address, &[engine.address], &[]);
     (0..12).for_each(|_| drop(resolver.next_query()));
-    let silent = Instant::now();
+    let started = Instant::now();
     (0..8).for_each(|_| drop(resolver.next_query()));
-    // Four in a second are usual; every 650 ms would be 5 s.
-    assert!(silent.elapsed() < Duration::from_millis(4_200), "{:?} for 8 questions", silent.elapsed());
-    // The first answer after all that silence counts.
+    // The usual rate is four queries per second; at one per 650 ms, eight queries would take 5 s.
+    assert!(started.elapsed() < Duration::from_millis(4_200), "{:?} for 8 queries", started.elapsed());
+    // The first answer after the silence is accepted.
     resolver.publish(2, &[(engine.address, true)]);
-    assert_unused(&gateway, 1);
+    assert_no_engine_used(&gateway, 1);
 }
 
-/// ConnectionEvent by reading, after engines that drain were sent requests: an answer was waited for 0.15 s and then asked for anew,
-/// on another socket and under another id. From a resolver that takes longer than that no list was ever believed.
+/// Guards against a resolver that always answers later than the 0.15 s after which the gateway repeats its
+/// query. If the repeated query had a new socket and id, no answer would ever be accepted, and draining
+/// engines would still be sent requests.
 #[test]
-fn the_answer_of_a_slow_resolver_counts() {
+fn the_answer_of_a_slow_resolver_is_accepted() {
     let (engine, later) = (ScriptedEngine::start_held(), ScriptedEngine::start());
     let resolver = ScriptedResolver::start();
     let gateway = Gateway::start(resolver.address, &[engine.address], &[LONG_CONNECT_TIMEOUT]);
     let mut client = Client::connect(&gateway);
     client.send(&request_id(1), "report", 6_000);
     client.wait_until_processed();
-    let asked = resolver.next_query();
-    // It has been asked again by the time it answers the first question.
+    let first_query = resolver.next_query();
+    // The gateway has repeated its query by the time the first one is answered.
     (0..2).for_each(|_| drop(resolver.next_query()));
-    resolver
-        .send(&asked, &resolver.encode_list(&asked, 2, &[(engine.address, true), (later.address, false)]));
+    resolver.send(
+        &first_query,
+        &resolver.encode_list(&first_query, 2, &[(engine.address, true), (later.address, false)]),
+    );
     let (connection, _) = later.wait_for_command("fetch");
     later.serve(connection, &request_id(1));
     assert_eq!(client.read_response(), (1, served_page(&request_id(1))));
 }
 
 #[test]
-fn an_older_list_a_second_copy_and_another_ids_answer_change_nothing() {
+fn an_older_list_a_repeated_list_and_an_answer_with_another_id_are_ignored() {
     let (engine, resolver) = (ScriptedEngine::start(), ScriptedResolver::start());
-    // Its serial is about to wrap.
-    let known = ("\"known\":{\"no\":1,", "\"known\":{\"no\":4294967290,");
-    let gateway = Gateway::start(resolver.address, &[engine.address], &[known]);
-    let (up, draining) = ([(engine.address, false)], [(engine.address, true)]);
-    resolver.publish(5, &up);
+    // The list's serial number is about to wrap around.
+    let initial_number = ("\"known\":{\"no\":1,", "\"known\":{\"no\":4294967290,");
+    let gateway = Gateway::start(resolver.address, &[engine.address], &[initial_number]);
+    let (ready, draining) = ([(engine.address, false)], [(engine.address, true)]);
+    resolver.publish(5, &ready);
     let (first, second) = (resolver.next_query(), resolver.next_query());
-    // An answer to another question, and the list of before the wrap.
+    // An answer to another query, and a list from before the wrap-around.
     resolver.send(&second, &resolver.encode_list(&first, 9, &draining));
     resolver.send(&second, &resolver.encode_list(&second, 4_294_967_295, &draining));
-    // The same list once more, and one that is older.
+    // A list with the current number, and an older one.
     resolver.publish(5, &draining);
     resolver.publish(4, &draining);
-    assert_used(&gateway, &engine, 1);
+    assert_engine_used(&gateway, &engine, 1);
     resolver.publish(6, &draining);
-    assert_unused(&gateway, 2);
+    assert_no_engine_used(&gateway, 2);
 }
 
 #[test]
-fn a_flood_of_answers_that_do_not_fit_holds_nothing_up() {
+fn a_flood_of_answers_with_a_wrong_id_does_not_delay_valid_ones() {
     let (engine, resolver) = (ScriptedEngine::start(), ScriptedResolver::start());
     let gateway = Gateway::start(resolver.address, &[engine.address], &[]);
-    let mut asked = resolver.next_query();
+    let mut query = resolver.next_query();
     for _ in 0..5 {
-        let noise = resolver.encode_list(&asked, 9, &[(engine.address, true)]);
-        // Another id than that of the question.
-        let noise = [&[!noise[0], !noise[1]], &noise[2..]].concat();
-        (0..64).for_each(|_| resolver.send(&asked, &noise));
-        asked = resolver.next_query();
+        let answer = resolver.encode_list(&query, 9, &[(engine.address, true)]);
+        // The first two bytes are the id of the query.
+        let wrong_id = [&[!answer[0], !answer[1]], &answer[2..]].concat();
+        (0..64).for_each(|_| resolver.send(&query, &wrong_id));
+        query = resolver.next_query();
     }
-    assert_used(&gateway, &engine, 1);
+    assert_engine_used(&gateway, &engine, 1);
     resolver.publish(2, &[(engine.address, true)]);
-    assert_unused(&gateway, 2);
+    assert_no_engine_used(&gateway, 2);
 }
