--- a/crates/net/src/timer.rs
+++ b/crates/net/src/timer.rs
@@ -134,18 +134,19 @@
     fn sleeps_end_in_order_and_not_early() {
         let start = Instant::now();
         let millis = Duration::from_millis;
-        let first = future::block_on(future::or(
+        let first_to_end = future::block_on(future::or(
             async {
                 sleep(millis(80)).await;
-                2
+                "long sleep"
             },
             async {
                 sleep(millis(20)).await;
-                1
+                "short sleep"
             },
         ));
-        assert_eq!(first, 1);
+        assert_eq!(first_to_end, "short sleep");
         assert!(start.elapsed() >= millis(20));
+        // A sleep that is dropped without being polled does not delay later ones.
         drop(sleep(millis(10_000)));
         future::block_on(sleep(millis(5)));
         assert!(start.elapsed() >= millis(25));
--- a/crates/platform/tests/list.rs
+++ b/crates/platform/tests/list.rs
@@ -1,4 +1,5 @@
-//! The resolver's answers: each that is not whole and good is told from a good one.
+//! Parsing of the resolver's answers, of the list in the configuration and of the configuration itself:
+//! invalid input is rejected.
 
 mod bed;
 
@@ -16,7 +17,8 @@
     Names { kinds: names(&["old", "std"]), zones: names(&["west", "east"]), ..Names::default() }
 }
 
-fn ask(resolver: &PlatformResolver, id: u16) -> Vec<u8> {
+/// Queries a resolver and returns the bytes of its answer.
+fn query(resolver: &PlatformResolver, id: u16) -> Vec<u8> {
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
     socket.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     socket.send_to(&list::query(id), resolver.address).unwrap();
@@ -37,10 +39,10 @@
 }
 
 #[test]
-fn a_good_answer_is_read_in_the_modules_units() {
+fn a_valid_answer_is_converted_to_the_modules_types() {
     let resolver = PlatformResolver::start("east", "std").unwrap();
     resolver.tell(41, engines());
-    let list = list::parse_answer(&ask(&resolver, 7), 7, &names()).unwrap();
+    let list = list::parse_answer(&query(&resolver, 7), 7, &names()).unwrap();
     assert_eq!((list.number, list.engines.len()), (41, 9));
     let engine = &list.engines["s-00000001"];
     assert_eq!(engine.address, "10.1.0.1:4100".parse().unwrap());
@@ -50,7 +52,7 @@
 }
 
 #[test]
-fn what_is_not_whole_and_good_is_not_believed() {
+fn an_invalid_or_truncated_answer_is_rejected() {
     let resolver = PlatformResolver::start("east", "std").unwrap();
     resolver.tell(41, engines());
     let faults = [
@@ -63,24 +65,25 @@
     ];
     for fault in faults {
         resolver.order(fault);
-        let bytes = ask(&resolver, 7);
+        let bytes = query(&resolver, 7);
         assert!(list::parse_answer(&bytes, 7, &names()).is_err(), "{fault:?}");
     }
-    let good = ask(&resolver, 7);
-    assert!(list::parse_answer(&good, 7, &names()).is_ok());
-    assert!(list::parse_answer(&list::query(7), 7, &names()).is_err(), "a question is no answer");
-    let strange = Names { kinds: vec!["old".into()], ..names() };
-    assert!(list::parse_answer(&good, 7, &strange).is_err(), "a kind that is not known");
-    for end in 0..good.len() {
-        assert!(list::parse_answer(&good[..end], 7, &names()).is_err(), "cut at {end}");
+    let valid = query(&resolver, 7);
+    assert!(list::parse_answer(&valid, 7, &names()).is_ok());
+    assert!(list::parse_answer(&list::query(7), 7, &names()).is_err(), "a query instead of an answer");
+    let other_kinds = Names { kinds: vec!["old".into()], ..names() };
+    assert!(list::parse_answer(&valid, 7, &other_kinds).is_err(), "an unknown kind");
+    for length in 0..valid.len() {
+        assert!(list::parse_answer(&valid[..length], 7, &names()).is_err(), "truncated to {length} bytes");
     }
 }
 
 #[test]
-fn the_events_of_the_start_make_a_list() {
+fn the_roster_events_of_the_configuration_result_in_a_list() {
     let server = |id: &str, state: &str, more: &str| {
         format!(
-            r#"{{"id":"{id}","addr":"10.1.0.9:4100","zone":"east","kind":"std","cell":2,"state":"{state}"{more}}}"#
+            r#"{{"id":"{id}","addr":"10.1.0.9:4100","zone":"east","kind":"std","cell":2,
+            "state":"{state}"{more}}}"#
         )
     };
     let text = format!(
@@ -103,19 +106,19 @@
 }
 
 #[test]
-fn a_configuration_that_is_wrong_is_told_in_one_line() {
-    let good = bed::config("127.0.0.1:53", &[]);
-    assert!(config::parse(&good).is_ok());
-    let wrong = [
-        good.replace("127.0.0.1:53", "nowhere"),
-        good.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""),
-        good.replace("\"sockets\":256", "\"sockets\":3"),
-        good.replace("by_key", "by_luck"),
-        good[..good.len() / 2].to_owned(),
+fn the_error_of_an_invalid_configuration_is_a_single_line() {
+    let valid = bed::config("127.0.0.1:53", &[]);
+    assert!(config::parse(&valid).is_ok());
+    let invalid = [
+        valid.replace("127.0.0.1:53", "nowhere"),
+        valid.replace("\"listen\":\"127.0.0.1:0\"", "\"listen\":\"here\""),
+        valid.replace("\"sockets\":256", "\"sockets\":3"),
+        valid.replace("by_key", "by_luck"),
+        valid[..valid.len() / 2].to_owned(),
         String::new(),
     ];
-    for text in wrong {
-        let why = config::parse(&text).expect_err("wrong");
-        assert!(!why.is_empty() && !why.contains('\n'), "{why}");
+    for text in invalid {
+        let error = config::parse(&text).expect_err("an invalid configuration");
+        assert!(!error.is_empty() && !error.contains('\n'), "{error}");
     }
 }
