--- a/crates/platform/tests/core.rs
+++ b/crates/platform/tests/core.rs
@@ -74,11 +74,11 @@
     assert_eq!(*durations.borrow(), [30_000]);
 }
 
-/// A list of `engines` engines whose names and addresses are numbered from `from`.
-fn list(number: u32, from: u64, engines: u64) -> List {
+/// A list of `count` engines whose names and addresses are numbered from `from`.
+fn list(number: u32, from: u64, count: u64) -> List {
     let address = |n: u64| format!("10.0.{}.{}:4100", n / 250 % 250, n % 250 + 1);
     let named: Vec<(String, String)> =
-        (from..from + engines).map(|n| (format!("e-{n:08x}"), address(n))).collect();
+        (from..from + count).map(|n| (format!("e-{n:08x}"), address(n))).collect();
     let named: Vec<(&str, String)> = named.iter().map(|(id, a)| (id.as_str(), a.clone())).collect();
     let config = config::parse(&bed::config("127.0.0.1:1", &named)).expect("a valid configuration");
     let mut list = config.known.list(&config.names).expect("a valid list");
--- a/crates/platform/tests/engine_races.rs
+++ b/crates/platform/tests/engine_races.rs
@@ -64,8 +64,8 @@
     let mut client = Client::connect(&gateway);
     client.send(&request_id(1), "look", 300);
     let (first, _) = engine.wait_for_command("fetch");
-    let whole = encode_answer([&request_id(1), "ok", SUCCESS_FIELDS, &page(&request_id(1), 0)]);
-    engine.write(first, &whole[..whole.len() / 2]);
+    let complete_answer = encode_answer([&request_id(1), "ok", SUCCESS_FIELDS, &page(&request_id(1), 0)]);
+    engine.write(first, &complete_answer[..complete_answer.len() / 2]);
     assert_eq!(client.read_response().1, Response::Failed, "the request may have run");
     client.send(&request_id(2), "look", 2_500);
     let (second, _) = engine.wait_for_command("fetch");
@@ -80,9 +80,9 @@
     let mut client = Client::connect(&gateway);
     client.send(&request_id(1), "look", 2_500);
     let (first, _) = engine.wait_for_command("fetch");
-    let whole = encode_answer([&request_id(1), "ok", SUCCESS_FIELDS, &page(&request_id(1), 0)]);
+    let complete_answer = encode_answer([&request_id(1), "ok", SUCCESS_FIELDS, &page(&request_id(1), 0)]);
     // The second copy is incomplete and arrives together with the first.
-    engine.write(first, &[&whole[..], &whole[..whole.len() / 2]].concat());
+    engine.write(first, &[&complete_answer[..], &complete_answer[..complete_answer.len() / 2]].concat());
     assert_eq!(client.read_response().1, served_page(&request_id(1)));
     client.send(&request_id(2), "look", 2_500);
     let (second, _) = engine.wait_for_command("fetch");
--- a/crates/platform/tests/list_races.rs
+++ b/crates/platform/tests/list_races.rs
@@ -50,9 +50,9 @@
     assert_no_engine_used(&gateway, 1);
 }
 
-/// Guards against a resolver that always answers later than the 0.15 s after which the gateway repeats its
-/// query. If the repeated query had a new socket and id, no answer would ever be accepted, and draining
-/// engines would still be sent requests.
+/// After 0.15 s without an answer the gateway sends another query from a new socket and with a new id. Guards
+/// against dropping the earlier query: from a resolver that takes longer, no list would ever be accepted, and
+/// draining engines would still be sent requests.
 #[test]
 fn the_answer_of_a_slow_resolver_is_accepted() {
     let (engine, later) = (ScriptedEngine::start_held(), ScriptedEngine::start());
--- a/crates/platform/tests/sockets.rs
+++ b/crates/platform/tests/sockets.rs
@@ -439,12 +439,12 @@
     let stop = Arc::new(AtomicBool::new(false));
     let thread_stop = stop.clone();
     let gateway_address = test_bed.gateway_address;
-    let good_client_thread = std::thread::spawn(move || {
-        let mut good_client = Client::connect(gateway_address);
+    let regular_client_thread = std::thread::spawn(move || {
+        let mut regular_client = Client::connect(gateway_address);
         let (mut sent, mut served) = (0, 0);
         while !thread_stop.load(Ordering::Relaxed) {
             sent += 1;
-            let response = good_client.request(&request_id(1 << 40 | sent), "look", "pages 1", &[]);
+            let response = regular_client.request(&request_id(1 << 40 | sent), "look", "pages 1", &[]);
             // The module may refuse some requests during the flood.
             assert!(
                 response == served_pages(&request_id(1 << 40 | sent), 1) || response == Response::Refused,
@@ -470,7 +470,7 @@
         }
     });
     stop.store(true, Ordering::Relaxed);
-    let (sent, served) = good_client_thread.join().unwrap();
+    let (sent, served) = regular_client_thread.join().unwrap();
     assert!(sent > 10 && served * 10 >= sent * 9, "{served} of {sent} requests served");
     assert!(
         commands(&test_bed, "fetch").iter().all(|words| words[3] == "pages 1"),
