--- a/crates/agreement/src/history.rs
+++ b/crates/agreement/src/history.rs
@@ -27,7 +27,7 @@
 }
 
 /// Versions that are kept at most; older ones leave.
-pub const KEPT: usize = 64;
+pub const MAX_VERSIONS: usize = 64;
 
 /// Versions in order, without gaps from the first that is kept.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
@@ -39,7 +39,7 @@
 
 impl History {
     /// A history that goes on after a version that is not kept itself: its number and hash.
-    pub fn since(number: u64, hash: u64) -> History {
+    pub fn starting_after(number: u64, hash: u64) -> History {
         History { base: (number, hash), versions: Vec::new() }
     }
 
@@ -59,7 +59,7 @@
     }
 
     /// All versions kept, the oldest first.
-    pub fn all(&self) -> &[Version] {
+    pub fn versions(&self) -> &[Version] {
         &self.versions
     }
 
@@ -69,7 +69,7 @@
         let fits = *version == Version::after(number, hash, &version.content);
         if fits {
             self.versions.push(version.clone());
-            if self.versions.len() > KEPT {
+            if self.versions.len() > MAX_VERSIONS {
                 let old = self.versions.remove(0);
                 self.base = (old.number, old.hash);
             }
--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -13,9 +13,10 @@
 mod voter;
 pub mod wire;
 
-pub use history::{History, Version, KEPT};
-pub use lists::{Claim, EngineState, ListEffect, Lists, HOLDS};
-pub use member::{Check, Declined, Effect, Fitness, Member, MemberTerms, Outcome};
+pub use history::{History, Version, MAX_VERSIONS};
+pub use lists::{Claim, EngineClaims, EngineState, ListEffect, CLAIM_TTL_MICROS};
+pub use member::{Check, Effect, Fitness, Member, MemberTerms, Outcome, ProposeError};
 pub use voter::{
-    abstain_through, Ballot, Effect as VoterEffect, Kept, Message, Micros, Plant, Terms, Voter, GRANTS,
+    abstain_through, Ballot, DurableState, Effect as VoterEffect, InjectedFault, Message, Micros, Terms,
+    Voter, MAX_GRANTS,
 };
--- a/crates/agreement/src/lists.rs
+++ b/crates/agreement/src/lists.rs
@@ -2,15 +2,15 @@
 //! I/O and clock.
 //!
 //! A claim says that an engine, in the life that began at a time or in an earlier one, drains or is gone. It only takes away:
-//! an engine that the own list does not have is not added by it. It ends when its teller takes it back, since its list has the
-//! engine again, when the engine has a newer life, or after [`HOLDS`].
+//! an engine that the own list does not have is not added by it. It ends when its source takes it back, since its list has the
+//! engine again, when the engine has a newer life, or after [`CLAIM_TTL_MICROS`].
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::voter::Micros;
 
-/// How long a claim holds that nobody takes back: its teller may be gone.
-pub const HOLDS: Micros = 600_000_000;
+/// How long a claim holds that nobody takes back: its source may be gone.
+pub const CLAIM_TTL_MICROS: Micros = 600_000_000;
 /// When a claim is told again after it was heard of; each time to some of the others, who pass it on.
 const AGAIN: [Micros; 2] = [50_000, 120_000];
 /// Claims that are remembered at once.
@@ -31,9 +31,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Claim {
     /// Whose list it is.
-    pub teller: String,
+    pub source: String,
     /// Counts what that one tells, over its lives: the greater one holds.
-    pub count: u64,
+    pub sequence: u64,
     /// The engine.
     pub engine: String,
     /// When the life of it began that is meant, by the list's clock; 0: long ago.
@@ -46,16 +46,16 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ListEffect {
     /// Tell this to some of the others, drawn anew each time.
-    Tell(Claim),
+    Announce(Claim),
     /// What holds for engines has changed.
-    Changed,
+    ClaimsChanged,
     /// All engines, or most of several, went from the own list at once: told loudly here, and not to the others.
-    Mass(usize, usize),
+    MassRemoval(usize, usize),
 }
 
 /// What one gateway knows by its own list and by others' claims. See the module's documentation.
 #[derive(Debug, Default)]
-pub struct Lists {
+pub struct EngineClaims {
     me: String,
     /// The own list as it was last read; `None` before.
     own: Option<BTreeMap<String, (u64, EngineState)>>,
@@ -66,18 +66,18 @@
     effects: VecDeque<ListEffect>,
 }
 
-impl Lists {
+impl EngineClaims {
     /// Of a gateway by its name. `count` is greater than any of an earlier life: a time will do.
-    pub fn new(me: &str, count: u64) -> Lists {
-        Lists { me: me.to_owned(), count, ..Lists::default() }
+    pub fn new(me: &str, count: u64) -> EngineClaims {
+        EngineClaims { me: me.to_owned(), count, ..EngineClaims::default() }
     }
 
     /// The next effect.
-    pub fn effect(&mut self) -> Option<ListEffect> {
+    pub fn next_effect(&mut self) -> Option<ListEffect> {
         self.effects.pop_front()
     }
 
-    /// When [`Lists::wake`] should be called next.
+    /// When [`EngineClaims::wake`] should be called next.
     pub fn next_wake(&self) -> Option<Micros> {
         let ends = self.claims.values().map(|c| c.1);
         self.due.iter().map(|d| d.0).chain(ends).min()
@@ -103,7 +103,7 @@
         let up = before.values().filter(|e| e.1 == EngineState::Up).count();
         // One damaged or emptied list must not stop a fleet whose other lists are sound. Here it is obeyed all the same.
         if up > 1 && fell.len() == up || up > 3 && 2 * fell.len() > up {
-            return self.effects.push_back(ListEffect::Mass(fell.len(), up));
+            return self.effects.push_back(ListEffect::MassRemoval(fell.len(), up));
         }
         for (engine, came_up, state) in fell {
             // Somebody else has told that already, and it is on its way.
@@ -122,18 +122,18 @@
 
     fn tell(&mut self, now: Micros, engine: &str, came_up: u64, state: EngineState) {
         self.count += 1;
-        let (teller, count, engine) = (self.me.clone(), self.count, engine.to_owned());
-        self.learn(now, Claim { teller, count, engine, came_up, state });
+        let (source, sequence, engine) = (self.me.clone(), self.count, engine.to_owned());
+        self.learn(now, Claim { source, sequence, engine, came_up, state });
     }
 
     /// A claim that came from another gateway, whoever's it is.
     pub fn heard(&mut self, now: Micros, claim: Claim) {
         // What this gateway told in an earlier life comes back to it: nobody else would ever take it back.
-        if claim.teller == self.me {
+        if claim.source == self.me {
             let known = self.claims.get(&(self.me.clone(), claim.engine.clone()));
             if known.is_none()
                 && claim.state != EngineState::Up
-                && claim.count > self.count.saturating_sub(HOLDS)
+                && claim.sequence > self.count.saturating_sub(CLAIM_TTL_MICROS)
             {
                 let own = self.own.as_ref().and_then(|own| own.get(&claim.engine));
                 if own.is_some_and(|own| own.1 == EngineState::Up) {
@@ -146,26 +146,28 @@
     }
 
     fn learn(&mut self, now: Micros, claim: Claim) {
-        let key = (claim.teller.clone(), claim.engine.clone());
-        let known = self.claims.get(&key).map(|c| c.0.count);
-        if known.is_some_and(|count| count >= claim.count) || known.is_none() && self.claims.len() >= CLAIMS {
+        let key = (claim.source.clone(), claim.engine.clone());
+        let known = self.claims.get(&key).map(|c| c.0.sequence);
+        if known.is_some_and(|count| count >= claim.sequence)
+            || known.is_none() && self.claims.len() >= CLAIMS
+        {
             return;
         }
-        self.claims.insert(key, (claim.clone(), now + HOLDS));
-        self.effects.push_back(ListEffect::Changed);
+        self.claims.insert(key, (claim.clone(), now + CLAIM_TTL_MICROS));
+        self.effects.push_back(ListEffect::ClaimsChanged);
         self.due.extend(AGAIN.iter().map(|after| (now + after, claim.clone())));
-        self.effects.push_back(ListEffect::Tell(claim));
+        self.effects.push_back(ListEffect::Announce(claim));
     }
 
     /// Does what is due.
     pub fn wake(&mut self, now: Micros) {
         let (due, later): (Vec<_>, Vec<_>) = self.due.drain(..).partition(|d| d.0 <= now);
         self.due = later.into();
-        self.effects.extend(due.into_iter().map(|(_, claim)| ListEffect::Tell(claim)));
+        self.effects.extend(due.into_iter().map(|(_, claim)| ListEffect::Announce(claim)));
         let before = self.claims.len();
         self.claims.retain(|_, claim| claim.1 > now);
         if self.claims.len() < before {
-            self.effects.push_back(ListEffect::Changed);
+            self.effects.push_back(ListEffect::ClaimsChanged);
         }
     }
 
@@ -177,7 +179,7 @@
     }
 
     /// All engines of which something is claimed: with the life that is meant at the latest, and their state.
-    pub fn claimed(&self) -> BTreeMap<String, (u64, EngineState)> {
+    pub fn claimed_states(&self) -> BTreeMap<String, (u64, EngineState)> {
         let mut all: BTreeMap<String, (u64, EngineState)> = BTreeMap::new();
         for claim in self.claims.values().map(|c| &c.0).filter(|c| c.state != EngineState::Up) {
             let entry = all.entry(claim.engine.clone()).or_insert((claim.came_up, claim.state));
@@ -200,10 +202,10 @@
         engines.iter().map(|(n, c, s)| ((*n).to_owned(), (*c, *s))).collect()
     }
 
-    fn told(lists: &mut Lists) -> Vec<Claim> {
-        std::iter::from_fn(|| lists.effect())
+    fn told(lists: &mut EngineClaims) -> Vec<Claim> {
+        std::iter::from_fn(|| lists.next_effect())
             .filter_map(|e| match e {
-                ListEffect::Tell(claim) => Some(claim),
+                ListEffect::Announce(claim) => Some(claim),
                 _ => None,
             })
             .collect()
@@ -213,7 +215,7 @@
 
     #[test]
     fn a_drain_is_told_and_heard_and_taken_back() {
-        let (mut a, mut b) = (Lists::new("a", 100), Lists::new("b", 100));
+        let (mut a, mut b) = (EngineClaims::new("a", 100), EngineClaims::new("b", 100));
         let whole = list(&[("e1", 5, Up), ("e2", 0, Up), ("e3", 0, Up)]);
         a.listed(1, whole.clone());
         assert!(told(&mut a).is_empty(), "the first list is no change");
@@ -231,7 +233,7 @@
         a.wake(60_000);
         a.wake(200_000);
         assert_eq!(told(&mut a).len(), 2);
-        assert!(a.next_wake() > Some(HOLDS));
+        assert!(a.next_wake() > Some(CLAIM_TTL_MICROS));
         a.listed(300_000, whole);
         let back = told(&mut a);
         assert_eq!(back[0].state, Up);
@@ -244,9 +246,10 @@
 
     #[test]
     fn what_another_one_told_already_is_not_told_again() {
-        let mut b = Lists::new("b", 1);
+        let mut b = EngineClaims::new("b", 1);
         b.listed(1, list(&[("e1", 0, Up), ("e2", 0, Up), ("e3", 0, Up)]));
-        let claim = Claim { teller: "a".into(), count: 9, engine: "e1".into(), came_up: 0, state: Removed };
+        let claim =
+            Claim { source: "a".into(), sequence: 9, engine: "e1".into(), came_up: 0, state: Removed };
         b.heard(2, claim);
         told(&mut b);
         b.listed(3, list(&[("e2", 0, Up), ("e3", 0, Up)]));
@@ -258,23 +261,23 @@
         for (left, before) in [(0, 2), (1, 4), (0, 5)] {
             let names: Vec<String> = (0..before).map(|n| format!("e{n}")).collect();
             let of = |n: usize| names[..n].iter().map(|e| (e.clone(), (0, Up))).collect::<BTreeMap<_, _>>();
-            let mut a = Lists::new("a", 1);
+            let mut a = EngineClaims::new("a", 1);
             a.listed(1, of(before));
             a.listed(2, of(left));
-            let effects: Vec<ListEffect> = std::iter::from_fn(|| a.effect()).collect();
-            assert_eq!(effects, [ListEffect::Mass(before - left, before)]);
+            let effects: Vec<ListEffect> = std::iter::from_fn(|| a.next_effect()).collect();
+            assert_eq!(effects, [ListEffect::MassRemoval(before - left, before)]);
         }
     }
 
     #[test]
     fn claims_end_and_are_bounded() {
-        let mut a = Lists::new("a", 1);
+        let mut a = EngineClaims::new("a", 1);
         for n in 0..CLAIMS as u64 + 50 {
-            let (teller, engine) = ("t".to_owned(), format!("e{n}"));
-            a.heard(n, Claim { teller, count: n, engine, came_up: 0, state: Removed });
+            let (source, engine) = ("t".to_owned(), format!("e{n}"));
+            a.heard(n, Claim { source, sequence: n, engine, came_up: 0, state: Removed });
         }
         assert_eq!(a.held(), CLAIMS);
-        a.wake(HOLDS + CLAIMS as u64 + 100);
-        assert_eq!((a.held(), a.claimed().len()), (0, 0));
+        a.wake(CLAIM_TTL_MICROS + CLAIMS as u64 + 100);
+        assert_eq!((a.held(), a.claimed_states().len()), (0, 0));
     }
 }
--- a/crates/agreement/src/member.rs
+++ b/crates/agreement/src/member.rs
@@ -3,10 +3,10 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use crate::history::{Version, KEPT};
-use crate::lists::{EngineState, ListEffect, Lists};
-use crate::voter::{Effect as Inner, Kept, Message, Micros, Terms, Voter};
-use crate::wire::{self, Digest32, Said, Unread, CONTENT, PART};
+use crate::history::{Version, MAX_VERSIONS};
+use crate::lists::{EngineClaims, EngineState, ListEffect};
+use crate::voter::{DurableState, Effect as Inner, Message, Micros, Terms, Voter};
+use crate::wire::{self, DecodeError, Digest32, PeerMessage, CHUNK_BYTES, MAX_CONTENT_BYTES};
 
 /// Contents that are fetched at once, sayings that wait for one, parts that are sent for one question.
 const FETCHES: usize = 4;
@@ -36,12 +36,12 @@
     pub votes: bool,
     /// See [`Terms::lease`].
     pub lease: Micros,
-    /// See [`Terms::drift`].
-    pub drift: u64,
-    /// See [`Terms::check`].
-    pub check: Micros,
+    /// See [`Terms::drift_ppm`].
+    pub drift_ppm: u64,
+    /// See [`Terms::lease_check_margin`].
+    pub lease_check_margin: Micros,
     /// A mark of all that gateways must have in common: who has another one is not understood.
-    pub mark: u64,
+    pub fingerprint: u64,
 }
 
 impl MemberTerms {
@@ -53,9 +53,9 @@
             voters: self.voters.len() as u16,
             votes: self.votes && place.is_some(),
             lease: self.lease,
-            drift: self.drift,
-            check: self.check,
-            plant: crate::Plant::None,
+            drift_ppm: self.drift_ppm,
+            lease_check_margin: self.lease_check_margin,
+            fault: crate::InjectedFault::None,
         }
     }
 }
@@ -75,7 +75,7 @@
 
 /// Why a proposal is not even begun.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Declined {
+pub enum ProposeError {
     /// This gateway does not vote; these do.
     NotVoter(Vec<String>),
     /// It does not pass the check here.
@@ -90,19 +90,19 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// Keep these octets, whole and for good.
-    Keep(Vec<u8>),
+    Persist(Vec<u8>),
     /// Say something to a gateway.
-    Say(String, Vec<u8>),
+    Send(String, Vec<u8>),
     /// Say something to all gateways that are known.
-    SayAll(Vec<u8>),
+    Broadcast(Vec<u8>),
     /// A version is committed.
-    Learned(Version),
+    Committed(Version),
     /// The proposal has ended.
-    Proposed(Outcome),
+    ProposalEnded(Outcome),
     /// A gateway has other terms than this one.
-    OtherTerms(String),
+    TermsMismatch(String),
     /// Another one remembers a later vote than what was kept tells: the file is an old copy. No votes from now on.
-    OldFile,
+    StaleVoteFile,
 }
 
 struct Fetch {
@@ -142,7 +142,7 @@
     contents: VecDeque<(Digest32, Vec<u8>)>,
     fetches: BTreeMap<Digest32, Fetch>,
     proposal: Option<Proposal>,
-    lists: Lists,
+    lists: EngineClaims,
     renew: Micros,
     writes: u64,
     /// How often voters had kept something, as far as was heard of them.
@@ -155,12 +155,18 @@
 
 impl Member {
     /// A gateway that starts with what it kept; `life` differs at every start.
-    pub fn new(terms: MemberTerms, kept: (Kept, u64), life: u64, now: Micros, check: Check) -> Member {
+    pub fn new(
+        terms: MemberTerms,
+        kept: (DurableState, u64),
+        life: u64,
+        now: Micros,
+        check: Check,
+    ) -> Member {
         // Written at every start before anything is granted: whether a life before this one can have granted something.
         let fresh = kept.1 == 0;
         // A life's counts begin where no earlier one's can have come to.
-        let lists = Lists::new(&terms.name, now);
-        let start = wire::keep(&kept.0, terms.mark, kept.1 + 1);
+        let lists = EngineClaims::new(&terms.name, now);
+        let start = wire::encode_vote_file(&kept.0, terms.fingerprint, kept.1 + 1);
         let mut member = Member {
             voter: Voter::new(terms.voter(), kept.0, life, now, fresh),
             terms,
@@ -175,12 +181,12 @@
             writes: kept.1 + 1,
             remembered: BTreeMap::new(),
             dice: life | 1,
-            effects: VecDeque::from([Effect::Keep(start)]),
+            effects: VecDeque::from([Effect::Persist(start)]),
             counts: [0; 3],
         };
         let kept = member.voter.kept().clone();
         let accepted = kept.accepted.iter().map(|a| &a.1);
-        kept.history.all().iter().chain(accepted).for_each(|v| member.store(&v.content));
+        kept.history.versions().iter().chain(accepted).for_each(|v| member.store(&v.content));
         member
     }
 
@@ -211,9 +217,9 @@
         &self.voter
     }
 
-    /// See [`Voter::acts_on`].
-    pub fn acts_on(&self, now: Micros) -> Option<(u64, u64)> {
-        self.voter.acts_on(now)
+    /// See [`Voter::usable_range`].
+    pub fn usable_range(&self, now: Micros) -> Option<(u64, u64)> {
+        self.voter.usable_range(now)
     }
 
     /// When [`Member::wake`] should be called next.
@@ -228,16 +234,16 @@
     }
 
     /// The next effect, once the one before it is done.
-    pub fn effect(&mut self, now: Micros) -> Option<Effect> {
+    pub fn next_effect(&mut self, now: Micros) -> Option<Effect> {
         loop {
             if let Some(effect) = self.effects.pop_front() {
                 return Some(effect);
             }
-            match self.voter.effect()? {
-                Inner::Keep(kept) => {
+            match self.voter.next_effect()? {
+                Inner::Persist(kept) => {
                     self.writes += 1;
-                    let bytes = wire::keep(&kept, self.terms.mark, self.writes);
-                    return Some(Effect::Keep(bytes));
+                    let bytes = wire::encode_vote_file(&kept, self.terms.fingerprint, self.writes);
+                    return Some(Effect::Persist(bytes));
                 }
                 Inner::Send(to, message) if to == self.terms.voter().me => {
                     let unfit =
@@ -249,21 +255,23 @@
                 Inner::Send(to, message) => {
                     let voter = self.terms.voters.get(usize::from(to)).cloned();
                     let other = || self.others.iter().find(|o| *o.1 == to).map(|o| o.0.clone());
-                    let said = Said::Protocol(self.terms.mark, self.told_writes(), message).write();
+                    let said =
+                        PeerMessage::Protocol(self.terms.fingerprint, self.told_writes(), message).encode();
                     if let Some(name) = voter.or_else(other) {
-                        return Some(Effect::Say(name, said));
+                        return Some(Effect::Send(name, said));
                     }
                 }
-                Inner::All(message) => {
-                    let said = Said::Protocol(self.terms.mark, self.told_writes(), message).write();
-                    return Some(Effect::SayAll(said));
+                Inner::Broadcast(message) => {
+                    let said =
+                        PeerMessage::Protocol(self.terms.fingerprint, self.told_writes(), message).encode();
+                    return Some(Effect::Broadcast(said));
                 }
-                Inner::Learned(version) => {
+                Inner::Committed(version) => {
                     self.store(&version.content);
                     self.ended(&version);
                     // The lease on it is asked for at once.
                     self.renew = now;
-                    return Some(Effect::Learned(version));
+                    return Some(Effect::Committed(version));
                 }
             }
         }
@@ -279,22 +287,22 @@
     }
 
     /// What is to be done about lists, at once: a drain does not wait until a vote is on disk.
-    pub fn list_effect(&mut self) -> Option<ListEffect> {
-        self.lists.effect()
+    pub fn next_list_effect(&mut self) -> Option<ListEffect> {
+        self.lists.next_effect()
     }
 
     /// Something that another gateway said; who it is has been proved.
-    pub fn heard(&mut self, now: Micros, from: &str, bytes: &[u8]) {
+    pub fn receive(&mut self, now: Micros, from: &str, bytes: &[u8]) {
         let contents = &self.contents;
         let find = |name: &Digest32| contents.iter().find(|c| c.0 == *name).map(|c| c.1.clone());
-        match Said::read(bytes, &find) {
+        match PeerMessage::decode(bytes, &find) {
             Ok(said) => self.said(now, from, said),
-            Err(Unread::Bad) => self.counts[1] += 1,
-            Err(Unread::Missing(name, length)) => {
+            Err(DecodeError::Malformed) => self.counts[1] += 1,
+            Err(DecodeError::MissingContent(name, length)) => {
                 let room = self.fetches.len() < FETCHES;
                 if !self.fetches.contains_key(&name) && room {
                     let waiting = Vec::new();
-                    let parts = vec![None; (length as usize).div_ceil(PART)];
+                    let parts = vec![None; (length as usize).div_ceil(CHUNK_BYTES)];
                     let from = from.to_owned();
                     self.fetches.insert(name, Fetch { from, length, parts, asked: now, asks: 0, waiting });
                     self.want(now, name);
@@ -306,32 +314,32 @@
         }
     }
 
-    fn said(&mut self, now: Micros, from: &str, said: Said) {
+    fn said(&mut self, now: Micros, from: &str, said: PeerMessage) {
         self.counts[0] += 1;
         match said {
-            Said::Protocol(mark, ..) if mark != self.terms.mark => {
+            PeerMessage::Protocol(fingerprint, ..) if fingerprint != self.terms.fingerprint => {
                 self.counts[2] += 1;
                 // Once in a while: it goes on until somebody mends it.
                 if self.counts[2].is_power_of_two() {
-                    self.effects.push_back(Effect::OtherTerms(from.to_owned()));
+                    self.effects.push_back(Effect::TermsMismatch(from.to_owned()));
                 }
             }
-            Said::Protocol(_, writes, message) => {
+            PeerMessage::Protocol(_, writes, message) => {
                 let Some(number) = self.number(from) else { return };
                 if usize::from(number) < self.terms.voters.len() && writes > 0 {
                     let known = self.remembered.entry(from.to_owned()).or_default();
                     *known = writes.max(*known);
                     if *known > writes {
                         // Late datagrams are answered as well: that harms nobody.
-                        let said = Said::Remembered(*known).write();
-                        self.effects.push_back(Effect::Say(from.to_owned(), said));
+                        let said = PeerMessage::KnownWrites(*known).encode();
+                        self.effects.push_back(Effect::Send(from.to_owned(), said));
                     }
                 }
                 if let Message::Accept(_, version) = &message {
                     // No vote for what this gateway could not act on.
                     if let Err(why) = (self.check)(&version.content) {
-                        let said = Said::Unfit(version.number, why).write();
-                        return self.effects.push_back(Effect::Say(from.to_owned(), said));
+                        let said = PeerMessage::Unfit(version.number, why).encode();
+                        return self.effects.push_back(Effect::Send(from.to_owned(), said));
                     }
                 }
                 if let Message::Accept(_, v) | Message::Promise(_, _, Some((_, v))) = &message {
@@ -339,14 +347,14 @@
                 }
                 self.voter.message(now, number, &message);
             }
-            Said::Remembered(writes) => {
+            PeerMessage::KnownWrites(writes) => {
                 let voter = self.terms.voters.iter().any(|v| v == from);
                 if voter && writes > self.writes && self.voter.votes() {
                     self.voter.abstain();
-                    self.effects.push_back(Effect::OldFile);
+                    self.effects.push_back(Effect::StaleVoteFile);
                 }
             }
-            Said::Unfit(number, why) => {
+            PeerMessage::Unfit(number, why) => {
                 let (quorum, voters) = (self.terms.voter().quorum(), self.terms.voters.len());
                 let votes = self.terms.voters.iter().any(|v| v == from);
                 let Some(p) = self.proposal.as_mut().filter(|p| p.number == number && votes) else { return };
@@ -354,23 +362,23 @@
                 if p.unfit.len() > voters - quorum {
                     let why = p.unfit.iter().next().map(|(who, why)| format!("{who}: {why}"));
                     self.proposal = None;
-                    self.effects.push_back(Effect::Proposed(Outcome::Unfit(why.unwrap_or_default())));
+                    self.effects.push_back(Effect::ProposalEnded(Outcome::Unfit(why.unwrap_or_default())));
                 }
             }
-            Said::Would(mark, version) if mark == self.terms.mark => {
+            PeerMessage::FitnessRequest(fingerprint, version) if fingerprint == self.terms.fingerprint => {
                 let (number, hash) = self.voter.history().newest();
                 // Who asks about another one is behind, or ahead: leases tell.
                 let next = version == Version::after(number, hash, &version.content);
                 if next && self.voter.votes() {
                     let said = match self.fit(&version.content) {
-                        Ok(_) => Said::Fit(version.number, version.hash),
-                        Err(why) => Said::Unfit(version.number, why),
+                        Ok(_) => PeerMessage::Fit(version.number, version.hash),
+                        Err(why) => PeerMessage::Unfit(version.number, why),
                     };
-                    self.effects.push_back(Effect::Say(from.to_owned(), said.write()));
+                    self.effects.push_back(Effect::Send(from.to_owned(), said.encode()));
                 }
             }
-            Said::Would(..) => self.counts[2] += 1,
-            Said::Fit(number, hash) => {
+            PeerMessage::FitnessRequest(..) => self.counts[2] += 1,
+            PeerMessage::Fit(number, hash) => {
                 let voter = self.terms.voters.iter().any(|v| v == from);
                 let (newest, before) = self.voter.history().newest();
                 let Some(p) = self.proposal.as_mut().filter(|p| p.number == number && voter) else { return };
@@ -382,27 +390,29 @@
                     self.vote(now);
                 }
             }
-            Said::Want(name, at) => {
+            PeerMessage::ContentRequest(name, at) => {
                 let Some(content) = self.contents.iter().find(|c| c.0 == name).map(|c| &c.1) else { return };
                 // From there to the end of its row of parts, at least one of them.
-                let row = PARTS - (at as usize / PART) % PARTS;
-                let parts = content.get(at as usize..).unwrap_or_default().chunks(PART).take(row);
+                let row = PARTS - (at as usize / CHUNK_BYTES) % PARTS;
+                let parts = content.get(at as usize..).unwrap_or_default().chunks(CHUNK_BYTES).take(row);
                 let mut at = at;
                 for part in parts {
-                    let said = Said::Part(name, at, content.len() as u32, part.to_vec()).write();
-                    self.effects.push_back(Effect::Say(from.to_owned(), said));
+                    let said =
+                        PeerMessage::ContentChunk(name, at, content.len() as u32, part.to_vec()).encode();
+                    self.effects.push_back(Effect::Send(from.to_owned(), said));
                     at += part.len() as u32;
                 }
             }
-            Said::Part(name, at, of, part) => self.part(now, name, at, of, &part),
-            Said::Listed(claim) => self.lists.heard(now, claim),
+            PeerMessage::ContentChunk(name, at, of, part) => self.part(now, name, at, of, &part),
+            PeerMessage::EngineClaim(claim) => self.lists.heard(now, claim),
         }
     }
 
     fn part(&mut self, now: Micros, name: Digest32, at: u32, of: u32, part: &[u8]) {
         let Some(fetch) = self.fetches.get_mut(&name).filter(|f| f.length == of) else { return };
-        let place = at as usize / PART;
-        let fits = at as usize % PART == 0 && part.len() == PART.min((of - at.min(of)) as usize);
+        let place = at as usize / CHUNK_BYTES;
+        let fits =
+            at as usize % CHUNK_BYTES == 0 && part.len() == CHUNK_BYTES.min((of - at.min(of)) as usize);
         let Some(slot) = fetch.parts.get_mut(place).filter(|slot| fits && slot.is_none()) else { return };
         *slot = Some(part.to_vec());
         fetch.asks = 0;
@@ -411,7 +421,7 @@
             let content = fetch.parts.into_iter().flatten().flatten().collect::<Vec<u8>>();
             if wire::digest(&content) == name {
                 self.store(&content);
-                fetch.waiting.into_iter().for_each(|(from, bytes)| self.heard(now, &from, &bytes));
+                fetch.waiting.into_iter().for_each(|(from, bytes)| self.receive(now, &from, &bytes));
             }
         } else if (place + 1) % PARTS == 0 {
             // The last of those that were asked for: what is missing before it has been lost, or comes yet.
@@ -423,8 +433,8 @@
         let Some(fetch) = self.fetches.get_mut(&name) else { return };
         fetch.asked = now;
         let missing = fetch.parts.iter().position(Option::is_none).unwrap_or(0);
-        let said = Said::Want(name, (missing * PART) as u32).write();
-        self.effects.push_back(Effect::Say(fetch.from.clone(), said));
+        let said = PeerMessage::ContentRequest(name, (missing * CHUNK_BYTES) as u32).encode();
+        self.effects.push_back(Effect::Send(fetch.from.clone(), said));
     }
 
     fn store(&mut self, content: &[u8]) {
@@ -433,7 +443,7 @@
             return;
         }
         self.contents.push_back((name, content.to_vec()));
-        if self.contents.len() > KEPT + PARTS {
+        if self.contents.len() > MAX_VERSIONS + PARTS {
             self.contents.pop_front();
         }
     }
@@ -457,21 +467,21 @@
     ///
     /// # Errors
     /// Why it is not begun.
-    pub fn propose(&mut self, now: Micros, content: &[u8], after: Option<u64>) -> Result<(), Declined> {
+    pub fn propose(&mut self, now: Micros, content: &[u8], after: Option<u64>) -> Result<(), ProposeError> {
         let newest = self.voter.history().newest().0;
         if !self.voter.votes() {
-            return Err(Declined::NotVoter(self.terms.voters.clone()));
+            return Err(ProposeError::NotVoter(self.terms.voters.clone()));
         }
         if self.proposal.is_some() {
-            return Err(Declined::Busy);
+            return Err(ProposeError::Busy);
         }
         if after.is_some_and(|after| after != newest) {
-            return Err(Declined::Stale(newest));
+            return Err(ProposeError::Stale(newest));
         }
-        if content.len() > CONTENT {
-            return Err(Declined::Unfit(format!("it has over {CONTENT} octets")));
+        if content.len() > MAX_CONTENT_BYTES {
+            return Err(ProposeError::Unfit(format!("it has over {MAX_CONTENT_BYTES} octets")));
         }
-        let asked = self.fit(content).map_err(Declined::Unfit)?;
+        let asked = self.fit(content).map_err(ProposeError::Unfit)?;
         self.store(content);
         let (number, until) = (newest + 1, now + PATIENCE);
         let content = content.to_vec();
@@ -489,9 +499,13 @@
         let Some(p) = self.proposal.as_mut().filter(|p| p.number == number + 1) else { return };
         match &p.fit {
             Some(fit) if fit.len() < quorum => {
-                let said = Said::Would(self.terms.mark, Version::after(number, hash, &p.content)).write();
+                let said = PeerMessage::FitnessRequest(
+                    self.terms.fingerprint,
+                    Version::after(number, hash, &p.content),
+                )
+                .encode();
                 let ask = self.terms.voters.iter().filter(|v| !fit.contains(*v));
-                let asked: Vec<Effect> = ask.map(|v| Effect::Say(v.clone(), said.clone())).collect();
+                let asked: Vec<Effect> = ask.map(|v| Effect::Send(v.clone(), said.clone())).collect();
                 if p.again <= now {
                     self.effects.extend(asked);
                 }
@@ -510,14 +524,14 @@
         let own = p.number == version.number && p.content == version.content;
         let outcome =
             if own { Outcome::Committed(version.number) } else { Outcome::Conflict(version.number) };
-        self.effects.push_back(Effect::Proposed(outcome));
+        self.effects.push_back(Effect::ProposalEnded(outcome));
     }
 
     /// Does what is due.
     pub fn wake(&mut self, now: Micros) {
         self.lists.wake(now);
         if self.renew <= now {
-            let settled = self.acts_on(now).is_some_and(|(low, top)| low == top);
+            let settled = self.usable_range(now).is_some_and(|(low, top)| low == top);
             let times = if settled { RENEWALS } else { ASKED };
             self.renew = now + self.terms.lease / times;
             self.voter.renew(now);
@@ -540,7 +554,7 @@
         let Some(p) = &mut self.proposal else { return };
         if p.until <= now {
             self.proposal = None;
-            return self.effects.push_back(Effect::Proposed(Outcome::Unknown));
+            return self.effects.push_back(Effect::ProposalEnded(Outcome::Unknown));
         }
         if p.again <= now {
             // Two that propose at once must not do so in step.
@@ -555,19 +569,19 @@
         }
     }
 
-    /// The own list has been read; see [`Lists::listed`].
-    pub fn listed(&mut self, now: Micros, list: BTreeMap<String, (u64, EngineState)>) {
+    /// The own list has been read; see [`EngineClaims::listed`].
+    pub fn set_engine_list(&mut self, now: Micros, list: BTreeMap<String, (u64, EngineState)>) {
         self.lists.listed(now, list);
     }
 
-    /// See [`Lists::claimed`].
-    pub fn claimed(&self) -> BTreeMap<String, (u64, EngineState)> {
-        self.lists.claimed()
+    /// See [`EngineClaims::claimed_states`].
+    pub fn claimed_states(&self) -> BTreeMap<String, (u64, EngineState)> {
+        self.lists.claimed_states()
     }
 
     /// Gives the lease back, before this process ends.
-    pub fn give_back(&mut self) {
-        self.voter.give_back();
+    pub fn release_lease(&mut self) {
+        self.voter.release_lease();
     }
 }
 
@@ -579,15 +593,24 @@
     fn a_drain_is_told_while_a_vote_waits_for_its_disk() {
         let name = "g0".to_owned();
         let voters = vec![name.clone(), "g1".into(), "g2".into()];
-        let terms = MemberTerms { name, voters, votes: true, lease: 1_000_000, drift: 0, check: 0, mark: 7 };
-        let mut member = Member::new(terms, (Kept::default(), 0), 1, 0, Box::new(|_| Ok(())));
+        let terms = MemberTerms {
+            name,
+            voters,
+            votes: true,
+            lease: 1_000_000,
+            drift_ppm: 0,
+            lease_check_margin: 0,
+            fingerprint: 7,
+        };
+        let mut member = Member::new(terms, (DurableState::default(), 0), 1, 0, Box::new(|_| Ok(())));
         let list =
             |state| BTreeMap::from([("e1".to_owned(), (0, state)), ("e2".to_owned(), (0, EngineState::Up))]);
-        member.listed(1, list(EngineState::Up));
+        member.set_engine_list(1, list(EngineState::Up));
         // The first thing to be done is to write, and nothing else is asked for until that is done.
-        assert!(matches!(member.effect(1), Some(Effect::Keep(_))));
-        member.listed(2, list(EngineState::Draining));
-        let told = std::iter::from_fn(|| member.list_effect()).any(|e| matches!(e, ListEffect::Tell(_)));
+        assert!(matches!(member.next_effect(1), Some(Effect::Persist(_))));
+        member.set_engine_list(2, list(EngineState::Draining));
+        let told =
+            std::iter::from_fn(|| member.next_list_effect()).any(|e| matches!(e, ListEffect::Announce(_)));
         assert!(told);
     }
 }
--- a/crates/agreement/src/voter.rs
+++ b/crates/agreement/src/voter.rs
@@ -35,16 +35,16 @@
     /// How long a lease lasts by its holder's clock, from when it asked.
     pub lease: Micros,
     /// Parts of a million by which any clock may run too fast or too slow.
-    pub drift: u64,
+    pub drift_ppm: u64,
     /// The longest time from looking at the lease to the end of what is done on it.
-    pub check: Micros,
+    pub lease_check_margin: Micros,
     /// Faults planted on purpose, to see that the search finds them.
-    pub plant: Plant,
+    pub fault: InjectedFault,
 }
 
 /// A fault planted on purpose.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub enum Plant {
+pub enum InjectedFault {
     /// None.
     #[default]
     None,
@@ -66,7 +66,7 @@
     /// Gateways that make a quorum.
     pub fn quorum(&self) -> usize {
         let half = usize::from(self.voters) / 2;
-        if self.plant == Plant::HalfIsQuorum {
+        if self.fault == InjectedFault::HalfIsQuorum {
             half.max(1)
         } else {
             half + 1
@@ -74,17 +74,18 @@
     }
 
     /// How long a voter holds a grant by its own clock: the holder's may run slow by the drift, its own fast by it.
-    pub fn grant(&self) -> Micros {
+    pub fn grant_duration(&self) -> Micros {
         let million = 1_000_000u64;
-        let drift = self.drift.min(million / 2);
+        let drift = self.drift_ppm.min(million / 2);
         ((self.lease as u128 * (million + drift) as u128).div_ceil((million - drift) as u128)) as Micros
     }
 
     /// The bound *T* in true time: so long after a quorum has learned of a version nobody acts on an earlier one alone.
-    pub fn bound(&self) -> Micros {
+    pub fn switch_bound(&self) -> Micros {
         let million = 1_000_000u64;
-        let drift = self.drift.min(million / 2);
-        ((self.grant() as u128 * million as u128).div_ceil((million - drift) as u128)) as Micros + self.check
+        let drift = self.drift_ppm.min(million / 2);
+        ((self.grant_duration() as u128 * million as u128).div_ceil((million - drift) as u128)) as Micros
+            + self.lease_check_margin
     }
 }
 
@@ -102,19 +103,19 @@
     /// A version is committed.
     Committed(Version),
     /// I lack versions from that number on.
-    Lack(u64),
+    MissingFrom(u64),
     /// Please grant me a lease on that version; asked at that time of mine, in that life.
-    Ask(u64, Micros, u64),
+    LeaseRequest(u64, Micros, u64),
     /// Granted: the lowest version that another one may still act on by this voter's grants; the question back.
-    Grant(u64, u64, Micros, u64),
+    LeaseGrant(u64, u64, Micros, u64),
     /// That life of mine acts on nothing any more.
-    Back(u64),
+    LeaseRelease(u64),
     /// What you lack is not kept any more: go on after this number and hash.
-    Base(u64, u64),
+    HistoryBase(u64, u64),
 }
 
 /// Grants of one voter that are remembered at once; further ones are not given.
-pub const GRANTS: usize = 4_096;
+pub const MAX_GRANTS: usize = 4_096;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Grant {
@@ -127,7 +128,7 @@
 
 /// What has to be kept before it is told to anybody.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Kept {
+pub struct DurableState {
     /// The history.
     pub history: History,
     /// The ballot promised for the next version.
@@ -135,7 +136,7 @@
     /// What was accepted for it.
     pub accepted: Option<(Ballot, Version)>,
     /// No vote on versions up to this number: votes on them may have been lost with an earlier file.
-    pub abstain: u64,
+    pub abstain_through: u64,
 }
 
 /// Up to which number a voter that has lost its file must not vote, from the newest versions that a quorum of the *others*
@@ -148,13 +149,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Effect {
     /// Keep this, whole and for good, before any later effect is carried out.
-    Keep(Kept),
+    Persist(DurableState),
     /// Send to a gateway.
     Send(u16, Message),
     /// Send to all gateways that are known, voters or not.
-    All(Message),
+    Broadcast(Message),
     /// A version is committed.
-    Learned(Version),
+    Committed(Version),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -170,7 +171,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Voter {
     terms: Terms,
-    kept: Kept,
+    kept: DurableState,
     life: u64,
     /// Nothing newer than what was closed before is granted until then: an earlier life's grants may still hold.
     silent_until: Micros,
@@ -189,10 +190,11 @@
 impl Voter {
     /// A gateway that starts at a time of its clock with what it kept; `life` differs at every start. One that is `fresh` has
     /// never granted anything.
-    pub fn new(terms: Terms, kept: Kept, life: u64, now: Micros, fresh: bool) -> Voter {
-        let silent = if fresh || terms.plant == Plant::NoWaitAfterStart { 0 } else { terms.grant() };
+    pub fn new(terms: Terms, kept: DurableState, life: u64, now: Micros, fresh: bool) -> Voter {
+        let silent =
+            if fresh || terms.fault == InjectedFault::NoWaitAfterStart { 0 } else { terms.grant_duration() };
         let mut kept = kept;
-        if terms.plant == Plant::VoteNotKept {
+        if terms.fault == InjectedFault::VoteNotKept {
             (kept.promised, kept.accepted) = (Ballot::default(), None);
         }
         let turn = kept.promised.turn;
@@ -212,7 +214,7 @@
     }
 
     /// The next effect.
-    pub fn effect(&mut self) -> Option<Effect> {
+    pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
@@ -222,28 +224,28 @@
     }
 
     /// What is kept.
-    pub fn kept(&self) -> &Kept {
+    pub fn kept(&self) -> &DurableState {
         &self.kept
     }
 
     /// The range of versions that may be acted on at a time, if any, the lowest and the newest: what all of them allow. To
-    /// be asked just before acting, which may take [`Terms::check`] from then on.
-    pub fn acts_on(&self, now: Micros) -> Option<(u64, u64)> {
+    /// be asked just before acting, which may take [`Terms::lease_check_margin`] from then on.
+    pub fn usable_range(&self, now: Micros) -> Option<(u64, u64)> {
         let newest = self.kept.history.newest().0;
-        let valid = |until: Micros| now + self.terms.check < until;
+        let valid = |until: Micros| now + self.terms.lease_check_margin < until;
         let low = self.held.iter().rev().find(|(_, &until)| valid(until)).map(|(&low, _)| low)?;
-        let top = if self.terms.plant == Plant::NotNarrowed { low } else { newest };
+        let top = if self.terms.fault == InjectedFault::NotNarrowed { low } else { newest };
         Some((low, top))
     }
 
-    /// When the answer of [`Voter::acts_on`] changes by the mere passing of time; `None` if it does not.
-    pub fn until(&self, now: Micros) -> Option<Micros> {
-        let (low, _) = self.acts_on(now)?;
-        self.held.get(&low).map(|until| until.saturating_sub(self.terms.check))
+    /// When the answer of [`Voter::usable_range`] changes by the mere passing of time; `None` if it does not.
+    pub fn usable_until(&self, now: Micros) -> Option<Micros> {
+        let (low, _) = self.usable_range(now)?;
+        self.held.get(&low).map(|until| until.saturating_sub(self.terms.lease_check_margin))
     }
 
     /// Grants given that are remembered, and whether this voter keeps still after its start.
-    pub fn granting(&self, now: Micros) -> (usize, bool) {
+    pub fn grant_status(&self, now: Micros) -> (usize, bool) {
         (self.granted.len(), now < self.silent_until)
     }
 
@@ -271,7 +273,7 @@
         let version = self.kept.history.newest().0;
         self.held.retain(|_, until| *until > now);
         self.asked = Some((version, now, BTreeMap::new()));
-        self.send_all(&Message::Ask(version, now, self.life));
+        self.send_all(&Message::LeaseRequest(version, now, self.life));
     }
 
     /// What was kept is not what was told: no votes and no grants from now on.
@@ -285,24 +287,24 @@
     }
 
     /// Gives the lease back: nothing is acted on from now on.
-    pub fn give_back(&mut self) {
+    pub fn release_lease(&mut self) {
         self.left = true;
         self.held.clear();
         self.asked = None;
-        self.send_all(&Message::Back(self.life));
+        self.send_all(&Message::LeaseRelease(self.life));
     }
 
     /// A message from a gateway.
     pub fn message(&mut self, now: Micros, from: u16, message: &Message) {
         match message {
             // One that does not vote says nothing that others could count.
-            Message::Prepare(..) | Message::Accept(..) | Message::Ask(..) if !self.terms.votes => {}
+            Message::Prepare(..) | Message::Accept(..) | Message::LeaseRequest(..) if !self.terms.votes => {}
             // Nor does one that has just started: others may still tell it that it has voted later than its file says.
             Message::Prepare(..) | Message::Accept(..) if now < self.silent_until => {}
             Message::Prepare(number, ballot) => {
                 if self.may_vote(from, *number) && *ballot > self.kept.promised {
                     self.kept.promised = *ballot;
-                    self.keep();
+                    self.persist();
                     let accepted = self.kept.accepted.clone();
                     self.send(from, Message::Promise(*number, *ballot, accepted));
                 }
@@ -312,7 +314,7 @@
                 if self.may_vote(from, version.number) && *ballot >= self.kept.promised {
                     self.kept.promised = *ballot;
                     self.kept.accepted = Some((*ballot, version.clone()));
-                    self.keep();
+                    self.persist();
                     self.send(from, Message::Accepted(version.number, *ballot));
                 }
             }
@@ -327,35 +329,35 @@
                 if p.accepted.len() >= quorum {
                     if let Some(version) = p.version.clone() {
                         self.commit(&version);
-                        self.effects.push_back(Effect::All(Message::Committed(version)));
+                        self.effects.push_back(Effect::Broadcast(Message::Committed(version)));
                     }
                 }
             }
             Message::Committed(version) => {
                 let newest = self.kept.history.newest().0;
                 if version.number > newest + 1 {
-                    self.send(from, Message::Lack(newest + 1));
+                    self.send(from, Message::MissingFrom(newest + 1));
                 } else if version.number == newest + 1 {
                     self.commit(version);
                 }
             }
-            Message::Lack(number) => {
+            Message::MissingFrom(number) => {
                 let history = &self.kept.history;
                 let (base, hash) = history.base();
                 let versions: Vec<Version> =
-                    history.all().iter().filter(|v| v.number >= *number).take(8).cloned().collect();
+                    history.versions().iter().filter(|v| v.number >= *number).take(8).cloned().collect();
                 if *number <= base {
-                    self.send(from, Message::Base(base, hash));
+                    self.send(from, Message::HistoryBase(base, hash));
                 }
                 versions.into_iter().for_each(|v| self.send(from, Message::Committed(v)));
                 // A voter that lacked the version could not grant it: it is asked again, as of when it was asked first.
                 let open = self.asked.as_ref().filter(|(_, _, by)| !by.contains_key(&from));
                 if let Some(&(version, at, _)) = open {
-                    self.send(from, Message::Ask(version, at, self.life));
+                    self.send(from, Message::LeaseRequest(version, at, self.life));
                 }
             }
-            Message::Ask(version, at, life) => self.ask(now, from, *version, *at, *life),
-            Message::Grant(version, low, at, life) => {
+            Message::LeaseRequest(version, at, life) => self.ask(now, from, *version, *at, *life),
+            Message::LeaseGrant(version, low, at, life) => {
                 let quorum = self.terms.quorum();
                 let Some((asked, when, by)) = &mut self.asked else { return };
                 // A grant of another life or of an earlier question says nothing of this one.
@@ -367,24 +369,24 @@
                 let mut lows: Vec<u64> = by.values().copied().collect();
                 lows.sort_unstable_by(|a, b| b.cmp(a));
                 if let Some(&low) = lows.get(quorum - 1) {
-                    let since = if self.terms.plant == Plant::LeaseFromReceipt { now } else { *when };
+                    let since = if self.terms.fault == InjectedFault::LeaseFromReceipt { now } else { *when };
                     let until = since + self.terms.lease;
                     let held = self.held.entry(low).or_insert(until);
                     *held = until.max(*held);
                 }
             }
-            Message::Back(life) => {
+            Message::LeaseRelease(life) => {
                 self.granted.remove(&(from, *life));
                 self.granted.retain(|_, grant| grant.until > now);
                 self.tell_of_the_last();
             }
-            Message::Base(number, hash) => {
+            Message::HistoryBase(number, hash) => {
                 if *number > self.kept.history.newest().0 {
                     // What came in between is not kept by anybody who was asked: a range over the gap allows nothing.
-                    self.kept.history = History::since(*number, *hash);
+                    self.kept.history = History::starting_after(*number, *hash);
                     self.forget_votes();
-                    self.keep();
-                    self.send(from, Message::Lack(*number + 1));
+                    self.persist();
+                    self.send(from, Message::MissingFrom(*number + 1));
                 }
             }
         }
@@ -395,7 +397,7 @@
     }
 
     fn may_vote(&mut self, from: u16, number: u64) -> bool {
-        self.is_next(from, number) && number > self.kept.abstain
+        self.is_next(from, number) && number > self.kept.abstain_through
     }
 
     /// Whether a number is that of the version that is voted on here; who is behind is told, who is ahead is asked.
@@ -406,7 +408,7 @@
                 self.send(from, Message::Committed(version));
             }
         } else if number > next {
-            self.send(from, Message::Lack(next));
+            self.send(from, Message::MissingFrom(next));
         }
         number == next
     }
@@ -431,8 +433,8 @@
             return;
         }
         self.forget_votes();
-        self.keep();
-        self.effects.push_back(Effect::Learned(version.clone()));
+        self.persist();
+        self.effects.push_back(Effect::Committed(version.clone()));
     }
 
     /// What was voted on is decided. A lease that is held goes on, on what the new version allows too.
@@ -445,13 +447,13 @@
     fn ask(&mut self, now: Micros, from: u16, version: u64, at: Micros, life: u64) {
         let newest = self.kept.history.newest().0;
         if version > newest {
-            return self.send(from, Message::Lack(newest + 1));
+            return self.send(from, Message::MissingFrom(newest + 1));
         }
         if version < newest {
             // Closed: what it may hold still runs out, and is never renewed.
             return match self.kept.history.get(version + 1).cloned() {
                 Some(next) => self.send(from, Message::Committed(next)),
-                None => self.message(now, from, &Message::Lack(version + 1)),
+                None => self.message(now, from, &Message::MissingFrom(version + 1)),
             };
         }
         if now < self.silent_until {
@@ -462,16 +464,19 @@
         let before = self.granted.get(&(from, life)).copied();
         // A question that came before, or a copy of it, is no sign that it is still asked.
         let stale = before.is_some_and(|b| at <= b.asked);
-        if stale || self.granted.len() >= GRANTS && before.is_none() {
+        if stale || self.granted.len() >= MAX_GRANTS && before.is_none() {
             return;
         }
         // Who asks for this version acts within it from then on, whatever it had been granted before.
         let others = self.granted.iter().filter(|(who, _)| **who != (from, life)).map(|(_, g)| g.version);
-        let low =
-            if self.terms.plant == Plant::OthersNotTold { newest } else { others.fold(newest, u64::min) };
-        let until = (now + self.terms.grant()).max(before.map_or(0, |b| b.until));
+        let low = if self.terms.fault == InjectedFault::OthersNotTold {
+            newest
+        } else {
+            others.fold(newest, u64::min)
+        };
+        let until = (now + self.terms.grant_duration()).max(before.map_or(0, |b| b.until));
         self.granted.insert((from, life), Grant { version, until, asked: at, told: low });
-        self.send(from, Message::Grant(version, low, at, life));
+        self.send(from, Message::LeaseGrant(version, low, at, life));
         self.tell_of_the_last();
     }
 
@@ -485,13 +490,13 @@
         let mut told = Vec::new();
         for (&(to, life), grant) in self.granted.iter_mut().filter(|(_, g)| g.told < newest) {
             grant.told = newest;
-            told.push((to, Message::Grant(newest, newest, grant.asked, life)));
+            told.push((to, Message::LeaseGrant(newest, newest, grant.asked, life)));
         }
         told.into_iter().for_each(|(to, message)| self.send(to, message));
     }
 
-    fn keep(&mut self) {
-        self.effects.push_back(Effect::Keep(self.kept.clone()));
+    fn persist(&mut self) {
+        self.effects.push_back(Effect::Persist(self.kept.clone()));
     }
 
     fn send(&mut self, to: u16, message: Message) {
--- a/crates/gateway/src/agreement.rs
+++ b/crates/gateway/src/agreement.rs
@@ -14,8 +14,10 @@
 use event_listener::Event;
 use futures_lite::future;
 use violetward::Listed;
-use violetward_agreement::wire::Said;
-use violetward_agreement::{Effect, EngineState, Fitness, Kept, ListEffect, Member, MemberTerms, Outcome};
+use violetward_agreement::wire::PeerMessage;
+use violetward_agreement::{
+    DurableState, Effect, EngineState, Fitness, ListEffect, Member, MemberTerms, Outcome,
+};
 use violetward_net::Alarm;
 use violetward_store::file::Whole;
 use violetward_store::medium::Folder;
@@ -82,7 +84,7 @@
         let names = host.config.names.clone();
         let votes = terms.voters.contains(&terms.name);
         let (mut folder, mut trouble) = (None, None);
-        let mut kept = (Kept::default(), 0);
+        let mut kept = (DurableState::default(), 0);
         if votes {
             // Two processes that vote under one name would overwrite each other's votes.
             let mut opened = open_folder(terms).map_err(|e| match e {
@@ -116,11 +118,11 @@
             voters: terms.voters.clone(),
             votes,
             lease: terms.lease.as_micros() as u64,
-            drift: terms.drift_ppm,
-            check: terms.lease_check_margin.as_micros() as u64,
-            mark: terms.fingerprint(),
+            drift_ppm: terms.drift_ppm,
+            lease_check_margin: terms.lease_check_margin.as_micros() as u64,
+            fingerprint: terms.fingerprint(),
         };
-        let bound_ms = member_terms.voter().bound() / 1000;
+        let bound_ms = member_terms.voter().switch_bound() / 1000;
         tracing::info!(newest = kept.0.history.newest().0, votes, bound_ms, "agreement");
         let now = host.now();
         let agreed = Rc::new(SettingsAgreement {
@@ -160,21 +162,21 @@
     /// Runs the effects of changed engine lists, own and remote.
     fn run_list_effects(&self, host: &Rc<Host>) {
         loop {
-            let effect = self.member.borrow_mut().list_effect();
+            let effect = self.member.borrow_mut().next_list_effect();
             match effect {
                 None => break,
-                Some(ListEffect::Tell(claim)) => {
-                    let said = Said::Listed(claim).write();
+                Some(ListEffect::Announce(claim)) => {
+                    let said = PeerMessage::EngineClaim(claim).encode();
                     host.peers().iter().for_each(|p| p.say_some(host, &said, CLAIM_FANOUT));
                 }
-                Some(ListEffect::Changed) => {
-                    let claims = self.member.borrow().claimed();
+                Some(ListEffect::ClaimsChanged) => {
+                    let claims = self.member.borrow().claimed_states();
                     tracing::info!(?claims, at = host.now(), "engine states claimed by other gateways");
                     let with_listed_state = |(name, (came_up, state))| (name, (came_up, listed_state(state)));
                     let claims = claims.into_iter().map(with_listed_state).collect();
                     host.with_core(|core, now| core.set_remote_states(now, claims));
                 }
-                Some(ListEffect::Mass(gone, of)) => {
+                Some(ListEffect::MassRemoval(gone, of)) => {
                     tracing::error!(
                         gone,
                         of,
@@ -195,12 +197,12 @@
         };
         let list =
             list.iter().map(|(name, r)| (name.clone(), (r.entry.came_up, state(r.entry.listed)))).collect();
-        self.with_member(host, |member, now| member.listed(now, list));
+        self.with_member(host, |member, now| member.set_engine_list(now, list));
     }
 
     /// Takes a message of another gateway, which membership has authenticated.
     pub fn receive(&self, host: &Rc<Host>, from: &str, bytes: &[u8]) {
-        self.with_member(host, |member, now| member.heard(now, from, bytes));
+        self.with_member(host, |member, now| member.receive(now, from, bytes));
     }
 
     /// Passes the rules in force to the core. Called whenever they may have changed, and by the host before
@@ -210,7 +212,7 @@
         let windows = host.windows.borrow().clone();
         let (range, until) = {
             let member = self.member.borrow();
-            (member.acts_on(now), member.voter().until(now))
+            (member.usable_range(now), member.voter().usable_until(now))
         };
         host.rules_valid_until.set(until.unwrap_or(u64::MAX));
         if self.applied_range.get() != range {
@@ -299,7 +301,7 @@
     async fn run_effects(self: Rc<Self>, host: Rc<Host>) {
         loop {
             let listener = self.effects_due.listen();
-            let effect = self.member.borrow_mut().effect(host.now());
+            let effect = self.member.borrow_mut().next_effect(host.now());
             // A gateway's messages to itself may change its lease.
             self.refresh_rules(&host);
             self.alarm.set(Some(self.member.borrow().next_wake()));
@@ -308,16 +310,16 @@
                 continue;
             };
             match effect {
-                Effect::Keep(bytes) => self.write_votes(bytes).await,
-                Effect::Say(to, bytes) => host.peers().iter().for_each(|p| p.say(&host, &to, &bytes)),
-                Effect::SayAll(bytes) => host.peers().iter().for_each(|p| p.say_all(&host, &bytes)),
-                Effect::OldFile => {
+                Effect::Persist(bytes) => self.write_votes(bytes).await,
+                Effect::Send(to, bytes) => host.peers().iter().for_each(|p| p.say(&host, &to, &bytes)),
+                Effect::Broadcast(bytes) => host.peers().iter().for_each(|p| p.say_all(&host, &bytes)),
+                Effect::StaleVoteFile => {
                     let why = "its file is an old copy: others have heard of later votes of this gateway";
                     tracing::error!("this gateway does not vote: {why}");
                     *self.trouble.borrow_mut() = Some(why.into());
                     self.file_frozen.set(true);
                 }
-                Effect::Learned(version) => {
+                Effect::Committed(version) => {
                     let (number, hash) = (version.number, format!("{:016x}", version.hash));
                     tracing::info!(
                         number,
@@ -326,7 +328,7 @@
                         "a version of the settings has been committed"
                     );
                 }
-                Effect::Proposed(outcome) => {
+                Effect::ProposalEnded(outcome) => {
                     tracing::info!(?outcome, at = host.now(), "a proposal has ended");
                     self.proposal_reply
                         .borrow_mut()
@@ -334,7 +336,7 @@
                         .iter()
                         .for_each(|sender| drop(sender.try_send(outcome.clone())));
                 }
-                Effect::OtherTerms(from) => {
+                Effect::TermsMismatch(from) => {
                     tracing::error!(
                         from,
                         "the other gateway's configuration of (agreement ...) differs from this one's"
@@ -355,7 +357,7 @@
 
     /// Returns the lease. Called when no further requests are accepted.
     pub fn release_lease(&self, host: &Rc<Host>) {
-        self.with_member(host, |member, _| member.give_back());
+        self.with_member(host, |member, _| member.release_lease());
     }
 }
 
--- a/crates/gateway/src/agreement/operators.rs
+++ b/crates/gateway/src/agreement/operators.rs
@@ -6,7 +6,7 @@
 
 use hmac::{Hmac, Mac};
 use sha2::Sha256;
-use violetward_agreement::{Declined, Outcome};
+use violetward_agreement::{Outcome, ProposeError};
 use violetward_net::Connection;
 use violetward_statement::http::{Headers, Limits};
 
@@ -116,15 +116,15 @@
         });
         match begun {
             Ok(()) => {}
-            Err(Declined::NotVoter(voters)) => {
+            Err(ProposeError::NotVoter(voters)) => {
                 let text = format!("this gateway does not vote; ask one of {}", voters.join(", "));
                 return (409, report("not a voter", None, text, changes));
             }
-            Err(Declined::Unfit(why)) => return (422, report("unfit", None, why, changes)),
-            Err(Declined::Busy) => {
+            Err(ProposeError::Unfit(why)) => return (422, report("unfit", None, why, changes)),
+            Err(ProposeError::Busy) => {
                 return (409, report("busy", None, "another proposal is under way here".into(), changes))
             }
-            Err(Declined::Stale(newest)) => {
+            Err(ProposeError::Stale(newest)) => {
                 let text = format!("it was made for version {after}, but {newest} is the newest");
                 return (409, report("stale", Some(newest), text, changes));
             }
--- a/crates/gateway/src/agreement/report.rs
+++ b/crates/gateway/src/agreement/report.rs
@@ -78,7 +78,7 @@
     pub fn status(&self, now: u64, since: u64) -> SettingsStatus {
         let member = self.member.borrow();
         let voter = member.voter();
-        let (grants, silent) = voter.granting(now);
+        let (grants, silent) = voter.grant_status(now);
         let history = voter.history();
         let parse =
             |v: &Version| parse_content(&v.content, &self.names, &Rules::floor(&[], &[], &self.names));
@@ -98,7 +98,7 @@
             newest: voter.history().newest().0,
             acts: self.applied_range.get(),
             since: self.applied_at.get(),
-            until: voter.until(now),
+            until: voter.usable_until(now),
             without_lease: earlier + current,
             voters: self.terms.voters.clone(),
             votes: voter.votes(),
@@ -107,7 +107,7 @@
             silent,
             bound: self.terms.switch_bound_micros(),
             counts: member.counts,
-            history: history.all().iter().filter(|v| v.number >= since).map(row).collect(),
+            history: history.versions().iter().filter(|v| v.number >= since).map(row).collect(),
         }
     }
 }
--- a/crates/gateway/src/agreement/vote_file.rs
+++ b/crates/gateway/src/agreement/vote_file.rs
@@ -6,8 +6,8 @@
 use std::sync::PoisonError;
 use std::time::Duration;
 
-use violetward_agreement::wire::{self, Spoilt};
-use violetward_agreement::Kept;
+use violetward_agreement::wire::{self, VoteFileError};
+use violetward_agreement::DurableState;
 use violetward_store::file::Whole;
 use violetward_store::medium::Folder;
 use violetward_store::StoreError;
@@ -23,7 +23,7 @@
 /// Name of the file that the process using the folder holds locked.
 const LOCK_FILE: &str = "agreement.lock";
 /// Maximum size of a file that is read: twice the maximum size of the stored versions.
-const MAX_FILE_BYTES: usize = 2 * violetward_agreement::KEPT * wire::CONTENT;
+const MAX_FILE_BYTES: usize = 2 * violetward_agreement::MAX_VERSIONS * wire::MAX_CONTENT_BYTES;
 /// Time between two attempts to write the file.
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -46,7 +46,7 @@
     if file.exists() {
         return Err(format!("{} exists already and holds this gateway's votes", file.display()));
     }
-    let bytes = wire::keep(&Kept::default(), terms.fingerprint(), 0);
+    let bytes = wire::encode_vote_file(&DurableState::default(), terms.fingerprint(), 0);
     open_folder(terms)
         .and_then(|mut folder| folder.replace(VOTE_FILE, &bytes))
         .map_err(|e| unusable(terms, e))?;
@@ -77,12 +77,15 @@
         return Err(format!("{} other voters answered; at least {quorum} are needed", newest.len()));
     }
     let newest: Vec<u64> = newest.into_values().collect();
-    let kept = Kept { abstain: violetward_agreement::abstain_through(&newest), ..Kept::default() };
+    let kept = DurableState {
+        abstain_through: violetward_agreement::abstain_through(&newest),
+        ..DurableState::default()
+    };
     // Greater than any count of writes of the earlier file, which the other voters remember.
     let writes = violetward_net::Clock::new().now();
     let set_aside = if file.exists() { folder.set_aside(VOTE_FILE, SET_ASIDE_FILE) } else { Ok(()) };
     set_aside
-        .and_then(|()| folder.replace(VOTE_FILE, &wire::keep(&kept, terms.fingerprint(), writes)))
+        .and_then(|()| folder.replace(VOTE_FILE, &wire::encode_vote_file(&kept, terms.fingerprint(), writes)))
         .map_err(|e| unusable(terms, e))?;
     Ok(file)
 }
@@ -91,7 +94,10 @@
 ///
 /// # Errors
 /// Why this gateway must not vote.
-pub(super) fn read_votes(folder: &mut Whole<Folder>, terms: &AgreementTerms) -> Result<(Kept, u64), String> {
+pub(super) fn read_votes(
+    folder: &mut Whole<Folder>,
+    terms: &AgreementTerms,
+) -> Result<(DurableState, u64), String> {
     let file = terms.folder.join(VOTE_FILE);
     let shown = file.display();
     let bytes =
@@ -101,7 +107,8 @@
              one that lost its file, `violetward settings replace`"
             )
         })?;
-    wire::kept(&bytes, terms.fingerprint()).map_err(|why: Spoilt| format!("{shown}: {why}"))
+    wire::decode_vote_file(&bytes, terms.fingerprint())
+        .map_err(|why: VoteFileError| format!("{shown}: {why}"))
 }
 
 impl SettingsAgreement {
--- a/crates/gateway/src/terms.rs
+++ b/crates/gateway/src/terms.rs
@@ -142,11 +142,11 @@
             voters: self.voters.len() as u16,
             votes: false,
             lease: micros(self.lease),
-            drift: self.drift_ppm,
-            check: micros(self.lease_check_margin),
-            plant: violetward_agreement::Plant::None,
+            drift_ppm: self.drift_ppm,
+            lease_check_margin: micros(self.lease_check_margin),
+            fault: violetward_agreement::InjectedFault::None,
         };
-        terms.bound()
+        terms.switch_bound()
     }
 }
 
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -4,7 +4,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-use violetward_agreement::{wire, Kept};
+use violetward_agreement::{wire, DurableState};
 use violetward_gateway::{config, timestamp, windows};
 use violetward_store::file::Files;
 use violetward_store::Store;
@@ -108,7 +108,7 @@
     assert!(good, "{told}");
     let terms = config::load(configuration.as_ref()).ok().and_then(|c| c.agreement).expect("terms");
     let kept = || std::fs::read(folder.0.join("votes/agreement.kept")).expect("what is kept");
-    assert_eq!(kept(), wire::keep(&Kept::default(), terms.fingerprint(), 0));
+    assert_eq!(kept(), wire::encode_vote_file(&DurableState::default(), terms.fingerprint(), 0));
     assert!(!run(&["settings", "init", &configuration]).0, "votes would be forgotten");
 
     let (gateway, at) = serve(&folder, &configuration);
@@ -152,8 +152,11 @@
     assert!(!good && told.contains("used by another process"), "{told}");
     drop(gateway);
     // Octet for octet what agreement's own format says: files of earlier programs are read, and theirs read ours.
-    let (read, writes) = wire::kept(&kept(), terms.fingerprint()).expect("a good file");
-    assert_eq!((wire::keep(&read, terms.fingerprint(), writes), read.history.newest().0), (kept(), 3));
+    let (read, writes) = wire::decode_vote_file(&kept(), terms.fingerprint()).expect("a good file");
+    assert_eq!(
+        (wire::encode_vote_file(&read, terms.fingerprint(), writes), read.history.newest().0),
+        (kept(), 3)
+    );
     let (_gateway, at) = serve(&folder, &configuration);
     let (_, told) = run(&["settings", "show", &at]);
     assert!(told.contains("newest version 3") && told.contains("(class heavy (kinds m4))"), "{told}");
--- a/crates/lab/src/agreement.rs
+++ b/crates/lab/src/agreement.rs
@@ -27,7 +27,7 @@
 fn row(count: usize, loss: u64, pauses: bool, changes: u64, seed: u64) -> Row {
     let voters = if count > 3 { 5 } else { 3 };
     let mut fleet = Fleet::new(count, voters, LEASE, DRIFT, seed);
-    fleet.loss = loss;
+    fleet.loss_per_mille = loss;
     fleet.run(2 * LEASE);
     let (before, from) = (fleet.sent, fleet.now);
     fleet.run(10 * SECOND);
@@ -38,19 +38,19 @@
     for change in 0..changes {
         if pauses {
             let n = draw(&mut dice) as usize % count;
-            fleet.nodes[n].still = fleet.now + LEASE + draw(&mut dice) % LEASE;
+            fleet.nodes[n].paused_until = fleet.now + LEASE + draw(&mut dice) % LEASE;
         }
-        let awake = (0..voters).find(|&n| fleet.nodes[n].still <= fleet.now).unwrap_or(0);
+        let awake = (0..voters).find(|&n| fleet.nodes[n].paused_until <= fleet.now).unwrap_or(0);
         let at = fleet.now;
-        let wanted = fleet.contents.len() as u64 + 1;
+        let wanted = fleet.committed.len() as u64 + 1;
         let begun = fleet.propose(awake, format!("{seed} {change}").as_bytes()).is_ok();
         let until = at + 4 * LEASE;
         let mut done = None;
         while fleet.now < until {
             fleet.run(if done.is_none() && fleet.now < at + SECOND { 5_000 } else { 250_000 });
-            let acts = fleet.acts();
+            let acts = fleet.usable_ranges();
             // Whoever stands still acts on nothing: nobody waits for it but by its lease.
-            let awake = |n: &usize| fleet.nodes[*n].still <= fleet.now;
+            let awake = |n: &usize| fleet.nodes[*n].paused_until <= fleet.now;
             let full = (0..count).filter(awake).all(|n| acts[n].is_some_and(|(low, _)| low >= wanted));
             if done.is_none() && full {
                 done = Some(fleet.now - at);
--- a/crates/windows/tests/histories.rs
+++ b/crates/windows/tests/histories.rs
@@ -149,7 +149,7 @@
     }
 
     fn runs(&self, n: usize) -> bool {
-        self.fleet.nodes[n].member.is_some() && self.fleet.nodes[n].still <= self.fleet.now
+        self.fleet.nodes[n].member.is_some() && self.fleet.nodes[n].paused_until <= self.fleet.now
     }
 
     fn newest(&self, n: usize) -> Vec<Grant> {
@@ -221,7 +221,7 @@
                     0 => Some(Vec::new()),
                     _ => history.get(v).map(|v| read(&v.content)),
                 };
-                let versions = member.acts_on(mono).and_then(|(low, top)| (low..=top).map(of).collect());
+                let versions = member.usable_range(mono).and_then(|(low, top)| (low..=top).map(of).collect());
                 let held = &mut self.held[n];
                 held.versions(versions);
                 held.evidence(mono, seen.clone());
@@ -336,14 +336,14 @@
             5 => {
                 let side = w.draw(1 << NODES);
                 for (a, b) in (0..NODES).flat_map(|a| (0..NODES).map(move |b| (a, b))) {
-                    w.fleet.cut[a][b] = (side >> a & 1) != (side >> b & 1);
+                    w.fleet.blocked[a][b] = (side >> a & 1) != (side >> b & 1);
                 }
             }
-            6 => w.fleet.cut.iter_mut().flatten().for_each(|cut| *cut = false),
-            7 => w.fleet.loss = w.draw(3) * 150,
+            6 => w.fleet.blocked.iter_mut().flatten().for_each(|cut| *cut = false),
+            7 => w.fleet.loss_per_mille = w.draw(3) * 150,
             8 => {
                 let (n, span) = (w.draw(NODES as u64) as usize, w.draw(60) * S);
-                w.fleet.nodes[n].still = w.fleet.now + span;
+                w.fleet.nodes[n].paused_until = w.fleet.now + span;
             }
             9 => {
                 // Killed, and back with what it kept and a clock that is right.
@@ -385,7 +385,7 @@
     for seed in 0..5 {
         let w = history(seed, Plant::None);
         let granted: BTreeSet<String> =
-            w.fleet.contents.values().flat_map(|c| read(c)).map(|g| g.name).collect();
+            w.fleet.committed.values().flat_map(|c| read(c)).map(|g| g.name).collect();
         *counts.entry("windows asked for").or_default() += w.asked;
         *counts.entry("granted").or_default() += granted.len() as u64;
         let outcomes = w.fleet.nodes.iter().flat_map(|n| &n.outcomes);
@@ -404,14 +404,14 @@
 fn on_both_sides_of_a_partition_one_of_two_that_clash_is_granted_and_a_kill_of_its_grantor_changes_nothing() {
     let mut w = World::new(1, Plant::None);
     for other in 1..NODES {
-        (w.fleet.cut[0][other], w.fleet.cut[other][0]) = (true, true);
+        (w.fleet.blocked[0][other], w.fleet.blocked[other][0]) = (true, true);
     }
     let from = w.now() + 120 * S;
     assert!(w.ask(0, &[0], from, 300 * S) && w.ask(1, &[1], from, 300 * S));
     w.pass(30);
     assert_eq!(w.fleet.nodes[0].outcomes, [Outcome::Unknown]);
     assert_eq!(w.fleet.nodes[1].outcomes, [Outcome::Committed(1)]);
-    w.fleet.cut.iter_mut().flatten().for_each(|cut| *cut = false);
+    w.fleet.blocked.iter_mut().flatten().for_each(|cut| *cut = false);
     w.pass(30);
     assert!(!w.ask(0, &[2], from, 300 * S), "it would leave one copy and no other");
     // The grantor dies before its start: all others heed it, and let it end.
