--- a/crates/agreement/src/history.rs
+++ b/crates/agreement/src/history.rs
@@ -1,69 +1,70 @@
-//! The ordered history of versions.
+//! The ordered, hash-chained history of committed versions.
 
 use sha2::{Digest, Sha256};
 
 /// A version of the settings.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Version {
-    /// Its number, from 1.
+    /// Consecutive numbers, from 1.
     pub number: u64,
-    /// The first octets of the hash of its content and of its predecessor's hash.
+    /// First 8 bytes of the SHA-256 of the predecessor's number and hash and of this content.
     pub hash: u64,
-    /// Its content.
+    /// The settings as text, which this crate does not interpret.
     pub content: Vec<u8>,
 }
 
 impl Version {
-    /// The version with this content after another one (number 0 and hash 0: none).
+    /// The version with this content that follows the version with this number and hash. Number 0 and hash 0
+    /// make it the first version.
     pub fn after(number: u64, hash: u64, content: &[u8]) -> Version {
-        let mut sum = Sha256::new();
-        sum.update(number.to_be_bytes());
-        sum.update(hash.to_be_bytes());
-        sum.update(content);
-        let sum = sum.finalize();
-        let hash = u64::from_be_bytes(sum[..8].try_into().expect("32 octets"));
+        let mut hasher = Sha256::new();
+        hasher.update(number.to_be_bytes());
+        hasher.update(hash.to_be_bytes());
+        hasher.update(content);
+        let digest = hasher.finalize();
+        let hash = u64::from_be_bytes(digest[..8].try_into().expect("SHA-256 has 32 bytes"));
         Version { number: number + 1, hash, content: content.to_vec() }
     }
 }
 
-/// Versions that are kept at most; older ones leave.
+/// Maximum number of versions in a history; the oldest is dropped for a newer one.
 pub const MAX_VERSIONS: usize = 64;
 
-/// Versions in order, without gaps from the first that is kept.
+/// Versions in order, without gaps from the oldest retained one.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct History {
-    /// Number and hash of the version before the first that is kept.
+    /// Number and hash of the version before the oldest retained one.
     base: (u64, u64),
     versions: Vec<Version>,
 }
 
 impl History {
-    /// A history that goes on after a version that is not kept itself: its number and hash.
+    /// An empty history that continues after the version with this number and hash.
     pub fn starting_after(number: u64, hash: u64) -> History {
         History { base: (number, hash), versions: Vec::new() }
     }
 
-    /// Number and hash of the version before the first that is kept.
+    /// Number and hash of the version before the oldest retained one.
     pub fn base(&self) -> (u64, u64) {
         self.base
     }
 
-    /// The newest version; number 0 where there is none.
+    /// Number and hash of the newest version; the number is 0 if there is none.
     pub fn newest(&self) -> (u64, u64) {
         self.versions.last().map_or(self.base, |v| (v.number, v.hash))
     }
 
-    /// A version by its number.
+    /// The version with this number, if it is retained.
     pub fn get(&self, number: u64) -> Option<&Version> {
         self.versions.iter().find(|v| v.number == number)
     }
 
-    /// All versions kept, the oldest first.
+    /// All retained versions, the oldest first.
     pub fn versions(&self) -> &[Version] {
         &self.versions
     }
 
-    /// Adds a version that follows the newest one; false if it does not.
+    /// Appends a version. False, without a change, if it does not follow the newest one.
     pub fn add(&mut self, version: &Version) -> bool {
         let (number, hash) = self.newest();
         let fits = *version == Version::after(number, hash, &version.content);
--- a/crates/agreement/src/lib.rs
+++ b/crates/agreement/src/lib.rs
@@ -1,9 +1,11 @@
-//! Versions of settings on which gateways agree, free of I/O and clock: an ordered history, each version committed by a
-//! quorum of the configured voters, each acted on under a lease that a quorum has granted.
+//! Agreement among gateways on versions of the settings, without I/O and without reading a clock: an ordered
+//! history of versions, each committed by a quorum of the configured voters. A gateway applies versions under
+//! a lease that a quorum has granted.
 //!
-//! The property: **whoever acts, does only what every version allows that anybody acts on in full at the same true time**,
-//! as long as every clock runs within the allowed rate of drift. See `docs/agreement.md` for the argument; [`search`] looks
-//! for a counterexample in all interleavings of small cases, with the very code of [`Voter`].
+//! The safety property: **whoever acts does only what is allowed by every version that any gateway applies in
+//! full at the same true time**, as long as the rate of each clock stays within the allowed drift.
+//! `docs/agreement.md` has the proof; [`search`] looks for a counterexample in all interleavings of small
+//! cases, and runs the same [`Voter`] as the gateways do.
 
 mod history;
 mod lists;
--- a/crates/agreement/src/lists.rs
+++ b/crates/agreement/src/lists.rs
@@ -84,7 +84,7 @@
     }
 
     /// The own list has been read: engines, when they came up, and their states.
-    pub fn listed(&mut self, now: Micros, list: BTreeMap<String, (u64, EngineState)>) {
+    pub fn set_own_list(&mut self, now: Micros, list: BTreeMap<String, (u64, EngineState)>) {
         let Some(before) = self.own.replace(list.clone()) else { return };
         let state = |(came_up, state): &(u64, EngineState)| (*came_up, *state);
         let mut fell = Vec::new();
@@ -127,7 +127,7 @@
     }
 
     /// A claim that came from another gateway, whoever's it is.
-    pub fn heard(&mut self, now: Micros, claim: Claim) {
+    pub fn receive(&mut self, now: Micros, claim: Claim) {
         // What this gateway told in an earlier life comes back to it: nobody else would ever take it back.
         if claim.source == self.me {
             let known = self.claims.get(&(self.me.clone(), claim.engine.clone()));
@@ -217,42 +217,42 @@
     fn a_drain_is_told_and_heard_and_taken_back() {
         let (mut a, mut b) = (EngineClaims::new("a", 100), EngineClaims::new("b", 100));
         let whole = list(&[("e1", 5, Up), ("e2", 0, Up), ("e3", 0, Up)]);
-        a.listed(1, whole.clone());
+        a.set_own_list(1, whole.clone());
         assert!(told(&mut a).is_empty(), "the first list is no change");
-        a.listed(2, list(&[("e1", 5, Draining), ("e2", 0, Up), ("e3", 0, Up)]));
+        a.set_own_list(2, list(&[("e1", 5, Draining), ("e2", 0, Up), ("e3", 0, Up)]));
         let claims = told(&mut a);
         assert_eq!(claims.len(), 1);
-        b.listed(1, whole.clone());
-        b.heard(3, claims[0].clone());
+        b.set_own_list(1, whole.clone());
+        b.receive(3, claims[0].clone());
         assert_eq!((b.state("e1", 5), b.state("e1", 4), b.state("e2", 0)), (Draining, Draining, Up));
         assert_eq!(b.state("e1", 6), Up, "a newer life is not meant");
         assert_eq!(told(&mut b).len(), 1, "passed on");
-        b.heard(4, claims[0].clone());
+        b.receive(4, claims[0].clone());
         assert!(told(&mut b).is_empty(), "once");
         // Told again for those who missed it, and then no more.
         a.wake(60_000);
         a.wake(200_000);
         assert_eq!(told(&mut a).len(), 2);
         assert!(a.next_wake() > Some(CLAIM_TTL_MICROS));
-        a.listed(300_000, whole);
+        a.set_own_list(300_000, whole);
         let back = told(&mut a);
         assert_eq!(back[0].state, Up);
-        b.heard(300_001, back[0].clone());
+        b.receive(300_001, back[0].clone());
         assert_eq!(b.state("e1", 5), Up);
         // The older claim, late and out of order, undoes nothing.
-        b.heard(300_002, claims[0].clone());
+        b.receive(300_002, claims[0].clone());
         assert_eq!(b.state("e1", 5), Up);
     }
 
     #[test]
     fn what_another_one_told_already_is_not_told_again() {
         let mut b = EngineClaims::new("b", 1);
-        b.listed(1, list(&[("e1", 0, Up), ("e2", 0, Up), ("e3", 0, Up)]));
+        b.set_own_list(1, list(&[("e1", 0, Up), ("e2", 0, Up), ("e3", 0, Up)]));
         let claim =
             Claim { source: "a".into(), sequence: 9, engine: "e1".into(), came_up: 0, state: Removed };
-        b.heard(2, claim);
+        b.receive(2, claim);
         told(&mut b);
-        b.listed(3, list(&[("e2", 0, Up), ("e3", 0, Up)]));
+        b.set_own_list(3, list(&[("e2", 0, Up), ("e3", 0, Up)]));
         assert!(told(&mut b).is_empty());
     }
 
@@ -262,8 +262,8 @@
             let names: Vec<String> = (0..before).map(|n| format!("e{n}")).collect();
             let of = |n: usize| names[..n].iter().map(|e| (e.clone(), (0, Up))).collect::<BTreeMap<_, _>>();
             let mut a = EngineClaims::new("a", 1);
-            a.listed(1, of(before));
-            a.listed(2, of(left));
+            a.set_own_list(1, of(before));
+            a.set_own_list(2, of(left));
             let effects: Vec<ListEffect> = std::iter::from_fn(|| a.next_effect()).collect();
             assert_eq!(effects, [ListEffect::MassRemoval(before - left, before)]);
         }
@@ -274,7 +274,7 @@
         let mut a = EngineClaims::new("a", 1);
         for n in 0..CLAIMS as u64 + 50 {
             let (source, engine) = ("t".to_owned(), format!("e{n}"));
-            a.heard(n, Claim { source, sequence: n, engine, came_up: 0, state: Removed });
+            a.receive(n, Claim { source, sequence: n, engine, came_up: 0, state: Removed });
         }
         assert_eq!(a.held(), CLAIMS);
         a.wake(CLAIM_TTL_MICROS + CLAIMS as u64 + 100);
--- a/crates/agreement/src/member.rs
+++ b/crates/agreement/src/member.rs
@@ -1,36 +1,44 @@
-//! One gateway's whole part, by names: the voter, contents that are fetched in parts, proposals of operators and when what
-//! is due. Free of I/O and clock; whoever holds it carries out one effect after the other.
+//! Agreement at one gateway, which addresses the others by name: the voter, the transfer of contents in
+//! chunks, proposals of operators, and timers. Without I/O and without reading a clock; the caller carries
+//! out the effects one after the other.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use crate::history::{Version, MAX_VERSIONS};
 use crate::lists::{EngineClaims, EngineState, ListEffect};
-use crate::voter::{DurableState, Effect as Inner, Message, Micros, Terms, Voter};
+use crate::voter::{DurableState, Effect as VoterEffect, Message, Micros, Terms, Voter};
 use crate::wire::{self, DecodeError, Digest32, PeerMessage, CHUNK_BYTES, MAX_CONTENT_BYTES};
 
-/// Contents that are fetched at once, sayings that wait for one, parts that are sent for one question.
-const FETCHES: usize = 4;
-const WAITING: usize = 16;
-const PARTS: usize = 8;
-/// A question for parts is asked again after this span, and given up after so many.
-const ASK_AGAIN: Micros = 200_000;
-const ASKS: u32 = 25;
-/// A proposal is tried again after about this span, and its operator told that its end is not known after the other.
-const TRY_AGAIN: Micros = 300_000;
-const PATIENCE: Micros = 5_000_000;
-/// A lease on one version is renewed so many times while it lasts; where there is none, or one on a range, it is asked for
-/// so many times: a lost answer must not cost a renewal's time.
-const RENEWALS: u64 = 4;
-const ASKED: u64 = 16;
-/// Gateways that do not vote and are known by number at once.
-const OTHERS: usize = 8_192;
-
-/// The settings of a gateway's part.
+/// Maximum number of contents that are fetched at once.
+const MAX_FETCHES: usize = 4;
+/// Maximum number of messages that wait for one content.
+const MAX_WAITING_MESSAGES: usize = 16;
+/// Maximum number of contents in memory: those of the retained versions, and of accepted and proposed ones.
+const MAX_STORED_CONTENTS: usize = MAX_VERSIONS + 8;
+/// Number of chunks that are sent for one request.
+const CHUNKS_PER_REQUEST: usize = 8;
+/// Time after which a request for chunks is repeated.
+const FETCH_RETRY_MICROS: Micros = 200_000;
+/// Number of repeated requests without a chunk after which a fetch is given up.
+const MAX_FETCH_RETRIES: u32 = 25;
+/// Minimum time after which a proposal is tried again; as much again is added at random at most.
+const PROPOSAL_RETRY_MICROS: Micros = 300_000;
+/// Time after which the outcome of a proposal is reported as unknown.
+const PROPOSAL_TIMEOUT_MICROS: Micros = 5_000_000;
+/// Renewals within the duration of a lease on a single version.
+const RENEWALS_PER_LEASE: u64 = 4;
+/// Lease requests within the duration of a lease while there is none, or one on several versions. They are
+/// more frequent, so that a lost answer does not cost the time of a renewal.
+const REQUESTS_PER_LEASE: u64 = 16;
+/// Maximum number of gateways that do not vote and have a number here.
+const MAX_NON_VOTERS: usize = 8_192;
+
+/// The settings of agreement at one gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MemberTerms {
     /// This gateway's name.
     pub name: String,
-    /// The names of those that vote, in the order that all have.
+    /// The names of the voters, in the same order at all gateways.
     pub voters: Vec<String>,
     /// See [`Terms::votes`].
     pub votes: bool,
@@ -40,18 +48,19 @@
     pub drift_ppm: u64,
     /// See [`Terms::lease_check_margin`].
     pub lease_check_margin: Micros,
-    /// A mark of all that gateways must have in common: who has another one is not understood.
+    /// Hash of the settings that must be equal at all gateways. Messages of gateways with another one are
+    /// ignored.
     pub fingerprint: u64,
 }
 
 impl MemberTerms {
-    /// The terms of the voter.
+    /// The settings of the voter.
     pub fn voter(&self) -> Terms {
-        let place = self.voters.iter().position(|v| *v == self.name);
+        let index = self.voters.iter().position(|v| *v == self.name);
         Terms {
-            me: place.unwrap_or(usize::from(u16::MAX)) as u16,
+            me: index.unwrap_or(usize::from(u16::MAX)) as u16,
             voters: self.voters.len() as u16,
-            votes: self.votes && place.is_some(),
+            votes: self.votes && index.is_some(),
             lease: self.lease,
             drift_ppm: self.drift_ppm,
             lease_check_margin: self.lease_check_margin,
@@ -63,144 +72,156 @@
 /// How a proposal ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
-    /// It is the version with this number.
+    /// It became the version with this number.
     Committed(u64),
-    /// Another content is.
+    /// Another content became the version with this number.
     Conflict(u64),
-    /// So many voters found it unfit that no quorum is left; the first reason.
+    /// So many voters rejected it that no quorum is left; the reason of the first one by name.
     Unfit(String),
-    /// No quorum answered in time: it may still become a version, with the next proposal.
+    /// No quorum answered in time. It may still become a version along with a later proposal.
     Unknown,
 }
 
-/// Why a proposal is not even begun.
+/// Why a proposal is not started.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ProposeError {
-    /// This gateway does not vote; these do.
+    /// This gateway does not vote; the voters are these.
     NotVoter(Vec<String>),
-    /// It does not pass the check here.
+    /// This gateway rejects the content, for this reason.
     Unfit(String),
-    /// Another one of this gateway is under way.
+    /// Another proposal of this gateway is in progress.
     Busy,
-    /// It was made for another version than the newest, which is this one.
+    /// It was made to follow another version than the newest, which has this number.
     Stale(u64),
 }
 
-/// What is to be done, in order: the next one is asked for only when the one before it is done.
+/// An effect for the caller to carry out. It is complete before the next one is taken.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
-    /// Keep these octets, whole and for good.
+    /// Write these bytes to the vote file, atomically and durably.
     Persist(Vec<u8>),
-    /// Say something to a gateway.
+    /// Send a message to the gateway with this name.
     Send(String, Vec<u8>),
-    /// Say something to all gateways that are known.
+    /// Send a message to all known gateways.
     Broadcast(Vec<u8>),
     /// A version is committed.
     Committed(Version),
     /// The proposal has ended.
     ProposalEnded(Outcome),
-    /// A gateway has other terms than this one.
+    /// The gateway with this name has other terms than this one.
     TermsMismatch(String),
-    /// Another one remembers a later vote than what was kept tells: the file is an old copy. No votes from now on.
+    /// Another gateway has seen a later write of the vote file: the file is an old copy. This gateway does
+    /// not vote from now on.
     StaleVoteFile,
 }
 
 struct Fetch {
+    /// The gateway asked last.
     from: String,
     length: u32,
-    parts: Vec<Option<Vec<u8>>>,
-    asked: Micros,
-    asks: u32,
+    /// By index; `None` until received.
+    chunks: Vec<Option<Vec<u8>>>,
+    requested_at: Micros,
+    retries: u32,
+    /// Messages that wait for the content, with their senders.
     waiting: Vec<(String, Vec<u8>)>,
 }
 
 struct Proposal {
     content: Vec<u8>,
     number: u64,
-    /// Voters that find it fit as things are; `None` once a quorum of them has, and it is voted on.
-    fit: Option<BTreeSet<String>>,
-    again: Micros,
-    until: Micros,
-    unfit: BTreeMap<String, String>,
+    /// The voters that accept it to follow the newest version; `None` once it may be voted on.
+    accepted_by: Option<BTreeSet<String>>,
+    retry_at: Micros,
+    deadline: Micros,
+    /// The reasons of the voters that reject it.
+    rejected_by: BTreeMap<String, String>,
 }
 
-/// What passes a content before it is voted on.
+/// Checks a content before it is voted on. Unlike that of [`Fitness`], the result does not depend on the time.
 pub type Check = Box<dyn Fn(&[u8]) -> Result<(), String>>;
 
-/// What finds a content fit to follow a version, as things are now: whether anything in it depends on when and by whom that is
-/// asked. If so, a quorum has to find it fit before it is voted on. It is not asked again then: a vote that hung on the moment
-/// could leave a number without a version.
+/// Checks whether a content may follow a version in the present state of the system. `Ok(true)` means that
+/// the result depends on the time or on the gateway; a quorum has to accept the content before it is voted
+/// on. The vote itself does not repeat this check: a vote that depends on the time could leave a number
+/// without a version.
 pub type Fitness = Box<dyn Fn(&[u8], Option<&Version>) -> Result<bool, String>>;
 
-/// A gateway's part. See the module's documentation.
+/// Agreement at one gateway; the methods take the time of its clock.
 pub struct Member {
     terms: MemberTerms,
     voter: Voter,
     check: Check,
     fitness: Fitness,
-    others: BTreeMap<String, u16>,
+    /// Numbers of gateways that do not vote.
+    non_voters: BTreeMap<String, u16>,
+    /// Contents by digest, the oldest first.
     contents: VecDeque<(Digest32, Vec<u8>)>,
     fetches: BTreeMap<Digest32, Fetch>,
     proposal: Option<Proposal>,
-    lists: EngineClaims,
-    renew: Micros,
+    claims: EngineClaims,
+    renew_at: Micros,
+    /// Number of writes of the vote file.
     writes: u64,
-    /// How often voters had kept something, as far as was heard of them.
-    remembered: BTreeMap<String, u64>,
-    dice: u64,
+    /// The highest number of writes that each voter has reported.
+    reported_writes: BTreeMap<String, u64>,
+    /// State of the xorshift generator.
+    rng_state: u64,
     effects: VecDeque<Effect>,
-    /// Sayings taken, sayings that could not be read, sayings of gateways with other terms.
+    /// Messages decoded, malformed messages, messages of gateways with other terms.
     pub counts: [u64; 3],
 }
 
 impl Member {
-    /// A gateway that starts with what it kept; `life` differs at every start.
+    /// A gateway that starts with its durable state and the number of writes of its vote file. `incarnation`
+    /// differs at every start.
     pub fn new(
         terms: MemberTerms,
-        kept: (DurableState, u64),
-        life: u64,
+        stored: (DurableState, u64),
+        incarnation: u64,
         now: Micros,
         check: Check,
     ) -> Member {
-        // Written at every start before anything is granted: whether a life before this one can have granted something.
-        let fresh = kept.1 == 0;
-        // A life's counts begin where no earlier one's can have come to.
-        let lists = EngineClaims::new(&terms.name, now);
-        let start = wire::encode_vote_file(&kept.0, terms.fingerprint, kept.1 + 1);
+        // Each start writes the file before anything is granted. Without writes, no earlier incarnation can
+        // have granted anything.
+        let fresh = stored.1 == 0;
+        // The sequence numbers of claims start above those of earlier incarnations.
+        let claims = EngineClaims::new(&terms.name, now);
+        let start = wire::encode_vote_file(&stored.0, terms.fingerprint, stored.1 + 1);
         let mut member = Member {
-            voter: Voter::new(terms.voter(), kept.0, life, now, fresh),
+            voter: Voter::new(terms.voter(), stored.0, incarnation, now, fresh),
             terms,
             check,
             fitness: Box::new(|_, _| Ok(false)),
-            others: BTreeMap::new(),
+            non_voters: BTreeMap::new(),
             contents: VecDeque::new(),
             fetches: BTreeMap::new(),
             proposal: None,
-            lists,
-            renew: now,
-            writes: kept.1 + 1,
-            remembered: BTreeMap::new(),
-            dice: life | 1,
+            claims,
+            renew_at: now,
+            writes: stored.1 + 1,
+            reported_writes: BTreeMap::new(),
+            rng_state: incarnation | 1,
             effects: VecDeque::from([Effect::Persist(start)]),
             counts: [0; 3],
         };
-        let kept = member.voter.kept().clone();
-        let accepted = kept.accepted.iter().map(|a| &a.1);
-        kept.history.versions().iter().chain(accepted).for_each(|v| member.store(&v.content));
+        let state = member.voter.state().clone();
+        let accepted = state.accepted.iter().map(|a| &a.1);
+        state.history.versions().iter().chain(accepted).for_each(|v| member.store(&v.content));
         member
     }
 
-    /// With what finds contents fit to follow the newest version.
+    /// Sets the check whether a content may follow the newest version.
     #[must_use]
     pub fn with_fitness(mut self, fitness: Fitness) -> Member {
         self.fitness = fitness;
         self
     }
 
-    /// Whether a content is fit to follow the newest version here and now.
+    /// Checks whether a content may follow the newest version now; see [`Fitness`] for the result.
     ///
     /// # Errors
-    /// Why not.
+    /// The reason why it may not.
     pub fn fit(&self, content: &[u8]) -> Result<bool, String> {
         (self.check)(content)?;
         let history = self.voter.history();
@@ -212,7 +233,7 @@
         (self.fitness)(content, before)
     }
 
-    /// The voter, to look at.
+    /// The voter, read-only.
     pub fn voter(&self) -> &Voter {
         &self.voter
     }
@@ -224,61 +245,64 @@
 
     /// When [`Member::wake`] should be called next.
     pub fn next_wake(&self) -> Micros {
-        let fetches = self.fetches.values().map(|f| f.asked + ASK_AGAIN).min();
-        let proposal = self.proposal.as_ref().map(|p| p.again.min(p.until));
-        [Some(self.renew), fetches, proposal, self.lists.next_wake()]
+        let fetches = self.fetches.values().map(|f| f.requested_at + FETCH_RETRY_MICROS).min();
+        let proposal = self.proposal.as_ref().map(|p| p.retry_at.min(p.deadline));
+        [Some(self.renew_at), fetches, proposal, self.claims.next_wake()]
             .into_iter()
             .flatten()
             .min()
             .unwrap_or(Micros::MAX)
     }
 
-    /// The next effect, once the one before it is done.
+    /// The next effect. Call this once the one before it is complete.
     pub fn next_effect(&mut self, now: Micros) -> Option<Effect> {
         loop {
             if let Some(effect) = self.effects.pop_front() {
                 return Some(effect);
             }
             match self.voter.next_effect()? {
-                Inner::Persist(kept) => {
+                VoterEffect::Persist(state) => {
                     self.writes += 1;
-                    let bytes = wire::encode_vote_file(&kept, self.terms.fingerprint, self.writes);
+                    let bytes = wire::encode_vote_file(&state, self.terms.fingerprint, self.writes);
                     return Some(Effect::Persist(bytes));
                 }
-                Inner::Send(to, message) if to == self.terms.voter().me => {
-                    let unfit =
+                VoterEffect::Send(to, message) if to == self.terms.voter().me => {
+                    let rejected =
                         matches!(&message, Message::Accept(_, v) if (self.check)(&v.content).is_err());
-                    if !unfit {
-                        self.voter.message(now, to, &message);
+                    if !rejected {
+                        self.voter.receive(now, to, &message);
                     }
                 }
-                Inner::Send(to, message) => {
+                VoterEffect::Send(to, message) => {
                     let voter = self.terms.voters.get(usize::from(to)).cloned();
-                    let other = || self.others.iter().find(|o| *o.1 == to).map(|o| o.0.clone());
-                    let said =
-                        PeerMessage::Protocol(self.terms.fingerprint, self.told_writes(), message).encode();
-                    if let Some(name) = voter.or_else(other) {
-                        return Some(Effect::Send(name, said));
+                    let non_voter = || self.non_voters.iter().find(|o| *o.1 == to).map(|o| o.0.clone());
+                    let reply =
+                        PeerMessage::Protocol(self.terms.fingerprint, self.writes_to_report(), message)
+                            .encode();
+                    if let Some(name) = voter.or_else(non_voter) {
+                        return Some(Effect::Send(name, reply));
                     }
                 }
-                Inner::Broadcast(message) => {
-                    let said =
-                        PeerMessage::Protocol(self.terms.fingerprint, self.told_writes(), message).encode();
-                    return Some(Effect::Broadcast(said));
+                VoterEffect::Broadcast(message) => {
+                    let reply =
+                        PeerMessage::Protocol(self.terms.fingerprint, self.writes_to_report(), message)
+                            .encode();
+                    return Some(Effect::Broadcast(reply));
                 }
-                Inner::Committed(version) => {
+                VoterEffect::Committed(version) => {
                     self.store(&version.content);
-                    self.ended(&version);
-                    // The lease on it is asked for at once.
-                    self.renew = now;
+                    self.end_proposal(&version);
+                    // Request the lease on it at once.
+                    self.renew_at = now;
                     return Some(Effect::Committed(version));
                 }
             }
         }
     }
 
-    /// One that does not vote has kept nothing that others should remember.
-    fn told_writes(&self) -> u64 {
+    /// The number of writes that messages report; 0 if this gateway does not vote, as its file does not
+    /// count.
+    fn writes_to_report(&self) -> u64 {
         if self.voter.votes() {
             self.writes
         } else {
@@ -286,66 +310,72 @@
         }
     }
 
-    /// What is to be done about lists, at once: a drain does not wait until a vote is on disk.
+    /// The next effect of engine claims. These do not wait for the effects of votes: a drain is announced
+    /// while a vote is being written.
     pub fn next_list_effect(&mut self) -> Option<ListEffect> {
-        self.lists.next_effect()
+        self.claims.next_effect()
     }
 
-    /// Something that another gateway said; who it is has been proved.
+    /// Receives a message of another gateway, whose name has been authenticated.
     pub fn receive(&mut self, now: Micros, from: &str, bytes: &[u8]) {
         let contents = &self.contents;
-        let find = |name: &Digest32| contents.iter().find(|c| c.0 == *name).map(|c| c.1.clone());
+        let find = |digest: &Digest32| contents.iter().find(|c| c.0 == *digest).map(|c| c.1.clone());
         match PeerMessage::decode(bytes, &find) {
-            Ok(said) => self.said(now, from, said),
+            Ok(message) => self.handle(now, from, message),
             Err(DecodeError::Malformed) => self.counts[1] += 1,
-            Err(DecodeError::MissingContent(name, length)) => {
-                let room = self.fetches.len() < FETCHES;
-                if !self.fetches.contains_key(&name) && room {
+            Err(DecodeError::MissingContent(digest, length)) => {
+                let may_fetch = self.fetches.len() < MAX_FETCHES;
+                if !self.fetches.contains_key(&digest) && may_fetch {
                     let waiting = Vec::new();
-                    let parts = vec![None; (length as usize).div_ceil(CHUNK_BYTES)];
+                    let chunks = vec![None; (length as usize).div_ceil(CHUNK_BYTES)];
                     let from = from.to_owned();
-                    self.fetches.insert(name, Fetch { from, length, parts, asked: now, asks: 0, waiting });
-                    self.want(now, name);
+                    self.fetches.insert(
+                        digest,
+                        Fetch { from, length, chunks, requested_at: now, retries: 0, waiting },
+                    );
+                    self.request_chunks(now, digest);
                 }
-                if let Some(fetch) = self.fetches.get_mut(&name).filter(|f| f.waiting.len() < WAITING) {
+                if let Some(fetch) =
+                    self.fetches.get_mut(&digest).filter(|f| f.waiting.len() < MAX_WAITING_MESSAGES)
+                {
                     fetch.waiting.push((from.to_owned(), bytes.to_vec()));
                 }
             }
         }
     }
 
-    fn said(&mut self, now: Micros, from: &str, said: PeerMessage) {
+    fn handle(&mut self, now: Micros, from: &str, message: PeerMessage) {
         self.counts[0] += 1;
-        match said {
+        match message {
             PeerMessage::Protocol(fingerprint, ..) if fingerprint != self.terms.fingerprint => {
                 self.counts[2] += 1;
-                // Once in a while: it goes on until somebody mends it.
+                // Reported ever less often, as it lasts until the configuration is corrected.
                 if self.counts[2].is_power_of_two() {
                     self.effects.push_back(Effect::TermsMismatch(from.to_owned()));
                 }
             }
             PeerMessage::Protocol(_, writes, message) => {
-                let Some(number) = self.number(from) else { return };
+                let Some(number) = self.number_of(from) else { return };
                 if usize::from(number) < self.terms.voters.len() && writes > 0 {
-                    let known = self.remembered.entry(from.to_owned()).or_default();
+                    let known = self.reported_writes.entry(from.to_owned()).or_default();
                     *known = writes.max(*known);
                     if *known > writes {
-                        // Late datagrams are answered as well: that harms nobody.
-                        let said = PeerMessage::KnownWrites(*known).encode();
-                        self.effects.push_back(Effect::Send(from.to_owned(), said));
+                        // Delayed datagrams cause this answer too, which is harmless.
+                        let reply = PeerMessage::KnownWrites(*known).encode();
+                        self.effects.push_back(Effect::Send(from.to_owned(), reply));
                     }
                 }
                 if let Message::Accept(_, version) = &message {
-                    // No vote for what this gateway could not act on.
+                    // No vote for a content that this gateway could not apply.
                     if let Err(why) = (self.check)(&version.content) {
-                        let said = PeerMessage::Unfit(version.number, why).encode();
-                        return self.effects.push_back(Effect::Send(from.to_owned(), said));
+                        let reply = PeerMessage::Unfit(version.number, why).encode();
+                        return self.effects.push_back(Effect::Send(from.to_owned(), reply));
                     }
                 }
                 if let Message::Accept(_, v) | Message::Promise(_, _, Some((_, v))) = &message {
                     self.store(&v.content);
                 }
-                self.voter.message(now, number, &message);
+                self.voter.receive(now, number, &message);
             }
             PeerMessage::KnownWrites(writes) => {
                 let voter = self.terms.voters.iter().any(|v| v == from);
@@ -358,23 +388,23 @@
                 let (quorum, voters) = (self.terms.voter().quorum(), self.terms.voters.len());
                 let votes = self.terms.voters.iter().any(|v| v == from);
                 let Some(p) = self.proposal.as_mut().filter(|p| p.number == number && votes) else { return };
-                p.unfit.insert(from.to_owned(), why);
-                if p.unfit.len() > voters - quorum {
-                    let why = p.unfit.iter().next().map(|(who, why)| format!("{who}: {why}"));
+                p.rejected_by.insert(from.to_owned(), why);
+                if p.rejected_by.len() > voters - quorum {
+                    let why = p.rejected_by.iter().next().map(|(who, why)| format!("{who}: {why}"));
                     self.proposal = None;
                     self.effects.push_back(Effect::ProposalEnded(Outcome::Unfit(why.unwrap_or_default())));
                 }
             }
             PeerMessage::FitnessRequest(fingerprint, version) if fingerprint == self.terms.fingerprint => {
                 let (number, hash) = self.voter.history().newest();
-                // Who asks about another one is behind, or ahead: leases tell.
-                let next = version == Version::after(number, hash, &version.content);
-                if next && self.voter.votes() {
-                    let said = match self.fit(&version.content) {
+                // A sender that asks about another number is behind or ahead, which lease messages resolve.
+                let follows_newest = version == Version::after(number, hash, &version.content);
+                if follows_newest && self.voter.votes() {
+                    let reply = match self.fit(&version.content) {
                         Ok(_) => PeerMessage::Fit(version.number, version.hash),
                         Err(why) => PeerMessage::Unfit(version.number, why),
                     };
-                    self.effects.push_back(Effect::Send(from.to_owned(), said.encode()));
+                    self.effects.push_back(Effect::Send(from.to_owned(), reply.encode()));
                 }
             }
             PeerMessage::FitnessRequest(..) => self.counts[2] += 1,
@@ -385,88 +415,92 @@
                 if Version::after(newest, before, &p.content).hash != hash {
                     return;
                 }
-                if let Some(fit) = &mut p.fit {
-                    fit.insert(from.to_owned());
-                    self.vote(now);
+                if let Some(accepted_by) = &mut p.accepted_by {
+                    accepted_by.insert(from.to_owned());
+                    self.advance_proposal(now);
                 }
             }
-            PeerMessage::ContentRequest(name, at) => {
-                let Some(content) = self.contents.iter().find(|c| c.0 == name).map(|c| &c.1) else { return };
-                // From there to the end of its row of parts, at least one of them.
-                let row = PARTS - (at as usize / CHUNK_BYTES) % PARTS;
-                let parts = content.get(at as usize..).unwrap_or_default().chunks(CHUNK_BYTES).take(row);
-                let mut at = at;
-                for part in parts {
-                    let said =
-                        PeerMessage::ContentChunk(name, at, content.len() as u32, part.to_vec()).encode();
-                    self.effects.push_back(Effect::Send(from.to_owned(), said));
-                    at += part.len() as u32;
+            PeerMessage::ContentRequest(digest, offset) => {
+                let Some(content) = self.contents.iter().find(|c| c.0 == digest).map(|c| &c.1) else {
+                    return;
+                };
+                // The chunks from there to the end of their group of CHUNKS_PER_REQUEST, at least one.
+                let group_rest = CHUNKS_PER_REQUEST - (offset as usize / CHUNK_BYTES) % CHUNKS_PER_REQUEST;
+                let requested = content.get(offset as usize..).unwrap_or_default();
+                let mut offset = offset;
+                for chunk in requested.chunks(CHUNK_BYTES).take(group_rest) {
+                    let reply =
+                        PeerMessage::ContentChunk(digest, offset, content.len() as u32, chunk.to_vec());
+                    self.effects.push_back(Effect::Send(from.to_owned(), reply.encode()));
+                    offset += chunk.len() as u32;
                 }
             }
-            PeerMessage::ContentChunk(name, at, of, part) => self.part(now, name, at, of, &part),
-            PeerMessage::EngineClaim(claim) => self.lists.heard(now, claim),
+            PeerMessage::ContentChunk(digest, offset, size, chunk) => {
+                self.receive_chunk(now, digest, offset, size, &chunk)
+            }
+            PeerMessage::EngineClaim(claim) => self.claims.receive(now, claim),
         }
     }
 
-    fn part(&mut self, now: Micros, name: Digest32, at: u32, of: u32, part: &[u8]) {
-        let Some(fetch) = self.fetches.get_mut(&name).filter(|f| f.length == of) else { return };
-        let place = at as usize / CHUNK_BYTES;
-        let fits =
-            at as usize % CHUNK_BYTES == 0 && part.len() == CHUNK_BYTES.min((of - at.min(of)) as usize);
-        let Some(slot) = fetch.parts.get_mut(place).filter(|slot| fits && slot.is_none()) else { return };
-        *slot = Some(part.to_vec());
-        fetch.asks = 0;
-        if fetch.parts.iter().all(Option::is_some) {
-            let Some(fetch) = self.fetches.remove(&name) else { return };
-            let content = fetch.parts.into_iter().flatten().flatten().collect::<Vec<u8>>();
-            if wire::digest(&content) == name {
+    fn receive_chunk(&mut self, now: Micros, digest: Digest32, offset: u32, size: u32, chunk: &[u8]) {
+        let Some(fetch) = self.fetches.get_mut(&digest).filter(|f| f.length == size) else { return };
+        let index = offset as usize / CHUNK_BYTES;
+        let fits = offset as usize % CHUNK_BYTES == 0
+            && chunk.len() == CHUNK_BYTES.min((size - offset.min(size)) as usize);
+        let Some(slot) = fetch.chunks.get_mut(index).filter(|slot| fits && slot.is_none()) else { return };
+        *slot = Some(chunk.to_vec());
+        fetch.retries = 0;
+        if fetch.chunks.iter().all(Option::is_some) {
+            let Some(fetch) = self.fetches.remove(&digest) else { return };
+            let content = fetch.chunks.into_iter().flatten().flatten().collect::<Vec<u8>>();
+            if wire::digest(&content) == digest {
                 self.store(&content);
                 fetch.waiting.into_iter().for_each(|(from, bytes)| self.receive(now, &from, &bytes));
             }
-        } else if (place + 1) % PARTS == 0 {
-            // The last of those that were asked for: what is missing before it has been lost, or comes yet.
-            self.want(now, name);
+        } else if (index + 1) % CHUNKS_PER_REQUEST == 0 {
+            // The last chunk of the request has come: ask from the first missing one on, lost or delayed.
+            self.request_chunks(now, digest);
         }
     }
 
-    fn want(&mut self, now: Micros, name: Digest32) {
-        let Some(fetch) = self.fetches.get_mut(&name) else { return };
-        fetch.asked = now;
-        let missing = fetch.parts.iter().position(Option::is_none).unwrap_or(0);
-        let said = PeerMessage::ContentRequest(name, (missing * CHUNK_BYTES) as u32).encode();
-        self.effects.push_back(Effect::Send(fetch.from.clone(), said));
+    fn request_chunks(&mut self, now: Micros, digest: Digest32) {
+        let Some(fetch) = self.fetches.get_mut(&digest) else { return };
+        fetch.requested_at = now;
+        let missing = fetch.chunks.iter().position(Option::is_none).unwrap_or(0);
+        let request = PeerMessage::ContentRequest(digest, (missing * CHUNK_BYTES) as u32);
+        self.effects.push_back(Effect::Send(fetch.from.clone(), request.encode()));
     }
 
     fn store(&mut self, content: &[u8]) {
-        let name = wire::digest(content);
-        if self.contents.iter().any(|c| c.0 == name) {
+        let digest = wire::digest(content);
+        if self.contents.iter().any(|c| c.0 == digest) {
             return;
         }
-        self.contents.push_back((name, content.to_vec()));
-        if self.contents.len() > MAX_VERSIONS + PARTS {
+        self.contents.push_back((digest, content.to_vec()));
+        if self.contents.len() > MAX_STORED_CONTENTS {
             self.contents.pop_front();
         }
     }
 
-    /// The number of a gateway: its place among the voters, or one that only this process knows it by.
-    fn number(&mut self, name: &str) -> Option<u16> {
-        if let Some(place) = self.terms.voters.iter().position(|v| v == name) {
-            return Some(place as u16);
+    /// The number of a gateway: its index among the voters, or one that is valid in this process only.
+    fn number_of(&mut self, name: &str) -> Option<u16> {
+        if let Some(index) = self.terms.voters.iter().position(|v| v == name) {
+            return Some(index as u16);
         }
-        if let Some(&number) = self.others.get(name) {
+        if let Some(&number) = self.non_voters.get(name) {
             return Some(number);
         }
-        let next = (self.terms.voters.len() + self.others.len()) as u16;
-        (self.others.len() < OTHERS).then(|| {
-            self.others.insert(name.to_owned(), next);
+        let next = (self.terms.voters.len() + self.non_voters.len()) as u16;
+        (self.non_voters.len() < MAX_NON_VOTERS).then(|| {
+            self.non_voters.insert(name.to_owned(), next);
             next
         })
     }
 
-    /// Proposes a content as the version after `after`, or after the newest.
+    /// Proposes a content as the version after the one numbered `after`, or after the newest.
     ///
     /// # Errors
-    /// Why it is not begun.
+    /// The reason why the proposal is not started.
     pub fn propose(&mut self, now: Micros, content: &[u8], after: Option<u64>) -> Result<(), ProposeError> {
         let newest = self.voter.history().newest().0;
         if !self.voter.votes() {
@@ -481,45 +515,53 @@
         if content.len() > MAX_CONTENT_BYTES {
             return Err(ProposeError::Unfit(format!("it has over {MAX_CONTENT_BYTES} octets")));
         }
-        let asked = self.fit(content).map_err(ProposeError::Unfit)?;
+        let needs_quorum = self.fit(content).map_err(ProposeError::Unfit)?;
         self.store(content);
-        let (number, until) = (newest + 1, now + PATIENCE);
+        let (number, deadline) = (newest + 1, now + PROPOSAL_TIMEOUT_MICROS);
         let content = content.to_vec();
-        let fit = asked.then(|| BTreeSet::from([self.terms.name.clone()]));
-        self.proposal = Some(Proposal { content, number, fit, again: now, until, unfit: BTreeMap::new() });
+        let accepted_by = needs_quorum.then(|| BTreeSet::from([self.terms.name.clone()]));
+        self.proposal = Some(Proposal {
+            content,
+            number,
+            accepted_by,
+            retry_at: now,
+            deadline,
+            rejected_by: BTreeMap::new(),
+        });
         self.wake(now);
         Ok(())
     }
 
-    /// Has a proposal voted on once a quorum finds it fit; it is asked about until then.
-    fn vote(&mut self, now: Micros) {
+    /// Starts the vote on the proposal if a quorum accepts it or none has to; asks the other voters
+    /// otherwise.
+    fn advance_proposal(&mut self, now: Micros) {
         let quorum = self.terms.voter().quorum();
         let (number, hash) = self.voter.history().newest();
-        // What follows another version than the one that it was found fit to follow is not proposed.
+        // A proposal that would follow another version than the one it was checked against is not voted on.
         let Some(p) = self.proposal.as_mut().filter(|p| p.number == number + 1) else { return };
-        match &p.fit {
-            Some(fit) if fit.len() < quorum => {
-                let said = PeerMessage::FitnessRequest(
+        match &p.accepted_by {
+            Some(accepted_by) if accepted_by.len() < quorum => {
+                let reply = PeerMessage::FitnessRequest(
                     self.terms.fingerprint,
                     Version::after(number, hash, &p.content),
                 )
                 .encode();
-                let ask = self.terms.voters.iter().filter(|v| !fit.contains(*v));
-                let asked: Vec<Effect> = ask.map(|v| Effect::Send(v.clone(), said.clone())).collect();
-                if p.again <= now {
-                    self.effects.extend(asked);
+                let missing = self.terms.voters.iter().filter(|v| !accepted_by.contains(*v));
+                let requests: Vec<Effect> = missing.map(|v| Effect::Send(v.clone(), reply.clone())).collect();
+                if p.retry_at <= now {
+                    self.effects.extend(requests);
                 }
             }
             _ => {
-                p.fit = None;
+                p.accepted_by = None;
                 let content = p.content.clone();
                 self.voter.propose(&content);
             }
         }
     }
 
-    /// A version is committed: what that means for the proposal.
-    fn ended(&mut self, version: &Version) {
+    /// Ends the proposal if the committed version has its number.
+    fn end_proposal(&mut self, version: &Version) {
         let Some(p) = self.proposal.take_if(|p| p.number <= version.number) else { return };
         let own = p.number == version.number && p.content == version.content;
         let outcome =
@@ -527,59 +569,64 @@
         self.effects.push_back(Effect::ProposalEnded(outcome));
     }
 
-    /// Does what is due.
+    /// Handles the timers that are due.
     pub fn wake(&mut self, now: Micros) {
-        self.lists.wake(now);
-        if self.renew <= now {
-            let settled = self.usable_range(now).is_some_and(|(low, top)| low == top);
-            let times = if settled { RENEWALS } else { ASKED };
-            self.renew = now + self.terms.lease / times;
+        self.claims.wake(now);
+        if self.renew_at <= now {
+            let single_version = self.usable_range(now).is_some_and(|(low, top)| low == top);
+            let requests = if single_version { RENEWALS_PER_LEASE } else { REQUESTS_PER_LEASE };
+            self.renew_at = now + self.terms.lease / requests;
             self.voter.renew(now);
         }
-        let late: Vec<Digest32> =
-            self.fetches.iter().filter(|(_, f)| f.asked + ASK_AGAIN <= now).map(|f| *f.0).collect();
-        for name in late {
-            if let Some(fetch) = self.fetches.get_mut(&name) {
-                fetch.asks += 1;
-                if fetch.asks > ASKS {
-                    self.fetches.remove(&name);
+        let overdue: Vec<Digest32> = self
+            .fetches
+            .iter()
+            .filter(|(_, f)| f.requested_at + FETCH_RETRY_MICROS <= now)
+            .map(|f| *f.0)
+            .collect();
+        for digest in overdue {
+            if let Some(fetch) = self.fetches.get_mut(&digest) {
+                fetch.retries += 1;
+                if fetch.retries > MAX_FETCH_RETRIES {
+                    self.fetches.remove(&digest);
                 } else {
-                    // Whoever named it first may be gone; the others who did have it too.
+                    // The gateway asked may be down; the others whose messages wait for the content have it
+                    // too.
                     let others = &fetch.waiting;
-                    fetch.from.clone_from(&others[fetch.asks as usize % others.len()].0);
-                    self.want(now, name);
+                    fetch.from.clone_from(&others[fetch.retries as usize % others.len()].0);
+                    self.request_chunks(now, digest);
                 }
             }
         }
         let Some(p) = &mut self.proposal else { return };
-        if p.until <= now {
+        if p.deadline <= now {
             self.proposal = None;
             return self.effects.push_back(Effect::ProposalEnded(Outcome::Unknown));
         }
-        if p.again <= now {
-            // Two that propose at once must not do so in step.
-            self.dice ^= self.dice << 13;
-            self.dice ^= self.dice >> 7;
-            self.dice ^= self.dice << 17;
-            let again = now + TRY_AGAIN + self.dice % TRY_AGAIN;
-            self.vote(now);
+        if p.retry_at <= now {
+            // Random delays, so that two concurrent proposers do not block each other again and again.
+            self.rng_state ^= self.rng_state << 13;
+            self.rng_state ^= self.rng_state >> 7;
+            self.rng_state ^= self.rng_state << 17;
+            let retry_at = now + PROPOSAL_RETRY_MICROS + self.rng_state % PROPOSAL_RETRY_MICROS;
+            self.advance_proposal(now);
             if let Some(p) = &mut self.proposal {
-                p.again = again;
+                p.retry_at = retry_at;
             }
         }
     }
 
-    /// The own list has been read; see [`EngineClaims::listed`].
+    /// Takes the engine list that this gateway has read; see [`EngineClaims::set_own_list`].
     pub fn set_engine_list(&mut self, now: Micros, list: BTreeMap<String, (u64, EngineState)>) {
-        self.lists.listed(now, list);
+        self.claims.set_own_list(now, list);
     }
 
     /// See [`EngineClaims::claimed_states`].
     pub fn claimed_states(&self) -> BTreeMap<String, (u64, EngineState)> {
-        self.lists.claimed_states()
+        self.claims.claimed_states()
     }
 
-    /// Gives the lease back, before this process ends.
+    /// Releases the lease before this process ends.
     pub fn release_lease(&mut self) {
         self.voter.release_lease();
     }
@@ -590,7 +637,7 @@
     use super::*;
 
     #[test]
-    fn a_drain_is_told_while_a_vote_waits_for_its_disk() {
+    fn drain_is_announced_while_a_vote_is_being_written() {
         let name = "g0".to_owned();
         let voters = vec![name.clone(), "g1".into(), "g2".into()];
         let terms = MemberTerms {
@@ -606,11 +653,11 @@
         let list =
             |state| BTreeMap::from([("e1".to_owned(), (0, state)), ("e2".to_owned(), (0, EngineState::Up))]);
         member.set_engine_list(1, list(EngineState::Up));
-        // The first thing to be done is to write, and nothing else is asked for until that is done.
+        // The first effect is a write, and no other effect is taken until it is complete.
         assert!(matches!(member.next_effect(1), Some(Effect::Persist(_))));
         member.set_engine_list(2, list(EngineState::Draining));
-        let told =
+        let announced =
             std::iter::from_fn(|| member.next_list_effect()).any(|e| matches!(e, ListEffect::Announce(_)));
-        assert!(told);
+        assert!(announced);
     }
 }
--- a/crates/agreement/src/search.rs
+++ b/crates/agreement/src/search.rs
@@ -110,7 +110,7 @@
         };
         let second = Version::after(1, first.hash, b"second");
         for &by in &case.informed {
-            world.voters[by as usize].message(0, by, &Message::Committed(second.clone()));
+            world.voters[by as usize].receive(0, by, &Message::Committed(second.clone()));
             while world.voters[by as usize].next_effect().is_some() {}
             let others = (0..case.gateways).filter(|g| !case.informed.contains(g));
             world.sent.extend(others.map(|to| (by, to, Message::Committed(second.clone()))));
@@ -139,7 +139,7 @@
         let at = |g: u16| clock(case, g, self.now);
         let touched = match act {
             Action::Deliver(from, to, message) => {
-                world.voters[*to as usize].message(at(*to), *from, message);
+                world.voters[*to as usize].receive(at(*to), *from, message);
                 *to
             }
             Action::AdvanceTime => {
@@ -161,7 +161,7 @@
             Action::Restart(of) => {
                 world.restarts -= 1;
                 world.lives[*of as usize] += 1_000;
-                let kept = world.voters[*of as usize].kept().clone();
+                let kept = world.voters[*of as usize].state().clone();
                 world.voters[*of as usize] =
                     Voter::new(terms(case, *of), kept, world.lives[*of as usize], at(*of), false);
                 return world;
@@ -176,7 +176,7 @@
         let at = clock(case, of, self.now);
         while let Some(effect) = self.voters[of as usize].next_effect() {
             match effect {
-                Effect::Send(to, message) if to == of => self.voters[of as usize].message(at, of, &message),
+                Effect::Send(to, message) if to == of => self.voters[of as usize].receive(at, of, &message),
                 Effect::Send(to, message) => {
                     self.sent.insert((of, to, message));
                 }
--- a/crates/agreement/src/wire.rs
+++ b/crates/agreement/src/wire.rs
@@ -1,8 +1,8 @@
-//! What gateways say to each other, in octets, and what one keeps on disk. Contents are named by their SHA-256 and travel in
-//! parts where they are long, so that each saying fits a datagram of membership.
+//! Encoding of the messages between gateways and of the vote file. Contents are identified by their SHA-256.
+//! Long ones travel in chunks, so that each message fits into one datagram of membership.
 //!
-//! Integers are big-endian. A saying: `format 1 | kind 1 | fields`. What is kept: `magic 8 | terms 8 | writes 8 | fields |
-//! SHA-256 of all that 32`.
+//! Integers are big-endian. A message: `format 1 | kind 1 | fields`. The vote file: `magic 8 | terms 8 |
+//! writes 8 | fields | SHA-256 of all before it 32` (sizes in bytes).
 
 use std::fmt;
 
@@ -12,52 +12,55 @@
 use crate::lists::{Claim, EngineState};
 use crate::voter::{Ballot, DurableState, Message};
 
-/// Octets of a content at most.
+/// Maximum size of a content.
 pub const MAX_CONTENT_BYTES: usize = 65_536;
-/// Octets of a content that travel within a saying; a longer one is fetched.
+/// Maximum size of a content that is sent within a message; a longer one is fetched in chunks.
 pub const MAX_INLINE_BYTES: usize = 512;
-/// Octets of the name of a gateway or an engine that is told of.
+/// Maximum length of the name of a gateway or an engine in a claim.
 pub const MAX_NAME_BYTES: usize = 256;
-/// Octets of one part.
+/// Size of all chunks of a content but the last.
 pub const CHUNK_BYTES: usize = 896;
+/// Maximum length of the reason why a version is rejected.
+pub const MAX_REASON_BYTES: usize = 300;
 const FORMAT_VERSION: u8 = 1;
 const MAGIC: &[u8; 8] = b"vwagree2";
 
-/// The name of a content.
+/// The SHA-256 that identifies a content.
 pub type Digest32 = [u8; 32];
 
-/// The name of a content.
+/// The digest that identifies a content.
 pub fn digest(content: &[u8]) -> Digest32 {
     Sha256::digest(content).into()
 }
 
-/// What one gateway says to another.
+/// A message from one gateway to another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PeerMessage {
-    /// A message of the protocol, from one with the same terms: their mark, and how often its sender has kept something.
+    /// A message of the protocol, with the fingerprint of the sender's terms and the number of writes of its
+    /// vote file. Gateways with other terms ignore it.
     Protocol(u64, u64, Message),
-    /// You had kept something so often before.
+    /// The recipient has once reported this number of writes, more than in its last message.
     KnownWrites(u64),
-    /// The content of the version with this number does not pass the check here.
+    /// The sender rejects the content of the version with this number, for this reason.
     Unfit(u64, String),
-    /// From one with the same terms (their mark): would this be fit to be the next version?
+    /// Asks whether this would be acceptable as the next version, with the fingerprint of the sender's terms.
     FitnessRequest(u64, Version),
-    /// The version with this number and hash would be fit here.
+    /// The version with this number and hash would be acceptable to the sender.
     Fit(u64, u64),
-    /// Please send that content from this octet on.
+    /// Asks for chunks of a content from this byte offset on.
     ContentRequest(Digest32, u32),
-    /// A part of a content: from which octet, of how many.
+    /// A chunk of a content: digest, byte offset, total size, bytes.
     ContentChunk(Digest32, u32, u32, Vec<u8>),
-    /// A drain or a removal, by somebody's own list.
+    /// A drain or a removal of an engine in the list of some gateway.
     EngineClaim(Claim),
 }
 
-/// Why a saying is not taken, or not yet.
+/// Why a message cannot be decoded, or not yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum DecodeError {
-    /// It is cut off or does not fit.
+    /// It is truncated or does not follow the format.
     Malformed,
-    /// Its content has to be fetched first: its name and length.
+    /// Its content, with this digest and size, has to be fetched first.
     MissingContent(Digest32, u32),
 }
 
@@ -74,14 +77,14 @@
     }
 
     fn ballot(&mut self, ballot: Ballot) {
-        self.0.extend_from_slice(&ballot.turn.to_be_bytes());
-        self.0.extend_from_slice(&ballot.by.to_be_bytes());
+        self.0.extend_from_slice(&ballot.round.to_be_bytes());
+        self.0.extend_from_slice(&ballot.proposer.to_be_bytes());
     }
 
-    fn version(&mut self, v: &Version, whole: bool) {
+    fn version(&mut self, v: &Version, always_inline: bool) {
         self.number(v.number);
         self.number(v.hash);
-        let inline = whole || v.content.len() <= MAX_INLINE_BYTES;
+        let inline = always_inline || v.content.len() <= MAX_INLINE_BYTES;
         self.0.push(u8::from(!inline));
         if inline {
             self.bytes(&v.content);
@@ -117,9 +120,9 @@
         self.array().map(u64::from_be_bytes)
     }
 
-    fn bytes(&mut self, most: usize) -> Result<&'a [u8], DecodeError> {
+    fn bytes(&mut self, max: usize) -> Result<&'a [u8], DecodeError> {
         let n = self.u32()? as usize;
-        if n > most {
+        if n > max {
             return Err(DecodeError::Malformed);
         }
         self.take(n)
@@ -130,7 +133,7 @@
     }
 
     fn ballot(&mut self) -> Result<Ballot, DecodeError> {
-        Ok(Ballot { turn: self.u32()?, by: u16::from_be_bytes(self.array()?) })
+        Ok(Ballot { round: self.u32()?, proposer: u16::from_be_bytes(self.array()?) })
     }
 
     fn version(&mut self, find: &dyn Fn(&Digest32) -> Option<Vec<u8>>) -> Result<Version, DecodeError> {
@@ -138,18 +141,18 @@
         let content = if self.u8()? == 0 {
             self.bytes(MAX_CONTENT_BYTES)?.to_vec()
         } else {
-            let (name, length) = (self.array()?, self.u32()?);
+            let (digest, length) = (self.array()?, self.u32()?);
             if length as usize > MAX_CONTENT_BYTES {
                 return Err(DecodeError::Malformed);
             }
-            find(&name).ok_or(DecodeError::MissingContent(name, length))?
+            find(&digest).ok_or(DecodeError::MissingContent(digest, length))?
         };
         Ok(Version { number, hash, content })
     }
 }
 
 impl PeerMessage {
-    /// Writes it.
+    /// Encodes the message. A reason over [`MAX_REASON_BYTES`] is truncated.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = vec![FORMAT_VERSION];
         let out = &mut Writer(&mut bytes);
@@ -204,7 +207,7 @@
             PeerMessage::Unfit(number, why) => {
                 out.0.push(20);
                 out.number(*number);
-                let mut end = why.len().min(300);
+                let mut end = why.len().min(MAX_REASON_BYTES);
                 while !why.is_char_boundary(end) {
                     end -= 1;
                 }
@@ -220,17 +223,17 @@
                 out.number(*number);
                 out.number(*hash);
             }
-            PeerMessage::ContentRequest(name, from) => {
+            PeerMessage::ContentRequest(digest, offset) => {
                 out.0.push(21);
-                out.0.extend_from_slice(name);
-                out.0.extend_from_slice(&from.to_be_bytes());
+                out.0.extend_from_slice(digest);
+                out.0.extend_from_slice(&offset.to_be_bytes());
             }
-            PeerMessage::ContentChunk(name, from, of, part) => {
+            PeerMessage::ContentChunk(digest, offset, size, chunk) => {
                 out.0.push(22);
-                out.0.extend_from_slice(name);
-                out.0.extend_from_slice(&from.to_be_bytes());
-                out.0.extend_from_slice(&of.to_be_bytes());
-                out.bytes(part);
+                out.0.extend_from_slice(digest);
+                out.0.extend_from_slice(&offset.to_be_bytes());
+                out.0.extend_from_slice(&size.to_be_bytes());
+                out.bytes(chunk);
             }
             PeerMessage::EngineClaim(claim) => {
                 out.0.push(23);
@@ -244,36 +247,41 @@
         bytes
     }
 
-    /// Reads one; contents that do not come with it are looked for by `find`.
+    /// Decodes a message. A content that is not within it is looked up with `find`.
     ///
     /// # Errors
-    /// If it cannot be read, or what has to be fetched before it can.
+    /// If the message is malformed, or a content has to be fetched before it can be decoded.
     pub fn decode(
         bytes: &[u8],
         find: &dyn Fn(&Digest32) -> Option<Vec<u8>>,
     ) -> Result<PeerMessage, DecodeError> {
-        let c = &mut Reader(bytes);
-        if c.u8()? != FORMAT_VERSION {
+        let reader = &mut Reader(bytes);
+        if reader.u8()? != FORMAT_VERSION {
             return Err(DecodeError::Malformed);
         }
-        let kind = c.u8()?;
-        let said = match kind {
+        let kind = reader.u8()?;
+        let message = match kind {
             20 => {
-                let (number, why) = (c.u64()?, c.bytes(300)?);
+                let (number, why) = (reader.u64()?, reader.bytes(MAX_REASON_BYTES)?);
                 PeerMessage::Unfit(
                     number,
                     String::from_utf8(why.to_vec()).map_err(|_| DecodeError::Malformed)?,
                 )
             }
-            24 => PeerMessage::KnownWrites(c.u64()?),
-            25 => PeerMessage::FitnessRequest(c.u64()?, c.version(find)?),
-            26 => PeerMessage::Fit(c.u64()?, c.u64()?),
-            21 => PeerMessage::ContentRequest(c.array()?, c.u32()?),
-            22 => PeerMessage::ContentChunk(c.array()?, c.u32()?, c.u32()?, c.bytes(CHUNK_BYTES)?.to_vec()),
+            24 => PeerMessage::KnownWrites(reader.u64()?),
+            25 => PeerMessage::FitnessRequest(reader.u64()?, reader.version(find)?),
+            26 => PeerMessage::Fit(reader.u64()?, reader.u64()?),
+            21 => PeerMessage::ContentRequest(reader.array()?, reader.u32()?),
+            22 => PeerMessage::ContentChunk(
+                reader.array()?,
+                reader.u32()?,
+                reader.u32()?,
+                reader.bytes(CHUNK_BYTES)?.to_vec(),
+            ),
             23 => {
-                let (source, sequence, engine) = (c.name()?, c.u64()?, c.name()?);
-                let came_up = c.u64()?;
-                let state = match c.u8()? {
+                let (source, sequence, engine) = (reader.name()?, reader.u64()?, reader.name()?);
+                let came_up = reader.u64()?;
+                let state = match reader.u8()? {
                     0 => EngineState::Up,
                     1 => EngineState::Draining,
                     2 => EngineState::Removed,
@@ -282,41 +290,44 @@
                 PeerMessage::EngineClaim(Claim { source, sequence, engine, came_up, state })
             }
             _ => {
-                let (terms, writes) = (c.u64()?, c.u64()?);
+                let (terms, writes) = (reader.u64()?, reader.u64()?);
                 let message = match kind {
-                    1 => Message::Prepare(c.u64()?, c.ballot()?),
+                    1 => Message::Prepare(reader.u64()?, reader.ballot()?),
                     2 => {
-                        let (number, ballot) = (c.u64()?, c.ballot()?);
-                        let accepted =
-                            if c.u8()? == 1 { Some((c.ballot()?, c.version(find)?)) } else { None };
+                        let (number, ballot) = (reader.u64()?, reader.ballot()?);
+                        let accepted = if reader.u8()? == 1 {
+                            Some((reader.ballot()?, reader.version(find)?))
+                        } else {
+                            None
+                        };
                         Message::Promise(number, ballot, accepted)
                     }
-                    3 => Message::Accept(c.ballot()?, c.version(find)?),
-                    4 => Message::Accepted(c.u64()?, c.ballot()?),
-                    5 => Message::Committed(c.version(find)?),
-                    6 => Message::MissingFrom(c.u64()?),
-                    7 => Message::LeaseRequest(c.u64()?, c.u64()?, c.u64()?),
-                    8 => Message::LeaseGrant(c.u64()?, c.u64()?, c.u64()?, c.u64()?),
-                    9 => Message::LeaseRelease(c.u64()?),
-                    10 => Message::HistoryBase(c.u64()?, c.u64()?),
+                    3 => Message::Accept(reader.ballot()?, reader.version(find)?),
+                    4 => Message::Accepted(reader.u64()?, reader.ballot()?),
+                    5 => Message::Committed(reader.version(find)?),
+                    6 => Message::MissingFrom(reader.u64()?),
+                    7 => Message::LeaseRequest(reader.u64()?, reader.u64()?, reader.u64()?),
+                    8 => Message::LeaseGrant(reader.u64()?, reader.u64()?, reader.u64()?, reader.u64()?),
+                    9 => Message::LeaseRelease(reader.u64()?),
+                    10 => Message::HistoryBase(reader.u64()?, reader.u64()?),
                     _ => return Err(DecodeError::Malformed),
                 };
                 PeerMessage::Protocol(terms, writes, message)
             }
         };
-        // What a newer format adds at its end would change the meaning: such a one has another number.
-        c.0.is_empty().then_some(said).ok_or(DecodeError::Malformed)
+        // Trailing bytes are an error: a format with further fields has another format number.
+        reader.0.is_empty().then_some(message).ok_or(DecodeError::Malformed)
     }
 }
 
-/// Why what was kept cannot be used.
+/// Why a vote file cannot be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VoteFileError {
-    /// It is no such file.
+    /// It does not have the format of a vote file.
     NotVoteFile,
-    /// It was kept under other terms: voters, lease or floor.
+    /// It was written under other terms: voters, lease, drift or floor.
     TermsMismatch,
-    /// It is cut off, or a bit of it has turned.
+    /// It is truncated, or its checksum does not match.
     Corrupt,
 }
 
@@ -330,62 +341,63 @@
     }
 }
 
-/// What is kept, in octets; `writes` counts them, so that an old copy can be told.
-pub fn encode_vote_file(kept: &DurableState, terms: u64, writes: u64) -> Vec<u8> {
+/// Encodes a vote file. `writes` counts the writes, so that an old copy of the file is noticed.
+pub fn encode_vote_file(state: &DurableState, terms: u64, writes: u64) -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     let out = &mut Writer(&mut bytes);
     out.number(terms);
     out.number(writes);
-    let (base, hash) = kept.history.base();
+    let (base, hash) = state.history.base();
     out.number(base);
     out.number(hash);
-    out.number(kept.abstain_through);
-    out.number(kept.history.versions().len() as u64);
-    kept.history.versions().iter().for_each(|v| out.version(v, true));
-    out.ballot(kept.promised);
-    out.0.push(u8::from(kept.accepted.is_some()));
-    if let Some((ballot, version)) = &kept.accepted {
+    out.number(state.abstain_through);
+    out.number(state.history.versions().len() as u64);
+    state.history.versions().iter().for_each(|v| out.version(v, true));
+    out.ballot(state.promised);
+    out.0.push(u8::from(state.accepted.is_some()));
+    if let Some((ballot, version)) = &state.accepted {
         out.ballot(*ballot);
         out.version(version, true);
     }
-    let sum = digest(&bytes);
-    bytes.extend_from_slice(&sum);
+    let checksum = digest(&bytes);
+    bytes.extend_from_slice(&checksum);
     bytes
 }
 
-/// Reads what was kept, and how often it had been written.
+/// Decodes a vote file: the state, and the number of writes.
 ///
 /// # Errors
-/// Why it cannot be used.
+/// If the file cannot be used.
 pub fn decode_vote_file(bytes: &[u8], terms: u64) -> Result<(DurableState, u64), VoteFileError> {
-    let (body, sum) =
+    let (body, checksum) =
         bytes.len().checked_sub(32).map(|at| bytes.split_at(at)).ok_or(VoteFileError::NotVoteFile)?;
     if !body.starts_with(MAGIC) {
         return Err(VoteFileError::NotVoteFile);
     }
-    if digest(body) != sum {
+    if digest(body) != checksum {
         return Err(VoteFileError::Corrupt);
     }
-    let c = &mut Reader(&body[MAGIC.len()..]);
-    if c.u64().map_err(|_| VoteFileError::Corrupt)? != terms {
+    let reader = &mut Reader(&body[MAGIC.len()..]);
+    if reader.u64().map_err(|_| VoteFileError::Corrupt)? != terms {
         return Err(VoteFileError::TermsMismatch);
     }
-    let mut read = || -> Result<(DurableState, u64), DecodeError> {
-        let none = |_: &Digest32| None;
-        let writes = c.u64()?;
-        let history = History::starting_after(c.u64()?, c.u64()?);
-        let mut kept = DurableState { history, abstain_through: c.u64()?, ..DurableState::default() };
-        for _ in 0..c.u64()? {
-            let version = c.version(&none)?;
-            if !kept.history.add(&version) {
+    let mut read_fields = || -> Result<(DurableState, u64), DecodeError> {
+        let no_content = |_: &Digest32| None;
+        let writes = reader.u64()?;
+        let history = History::starting_after(reader.u64()?, reader.u64()?);
+        let mut state = DurableState { history, abstain_through: reader.u64()?, ..DurableState::default() };
+        for _ in 0..reader.u64()? {
+            let version = reader.version(&no_content)?;
+            if !state.history.add(&version) {
                 return Err(DecodeError::Malformed);
             }
         }
-        kept.promised = c.ballot()?;
-        kept.accepted = if c.u8()? == 1 { Some((c.ballot()?, c.version(&none)?)) } else { None };
-        Ok((kept, writes))
+        state.promised = reader.ballot()?;
+        state.accepted =
+            if reader.u8()? == 1 { Some((reader.ballot()?, reader.version(&no_content)?)) } else { None };
+        Ok((state, writes))
     };
-    read().map_err(|_| VoteFileError::Corrupt)
+    read_fields().map_err(|_| VoteFileError::Corrupt)
 }
 
 #[cfg(test)]
@@ -397,8 +409,8 @@
     }
 
     #[test]
-    fn all_sayings_come_back_and_no_cut_or_longer_one_does() {
-        let ballot = Ballot { turn: 3, by: 2 };
+    fn messages_round_trip_and_truncated_or_extended_ones_are_malformed() {
+        let ballot = Ballot { round: 3, proposer: 2 };
         let short = Version::after(4, 9, b"short");
         let messages = [
             Message::Prepare(5, ballot),
@@ -430,45 +442,49 @@
         all.push(PeerMessage::ContentRequest([3; 32], 896));
         all.push(PeerMessage::ContentChunk([3; 32], 896, 2000, vec![1; CHUNK_BYTES]));
         let content = long(4).content;
-        let find = |name: &Digest32| (*name == digest(&content)).then(|| content.clone());
-        for said in all {
-            let bytes = said.encode();
-            assert!(bytes.len() <= 1_000, "{} octets", bytes.len());
-            assert_eq!(PeerMessage::decode(&bytes, &find), Ok(said.clone()));
-            for cut in 0..bytes.len() {
+        let find = |wanted: &Digest32| (*wanted == digest(&content)).then(|| content.clone());
+        for message in all {
+            let bytes = message.encode();
+            assert!(bytes.len() <= 1_000, "{} bytes", bytes.len());
+            assert_eq!(PeerMessage::decode(&bytes, &find), Ok(message.clone()));
+            for length in 0..bytes.len() {
                 assert_eq!(
-                    PeerMessage::decode(&bytes[..cut], &find),
+                    PeerMessage::decode(&bytes[..length], &find),
                     Err(DecodeError::Malformed),
-                    "{said:?} cut at {cut}"
+                    "{message:?} truncated at {length}"
                 );
             }
-            let longer = [bytes.as_slice(), &[0]].concat();
-            assert_eq!(PeerMessage::decode(&longer, &find), Err(DecodeError::Malformed));
+            let with_trailing_byte = [bytes.as_slice(), &[0]].concat();
+            assert_eq!(PeerMessage::decode(&with_trailing_byte, &find), Err(DecodeError::Malformed));
         }
-        let lacks = PeerMessage::Protocol(77, 3, Message::Committed(long(4))).encode();
-        let wanted = Err(DecodeError::MissingContent(digest(&content), content.len() as u32));
-        assert_eq!(PeerMessage::decode(&lacks, &|_| None), wanted);
+        let without_content = PeerMessage::Protocol(77, 3, Message::Committed(long(4))).encode();
+        let expected = Err(DecodeError::MissingContent(digest(&content), content.len() as u32));
+        assert_eq!(PeerMessage::decode(&without_content, &|_| None), expected);
     }
 
     #[test]
-    fn what_was_kept_comes_back_and_each_spoilt_bit_is_noticed() {
+    fn vote_file_round_trips_and_each_flipped_bit_is_detected() {
         let mut history = History::starting_after(3, 11);
         let first = Version::after(3, 11, b"first");
         assert!(history.add(&first));
-        let accepted = Some((Ballot { turn: 1, by: 0 }, Version::after(4, first.hash, b"second")));
-        let kept_before =
-            DurableState { history, promised: Ballot { turn: 2, by: 1 }, accepted, abstain_through: 6 };
-        let bytes = encode_vote_file(&kept_before, 5, 9);
-        assert_eq!(decode_vote_file(&bytes, 5), Ok((kept_before, 9)));
+        let accepted = Some((Ballot { round: 1, proposer: 0 }, Version::after(4, first.hash, b"second")));
+        let state = DurableState {
+            history,
+            promised: Ballot { round: 2, proposer: 1 },
+            accepted,
+            abstain_through: 6,
+        };
+        let bytes = encode_vote_file(&state, 5, 9);
+        assert_eq!(decode_vote_file(&bytes, 5), Ok((state, 9)));
         assert_eq!(decode_vote_file(&bytes, 6), Err(VoteFileError::TermsMismatch));
         for at in 0..bytes.len() {
-            let mut turned = bytes.clone();
-            turned[at] ^= 4;
-            assert!(decode_vote_file(&turned, 5).is_err(), "a bit turned at {at}");
-            assert!(decode_vote_file(&bytes[..at], 5).is_err(), "cut off at {at}");
+            let mut flipped = bytes.clone();
+            flipped[at] ^= 4;
+            assert!(decode_vote_file(&flipped, 5).is_err(), "bit flipped at {at}");
+            assert!(decode_vote_file(&bytes[..at], 5).is_err(), "truncated at {at}");
         }
         assert_eq!(
-            decode_vote_file(b"something else that is long enough to hold a sum", 5),
+            decode_vote_file(b"something else that is long enough to hold a checksum", 5),
             Err(VoteFileError::NotVoteFile)
         );
     }
--- a/crates/agreement/tests/search.rs
+++ b/crates/agreement/tests/search.rs
@@ -95,9 +95,9 @@
         leases(InjectedFault::LeaseFromReceipt),
         leases(InjectedFault::HalfIsQuorum),
         Case { time_steps: 1, ..restart(leases(InjectedFault::NoWaitAfterStart)) },
-        leases(InjectedFault::OthersNotTold),
-        Case { time_steps: 0, lease_requests: vec![2, 1, 0], ..leases(InjectedFault::NotNarrowed) },
-        Case { time_steps: 1, step_micros: 120, ..restart(votes(InjectedFault::VoteNotKept)) },
+        leases(InjectedFault::OtherGrantsNotReported),
+        Case { time_steps: 0, lease_requests: vec![2, 1, 0], ..leases(InjectedFault::RangeNotExtended) },
+        Case { time_steps: 1, step_micros: 120, ..restart(votes(InjectedFault::VoteNotPersisted)) },
     ];
     for case in cases {
         let outcome = search(&case, MOST);
