--- a/crates/gateway/src/agreement.rs
+++ b/crates/gateway/src/agreement.rs
@@ -50,6 +50,7 @@
     applied_at: Cell<u64>,
     /// Total time without a lease up to the start of the current span without one, and that start.
     time_without_lease: Cell<(u64, u64)>,
+    /// Wakes `run_timer` when the member has to act again.
     alarm: Alarm,
     /// Signalled when the member may have effects to run.
     effects_due: Event,
@@ -123,7 +124,7 @@
         let bound_ms = member_terms.voter().bound() / 1000;
         tracing::info!(newest = kept.0.history.newest().0, votes, bound_ms, "agreement");
         let now = host.now();
-        let agreed = Rc::new(SettingsAgreement {
+        let agreement = Rc::new(SettingsAgreement {
             member: RefCell::new(
                 Member::new(member_terms, kept, rand::random(), now, content_check).with_fitness(fitness),
             ),
@@ -141,13 +142,14 @@
             trouble: RefCell::new(trouble),
             engines_in_windows: RefCell::default(),
         });
-        *host.agreed.borrow_mut() = Some(agreed.clone());
-        agreed.refresh_rules(host);
-        host.spawn(agreed.clone().run_effects(host.clone()));
-        host.spawn(agreed.clone().run_timer(host.clone()));
-        Ok(agreed)
+        *host.agreed.borrow_mut() = Some(agreement.clone());
+        agreement.refresh_rules(host);
+        host.spawn(agreement.clone().run_effects(host.clone()));
+        host.spawn(agreement.clone().run_timer(host.clone()));
+        Ok(agreement)
     }
 
+    /// Lets the member act, then updates the rules, the effects and the alarm.
     fn with_member<T>(&self, host: &Rc<Host>, act: impl FnOnce(&mut Member, u64) -> T) -> T {
         let result = act(&mut self.member.borrow_mut(), host.now());
         self.refresh_rules(host);
@@ -164,8 +166,8 @@
             match effect {
                 None => break,
                 Some(ListEffect::Tell(claim)) => {
-                    let said = Said::Listed(claim).write();
-                    host.peers().iter().for_each(|p| p.say_some(host, &said, CLAIM_FANOUT));
+                    let message = Said::Listed(claim).write();
+                    host.peers().iter().for_each(|p| p.say_some(host, &message, CLAIM_FANOUT));
                 }
                 Some(ListEffect::Changed) => {
                     let claims = self.member.borrow().claimed();
@@ -188,13 +190,15 @@
     /// Takes the engine list that this gateway has read. Drains and removals in it are sent to the other
     /// gateways.
     pub fn set_local_list(&self, host: &Rc<Host>, list: &BTreeMap<String, EngineRecord>) {
-        let state = |listed| match listed {
+        let engine_state = |listed| match listed {
             Listed::Up => EngineState::Up,
             Listed::Draining => EngineState::Draining,
             Listed::Removed => EngineState::Removed,
         };
-        let list =
-            list.iter().map(|(name, r)| (name.clone(), (r.entry.came_up, state(r.entry.listed)))).collect();
+        let list = list
+            .iter()
+            .map(|(name, r)| (name.clone(), (r.entry.came_up, engine_state(r.entry.listed))))
+            .collect();
         self.with_member(host, |member, now| member.listed(now, list));
     }
 
@@ -264,14 +268,14 @@
     fn windows_of(&self, (low, top): (u64, u64)) -> Option<Vec<Vec<Grant>>> {
         let member = self.member.borrow();
         let history = member.voter().history();
-        let rules_at = |number: u64| match number {
+        let windows_at = |number: u64| match number {
             0 => Some(Vec::new()),
             _ => {
                 let version = history.get(number)?;
                 parse_content(&version.content, &self.names, &self.floor).ok().map(|r| r.windows().to_vec())
             }
         };
-        (low..=top).map(rules_at).collect()
+        (low..=top).map(windows_at).collect()
     }
 
     /// Proposes a version that calls a window off, unless the newest one does so already. The outcome shows
@@ -345,6 +349,7 @@
         }
     }
 
+    /// Wakes the member whenever it has to act again. Never returns.
     async fn run_timer(self: Rc<Self>, host: Rc<Host>) {
         loop {
             self.alarm.wait(&host.clock, || Some(self.member.borrow().next_wake())).await;
@@ -379,7 +384,7 @@
 fn parse_content(content: &[u8], names: &Names, floor: &Rules) -> Result<Rules, String> {
     let text = std::str::from_utf8(content).map_err(|_| "it is not UTF-8".to_owned())?;
     let rules = Rules::parse(text, names)
-        .map_err(|mistakes| mistakes.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
+        .map_err(|errors| errors.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))?;
     if !floor.is_within(&rules) {
         return Err("it does not allow all of (agreement (floor ...))".into());
     }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -90,6 +90,7 @@
     }
 }
 
+/// Reads the sections and builds the configuration; `None` if a required part is missing.
 fn build<'a>(
     checker: &mut Checker,
     section: &dyn Fn(&str) -> Option<&'a Form<'a>>,
@@ -235,9 +236,10 @@
             continue;
         };
         let fields = checker.fields(form, 1, &["source", "user", "tag", "first-word"]);
-        let mut list = |name: &str| fields.get(name).cloned().map(|f| checker.words(&f)).unwrap_or_default();
-        let (sources, users, tags) = (list("source"), list("user"), list("tag"));
-        let first_words = list("first-word").iter().map(|w| w.to_lowercase()).collect();
+        let mut words_of =
+            |name: &str| fields.get(name).cloned().map(|f| checker.words(&f)).unwrap_or_default();
+        let (sources, users, tags) = (words_of("source"), words_of("user"), words_of("tag"));
+        let first_words = words_of("first-word").iter().map(|w| w.to_lowercase()).collect();
         selection.selectors.push(Selector { class, sources, users, tags, first_words });
     }
     Some(Config {
--- a/crates/gateway/src/config/keys.rs
+++ b/crates/gateway/src/config/keys.rs
@@ -2,13 +2,16 @@
 
 use super::*;
 
+/// Minimum length of the secret of an operator's key or of a key for updates of the zone.
+pub(super) const MIN_SECRET_BYTES: usize = 16;
+
 /// Reads the keys of operators: `(key NAME "secret")`, each secret of sixteen bytes or more.
 ///
 /// # Errors
-/// What is wrong.
+/// What is wrong, with its position if the file is not made of S-expressions.
 pub fn read_operator_keys(text: &str) -> Result<Vec<(String, String)>, String> {
     let keys = named_secrets(text)?;
-    if keys.is_empty() || keys.iter().any(|k| k.1.len() < 16) {
+    if keys.is_empty() || keys.iter().any(|k| k.1.len() < MIN_SECRET_BYTES) {
         return Err("expected (key NAME \"secret\") with a secret of sixteen bytes or more".into());
     }
     Ok(keys)
--- a/crates/gateway/src/config/limits.rs
+++ b/crates/gateway/src/config/limits.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+/// Reads both sections; missing ones have default values.
 pub(super) fn host_limits(
     checker: &mut Checker,
     limits: Option<&Form<'_>>,
--- a/crates/gateway/src/config/policy.rs
+++ b/crates/gateway/src/config/policy.rs
@@ -2,6 +2,11 @@
 
 use super::*;
 
+/// Shortest time between two calls of the decision module with events.
+const QUANTUM_MICROS: Micros = 5_000;
+
+/// Reads the section `policy`. Returns the settings, still without classes, kinds and tenants, and the
+/// grace of drains.
 pub(super) fn policy(checker: &mut Checker, form: Option<&Form<'_>>) -> (Settings, Duration) {
     let empty = Form::empty("policy");
     let known = [
@@ -28,8 +33,8 @@
     let micros_of = |checker: &mut Checker, name: &str, ms: u64| {
         micros(fields.duration(checker, name, Duration::from_millis(ms)))
     };
-    let budget = fields.get("budget").cloned().map(|b| {
-        let fields = checker.fields(&b, 0, &["free", "share", "window"]);
+    let budget = fields.get("budget").cloned().map(|budget| {
+        let fields = checker.fields(&budget, 0, &["free", "share", "window"]);
         let window = fields
             .require(checker, "window")
             .cloned()
@@ -77,7 +82,7 @@
         may_probe: fields.flag(checker, "probes", true),
         peer_messages: false,
         max_retry_after: Some(micros_of(checker, "retry-advice", 30_000)),
-        quantum: 5_000,
+        quantum: QUANTUM_MICROS,
         note_period: None,
         load_reports: LoadReports::WithAnswers,
         prices: Prices {
@@ -85,13 +90,14 @@
             ..Prices::default()
         },
     };
-    let grace = fields.duration(checker, "drain-grace", Duration::from_millis(250));
-    if grace < Duration::from_millis(1) {
+    let drain_grace = fields.duration(checker, "drain-grace", Duration::from_millis(250));
+    if drain_grace < Duration::from_millis(1) {
         checker.error_at(&fields.form, "policy: drain-grace must be at least \"1ms\"");
     }
-    (settings, grace)
+    (settings, drain_grace)
 }
 
+/// Reads a class. Zones that the configuration has not named before are added to `names`.
 pub(super) fn class(
     checker: &mut Checker,
     form: &Form<'_>,
@@ -146,6 +152,7 @@
                 .error_at(form, "class: the window of a keyed effect is too short for any further attempt");
         }
     }
+    // Reads the numbers of the names in a field. Unknown names are added or reported.
     let numbers_of = |checker: &mut Checker,
                       name: &str,
                       known: &mut Vec<String>,
@@ -185,6 +192,7 @@
     }
 }
 
+/// Reads the effect of a class's statements.
 fn effect(checker: &mut Checker, form: &Form<'_>) -> Option<Effect> {
     let datum = checker.single_arg(form, "repeatable, once or (keyed (scope all) (window \"25s\"))")?;
     if datum.list_iter().is_none() {
--- a/crates/gateway/src/config/sessions.rs
+++ b/crates/gateway/src/config/sessions.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+/// Reads the section; if it is missing, all values are defaults.
 pub(super) fn session_terms(checker: &mut Checker, form: Option<&Form<'_>>, folder: &Path) -> SessionTerms {
     let empty = Form::empty("sessions");
     let known = [
@@ -42,6 +43,6 @@
             std::fs::read_to_string(path).map_err(|e| e.to_string()).and_then(|t| read_session_keys(&t));
         read.map_err(|why| checker.error_at(form, format!("key-file {}: {why}", path.display()))).ok()
     });
-    let reserve = fields.integer(checker, "reserve", (0, 1_000_000), 4) as u32;
-    SessionTerms { limits, transaction_reserve: reserve, keys, key_file: key_file.map(|k| k.0) }
+    let transaction_reserve = fields.integer(checker, "reserve", (0, 1_000_000), 4) as u32;
+    SessionTerms { limits, transaction_reserve, keys, key_file: key_file.map(|k| k.0) }
 }
--- a/crates/gateway/src/config/sites.rs
+++ b/crates/gateway/src/config/sites.rs
@@ -32,8 +32,8 @@
         }
         let site_fields = checker.fields(&site, 1, &["gateways", "zones", "engines"]);
         let gateways = site_fields.integer(checker, "gateways", (0, 1 << 20), 1) as u32;
-        let mut list = |field: &str| site_fields.get(field).cloned().map(|f| checker.words(&f));
-        let (zones, engines) = (list("zones"), list("engines").unwrap_or_default());
+        let mut words_of = |field: &str| site_fields.get(field).cloned().map(|f| checker.words(&f));
+        let (zones, engines) = (words_of("zones"), words_of("engines").unwrap_or_default());
         // Without zones and engines, the engines of a site are those of the zone with the site's name.
         let zones = zones.unwrap_or_else(|| if engines.is_empty() { vec![name.clone()] } else { Vec::new() });
         sites.push(SiteConfig { name, gateways, zones, engines });
--- a/crates/gateway/src/config/zone.rs
+++ b/crates/gateway/src/config/zone.rs
@@ -24,7 +24,7 @@
                     .error_at(&field, "listen: expected an address and port such as \"127.0.0.1:5300\""),
             },
             ("key", [name, secret]) => match Name::parse(name, &Name::root()) {
-                Ok(name) if secret.len() >= 16 => {
+                Ok(name) if secret.len() >= keys::MIN_SECRET_BYTES => {
                     let secret = secret.clone().into_bytes();
                     keys.push(violetward_dns::tsig::Key { name, secret });
                 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -33,5 +33,5 @@
 pub mod timestamp;
 pub mod watch;
 pub mod windows;
+pub mod zone_responder;
 pub mod zone_server;
-pub mod zone_updates;
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -28,8 +28,8 @@
 use crate::peers::Peers;
 use crate::watch;
 use crate::windows::Windows;
+use crate::zone_responder::ZoneResponder;
 use crate::zone_server::ZoneServer;
-use crate::zone_updates::ZoneUpdates;
 
 /// Interval at which conditions are checked while the gateway starts or stops.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
@@ -117,7 +117,7 @@
         Outage::start(&host, terms)?;
     }
     if let Some((listen, keys)) = host.config.zone_server.clone() {
-        ZoneServer::start(host.clone(), membership, ZoneUpdates::new(keys), listen)?;
+        ZoneServer::start(host.clone(), membership, ZoneResponder::new(keys), listen)?;
     }
     if let Some(path) = host.config.sessions.key_file.clone() {
         let (key_host, interval) = (host.clone(), host.config.host.list_poll_interval);
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -87,7 +87,8 @@
     };
     for (name, record) in &new {
         if known.get(name) != Some(record) {
-            tracing::info!(engine = name, state = ?record.entry.listed, at = host.now(), "learned of an engine");
+            let state = record.entry.listed;
+            tracing::info!(engine = name, ?state, at = host.now(), "learned of an engine");
         }
     }
     for name in known.keys().filter(|name| !new.contains_key(*name)) {
--- a/crates/gateway/src/zone_updates.rs
+++ b/crates/gateway/src/zone_responder.rs
@@ -31,16 +31,16 @@
 
 /// Answers DNS messages for one zone.
 #[derive(Debug, Default)]
-pub struct ZoneUpdates {
+pub struct ZoneResponder {
     keys: Vec<Key>,
     /// Times and signatures of recent updates.
     recent_signatures: VecDeque<(Seconds, Vec<u8>)>,
 }
 
-impl ZoneUpdates {
+impl ZoneResponder {
     /// Accepts updates signed with one of these keys; without keys, no updates.
     pub fn new(keys: Vec<Key>) -> Self {
-        ZoneUpdates { keys, recent_signatures: VecDeque::new() }
+        ZoneResponder { keys, recent_signatures: VecDeque::new() }
     }
 
     /// Handles a message. `stream` tells whether it came over TCP, where transfers are answered.
--- a/crates/gateway/src/zone_server.rs
+++ b/crates/gateway/src/zone_server.rs
@@ -12,7 +12,7 @@
 
 use crate::host::Host;
 use crate::membership::Membership;
-use crate::zone_updates::ZoneUpdates;
+use crate::zone_responder::ZoneResponder;
 
 /// Pause after a socket error, so that a lasting error does not keep the thread busy.
 const ERROR_PAUSE: Duration = Duration::from_millis(20);
@@ -23,7 +23,7 @@
 pub struct ZoneServer {
     host: Rc<Host>,
     membership: Rc<RefCell<Membership>>,
-    updates: RefCell<ZoneUpdates>,
+    responder: RefCell<ZoneResponder>,
 }
 
 impl ZoneServer {
@@ -34,13 +34,14 @@
     pub fn start(
         host: Rc<Host>,
         membership: Rc<RefCell<Membership>>,
-        updates: ZoneUpdates,
+        responder: ZoneResponder,
         listen: std::net::SocketAddr,
     ) -> std::io::Result<std::net::SocketAddr> {
         let tcp = Async::<TcpListener>::bind(listen)?;
         let address = tcp.get_ref().local_addr()?;
         let udp = Async::<UdpSocket>::bind(address)?;
-        let server = Rc::new(ZoneServer { host: host.clone(), membership, updates: RefCell::new(updates) });
+        let server =
+            Rc::new(ZoneServer { host: host.clone(), membership, responder: RefCell::new(responder) });
         host.spawn(server.clone().serve_datagrams(udp));
         host.spawn(server.accept_connections(tcp));
         tracing::info!(%address, "serving the zone");
@@ -51,7 +52,7 @@
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
         let names = &self.host.config.names;
         let mut membership = self.membership.borrow_mut();
-        let outcome = self.updates.borrow_mut().handle_message(now, bytes, stream, &mut membership, names);
+        let outcome = self.responder.borrow_mut().handle_message(now, bytes, stream, &mut membership, names);
         if let Some(line) = &outcome.log_line {
             tracing::info!("{line}");
         }
--- a/crates/gateway/tests/zone.rs
+++ b/crates/gateway/tests/zone.rs
@@ -6,7 +6,7 @@
 use violetward_dns::tsig::{sign, verify, Key};
 use violetward_gateway::config::Names;
 use violetward_gateway::membership::Membership;
-use violetward_gateway::zone_updates::ZoneUpdates;
+use violetward_gateway::zone_responder::ZoneResponder;
 
 const NOW: u64 = 1_796_000_000;
 
@@ -22,7 +22,7 @@
     Key { name: name("ops."), secret: b"sixteen bytes and more".to_vec() }
 }
 
-fn bed() -> (ZoneUpdates, Membership) {
+fn bed() -> (ZoneResponder, Membership) {
     let mut membership = Membership::default();
     let mut text = "$TTL 5\n@ SOA ns h 5 1 1 1 1\nhost A 127.0.0.1\n".to_owned();
     for n in 0..150 {
@@ -30,7 +30,7 @@
     }
     membership.zone(&text, &name("fleet.example."), &names(), &mut |_| Err("none".into()));
     assert_eq!(membership.list().len(), 150);
-    (ZoneUpdates::new(vec![key()]), membership)
+    (ZoneResponder::new(vec![key()]), membership)
 }
 
 fn removal(id: u16, engines: &[&str]) -> Vec<u8> {
