--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -10,7 +10,7 @@
 use hmac::{Hmac, Mac};
 use serde::Serialize;
 use sha2::Sha256;
-use violetward_custody::Whereabouts;
+use violetward_custody::StatementLocation;
 use violetward_net::{sleep, timeout, Connection, NetError};
 use violetward_statement::http::{self, Headers, Limits, Message};
 use violetward_statement::pages::{self, Ending, Page, Turn};
@@ -205,7 +205,7 @@
                     return Some(Reply { status: told.status, headers, body });
                 }
                 Passed::Lost => {
-                    let (from, number) = (&token.key.taken_by.name, token.key.number);
+                    let (from, number) = (&token.key.accepted_by.name, token.key.number);
                     tracing::warn!(
                         from,
                         number,
@@ -242,20 +242,24 @@
             let until = if may_act { request.until } else { confirm_until };
             match (whereabouts, local_id) {
                 // The holder may be dead, and this gateway may take the statement over.
-                (Whereabouts::At(life), None) if Instant::now() < until && !self.is_alive(&life) => {
+                (StatementLocation::Remote(life), None)
+                    if Instant::now() < until && !self.is_alive(&life) =>
+                {
                     custody::news(custody, until, LOCAL_LOOKUP_INTERVAL).await;
                 }
-                (Whereabouts::At(life), _) => return HeldAnswer::Elsewhere(Some(life.name)),
-                (Whereabouts::Taking | Whereabouts::Here, None) if Instant::now() < until => {
+                (StatementLocation::Remote(life), _) => return HeldAnswer::Elsewhere(Some(life.name)),
+                (StatementLocation::TakingOver | StatementLocation::Local, None)
+                    if Instant::now() < until =>
+                {
                     custody::news(custody, until, LOCAL_LOOKUP_INTERVAL).await;
                 }
-                (Whereabouts::Taking | Whereabouts::Here, None) => {
+                (StatementLocation::TakingOver | StatementLocation::Local, None) => {
                     return HeldAnswer::Reply(unreachable_reply())
                 }
                 // After a pause, this gateway must not act for the statements it holds until it has confirmed
                 // that it still holds them: others may have taken them over. A gateway that forwarded the
                 // poll asks those itself.
-                (Whereabouts::Here, Some(_)) if !may_act => {
+                (StatementLocation::Local, Some(_)) if !may_act => {
                     if Instant::now() >= confirm_until {
                         return match connection {
                             Some(_) => HeldAnswer::Elsewhere(None),
@@ -279,8 +283,8 @@
                     Some(reply) => return HeldAnswer::Reply(reply),
                     None => return HeldAnswer::Disconnected,
                 },
-                (Whereabouts::Over(ending), None) => {
-                    let (from, number) = (&token.key.taken_by.name, token.key.number);
+                (StatementLocation::Ended(ending), None) => {
+                    let (from, number) = (&token.key.accepted_by.name, token.key.number);
                     tracing::debug!(
                         from,
                         number,
@@ -289,7 +293,7 @@
                     );
                     return HeldAnswer::Reply(self.ended_reply(token, request, ending));
                 }
-                (Whereabouts::Unknown, None) => return HeldAnswer::Elsewhere(None),
+                (StatementLocation::Unknown, None) => return HeldAnswer::Elsewhere(None),
             }
         }
     }
@@ -307,7 +311,7 @@
         }
     }
 
-    fn is_alive(&self, life: &violetward_custody::Life) -> bool {
+    fn is_alive(&self, life: &violetward_custody::Incarnation) -> bool {
         self.host.peers().is_some_and(|peers| peers.lives(life))
     }
 
