--- a/crates/gateway/src/agreement.rs
+++ b/crates/gateway/src/agreement.rs
@@ -159,7 +159,7 @@
                 None => break,
                 Some(ListEffect::Tell(claim)) => {
                     let said = Said::Listed(claim).write();
-                    host.peers().iter().for_each(|p| p.say_some(host, &said, SOME));
+                    host.peers().iter().for_each(|p| p.send_to_sample(host, &said, SOME));
                 }
                 Some(ListEffect::Changed) => {
                     let claims = self.member.borrow().claimed();
@@ -207,10 +207,10 @@
         };
         host.rules_valid_until.set(until.unwrap_or(u64::MAX));
         if self.applied.get() != range {
-            windows.iter().for_each(|w| w.versions(range.and_then(|range| self.windows_of(range))));
+            windows.iter().for_each(|w| w.set_versions(range.and_then(|range| self.windows_of(range))));
         }
         // Without a lease nobody may leave out anything.
-        let away = windows.filter(|_| range.is_some()).map(|w| w.away()).unwrap_or_default();
+        let away = windows.filter(|_| range.is_some()).map(|w| w.drained_engines()).unwrap_or_default();
         if self.applied.get() == range && *self.away.borrow() == away {
             return;
         }
@@ -299,8 +299,10 @@
             };
             match effect {
                 Effect::Keep(bytes) => self.keep(bytes).await,
-                Effect::Say(to, bytes) => host.peers().iter().for_each(|p| p.say(&host, &to, &bytes)),
-                Effect::SayAll(bytes) => host.peers().iter().for_each(|p| p.say_all(&host, &bytes)),
+                Effect::Say(to, bytes) => {
+                    host.peers().iter().for_each(|p| p.send_message(&host, &to, &bytes))
+                }
+                Effect::SayAll(bytes) => host.peers().iter().for_each(|p| p.broadcast(&host, &bytes)),
                 Effect::OldFile => {
                     let why = "its file is an old copy: others have heard of later votes of this gateway";
                     tracing::error!("this gateway does not vote: {why}");
@@ -352,7 +354,7 @@
         if before.windows().is_empty() && asked.windows().is_empty() {
             return Ok(false);
         }
-        windows.fit(&host, &before, &asked)
+        windows.check_rules(&host, &before, &asked)
     })
 }
 
--- a/crates/gateway/src/agreement/asking.rs
+++ b/crates/gateway/src/agreement/asking.rs
@@ -56,7 +56,7 @@
             return (409, "it was said for another version than the newest");
         }
         match &*host.windows.borrow() {
-            Some(windows) => windows.clock_is_right(),
+            Some(windows) => windows.confirm_clock(),
             None => return (404, "this gateway holds no windows"),
         }
         (200, "windows go by the wall clock again")
--- a/crates/gateway/src/custody.rs
+++ b/crates/gateway/src/custody.rs
@@ -32,7 +32,7 @@
 use crate::host::Host;
 
 /// The first octet of what custody says over membership, where agreement's sayings begin with their format.
-pub const SAID: u8 = 0xC5;
+pub const MESSAGE_TAG: u8 = 0xC5;
 /// First octets of records: of the machine, and a request passed on.
 const MACHINE: u8 = 1;
 const ASKED: u8 = 2;
@@ -74,7 +74,7 @@
 
 /// A request that is passed on to another gateway.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Asked {
+pub struct ForwardedRequest {
     /// `GET` or `DELETE`.
     pub method: String,
     /// The path as the client sent it.
@@ -89,7 +89,7 @@
 
 /// What is answered to it; the part of the body follows.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Told {
+pub struct ForwardedResponse {
     /// The status; 0: it isn't here.
     pub status: u16,
     /// Headers.
@@ -101,23 +101,23 @@
 }
 
 /// What passing a request on led to.
-pub enum Passed {
+pub enum ForwardOutcome {
     /// The answer of whoever holds it.
-    Told(Told, Vec<u8>),
+    Response(ForwardedResponse, Vec<u8>),
     /// Somebody may hold it who cannot be reached now.
-    Later,
+    Unreachable,
     /// Whoever took it is gone, and nobody of those that were to know of it does.
     Lost,
 }
 
 /// How a new statement is taken.
-pub enum Takes {
+pub enum Acceptance {
     /// As one that is to outlive this gateway.
     Protected,
     /// As one that ends with this gateway: it has no tenure.
     Unprotected,
     /// Not at all.
-    No(&'static str),
+    Refused(&'static str),
 }
 
 /// Records on their way to one gateway.
@@ -154,7 +154,7 @@
 /// What `/v1/custody` tells.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Standing {
+pub struct CustodyStatus {
     /// This gateway, and its life.
     pub name: String,
     /// See `name`.
@@ -181,7 +181,7 @@
     pub intents: (u64, u64),
 }
 
-impl std::fmt::Display for Standing {
+impl std::fmt::Display for CustodyStatus {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
@@ -203,7 +203,7 @@
 ///
 /// # Errors
 /// What it answers instead, or why it does not.
-pub async fn ask(address: SocketAddr) -> Result<Standing, String> {
+pub async fn fetch_status(address: SocketAddr) -> Result<CustodyStatus, String> {
     crate::fetch::get_json(address, "/v1/custody").await
 }
 
@@ -246,7 +246,7 @@
             |why: &dyn std::fmt::Display| std::io::Error::other(format!("{}: {why}", terms.folder.display()));
         let mut store = Files::open(&terms.folder).map_err(|why| unusable(&why))?;
         let ends = store.get(KEPT).map_err(|why| unusable(&why))?.map(|kept| kept.bytes);
-        let (me, site) = peers.me();
+        let (me, site) = peers.local_member();
         let known = Settings {
             incarnation: me.clone(),
             site,
@@ -320,9 +320,9 @@
         match effect {
             Effect::SendDatagram(to, bytes) => {
                 let mut said = Vec::with_capacity(bytes.len() + 1);
-                said.push(SAID);
+                said.push(MESSAGE_TAG);
                 said.extend_from_slice(&bytes);
-                host.peers().iter().for_each(|peers| peers.say(host, &to, &said));
+                host.peers().iter().for_each(|peers| peers.send_message(host, &to, &said));
             }
             Effect::SendRecords(to, bytes) => self.send(host, to, bytes),
             Effect::StoreMarks(bytes) => drop(self.keeps.try_send(bytes)),
@@ -340,7 +340,7 @@
             Effect::Relinquished(key) => {
                 if let Some(id) = self.local(&key) {
                     tracing::info!(n = id.0, at = host.now(), "another gateway holds it");
-                    self.gone(id);
+                    self.remove_statement(id);
                     host.with_core(|core, now| core.detach(now, id));
                 }
                 self.changed.notify(usize::MAX);
@@ -390,7 +390,7 @@
     // ---- What the core says ----------------------------------------------------------------------------
 
     /// A statement has been taken here.
-    pub(crate) fn taken(&self, host: &Rc<Host>, id: StatementId) {
+    pub(crate) fn register_statement(&self, host: &Rc<Host>, id: StatementId) {
         let Some(taken) = host.read_core(|core| core.statement_record(id)) else { return };
         let key = StatementKey { taken_by: self.me.clone(), number: id.0 };
         self.locals.borrow_mut().insert(key.clone(), id);
@@ -410,27 +410,27 @@
     }
 
     /// How a new statement is taken now. A gateway that has just started waits for its first tenure, as long as that can take.
-    pub(crate) fn takes(&self, host: &Rc<Host>) -> Takes {
+    pub(crate) fn acceptance(&self, host: &Rc<Host>) -> Acceptance {
         if self.may_act(host) {
             self.ready.set(true);
-            return Takes::Protected;
+            return Acceptance::Protected;
         }
         if !self.ready.get() && host.started.elapsed() < self.terms.lease * 2 {
-            return Takes::No("this gateway has just started; the statement was not taken");
+            return Acceptance::Refused("this gateway has just started; the statement was not taken");
         }
         match self.terms.refuse_unguarded {
-            true => Takes::No("this gateway may not act now; the statement was not taken"),
-            false => Takes::Unprotected,
+            true => Acceptance::Refused("this gateway may not act now; the statement was not taken"),
+            false => Acceptance::Unprotected,
         }
     }
 
     /// Waits until the client of a new statement may be told that it is taken, so that it is not lost with this gateway from then
     /// on. If that does not come to be within half a lease it is refused, and this says `false`: nothing that is unsafe
     /// to repeat begins before its client knows its address.
-    pub(crate) async fn settles(&self, host: &Rc<Host>, id: StatementId) -> bool {
+    pub(crate) async fn wait_until_replicated(&self, host: &Rc<Host>, id: StatementId) -> bool {
         let Some(key) = self.key(id) else { return true };
         let since = host.now();
-        let until = Instant::now() + self.rest();
+        let until = Instant::now() + self.half_lease();
         loop {
             let news = self.came.listen();
             if self.machine.borrow().is_safely_replicated(host.now(), &key, since) {
@@ -443,18 +443,18 @@
         }
         tracing::info!(n = id.0, at = host.now(), "not taken: nobody else came to know of it");
         host.with_core(|core, now| core.refuse_unprotected(now, id, "no other gateway could keep it"));
-        self.forget(host, id);
+        self.finish_statement(host, id);
         false
     }
 
     /// Whether a statement is protected.
-    pub(crate) fn knows(&self, id: StatementId) -> bool {
+    pub(crate) fn is_protected(&self, id: StatementId) -> bool {
         self.names.borrow().contains_key(&id)
     }
 
     /// An attempt is to be begun; it waits here until it may. Gives it back if it may go at once, or is none of a statement
     /// that is protected.
-    pub(crate) fn intend(&self, host: &Rc<Host>, launch: Box<Launch>) -> Option<Box<Launch>> {
+    pub(crate) fn request_launch(&self, host: &Rc<Host>, launch: Box<Launch>) -> Option<Box<Launch>> {
         let attempt = launch.attempt;
         if self.key(attempt.0).is_none() {
             return Some(launch);
@@ -496,12 +496,12 @@
     }
 
     /// An attempt that may still wait for leave is not wanted any more. Whether it did.
-    pub(crate) fn withdrawn(&self, attempt: AttemptId) -> bool {
+    pub(crate) fn cancel_pending_launch(&self, attempt: AttemptId) -> bool {
         self.parked.borrow_mut().remove(&attempt).is_some()
     }
 
     /// What is known of a statement has changed.
-    pub(crate) fn noted(&self, host: &Rc<Host>, id: StatementId) {
+    pub(crate) fn record_progress(&self, host: &Rc<Host>, id: StatementId) {
         let Some(key) = self.key(id) else { return };
         if let Some((_, out, passed)) = host.read_core(|core| core.progress(id)) {
             self.with(host, |m, now| m.record_progress(now, &key, out, passed));
@@ -509,7 +509,7 @@
     }
 
     /// An end was decided here.
-    pub(crate) fn decide(&self, host: &Rc<Host>, id: StatementId, ending: &Ending) {
+    pub(crate) fn record_ending(&self, host: &Rc<Host>, id: StatementId, ending: &Ending) {
         let Some(key) = self.key(id) else {
             return host.with_core(|core, now| core.ending_recorded(now, id));
         };
@@ -517,11 +517,11 @@
             Permission::Granted => host.with_core(|core, now| core.ending_recorded(now, id)),
             Permission::Pending => {}
             // It's another gateway's: that one is told by `Effect::Relinquished`. Without a tenure it has to wait.
-            Permission::Denied if matches!(self.find(&key).0, Whereabouts::Here) => {
+            Permission::Denied if matches!(self.locate(&key).0, Whereabouts::Here) => {
                 let (host, ending) = (host.clone(), ending.clone());
                 host.clone().spawn(async move {
                     violetward_net::sleep(REST).await;
-                    host.custody().iter().for_each(|custody| custody.decide(&host, id, &ending));
+                    host.custody().iter().for_each(|custody| custody.record_ending(&host, id, &ending));
                 });
             }
             Permission::Denied => {}
@@ -529,14 +529,14 @@
     }
 
     /// Nobody needs to know of a statement any more.
-    pub(crate) fn forget(&self, host: &Rc<Host>, id: StatementId) {
+    pub(crate) fn finish_statement(&self, host: &Rc<Host>, id: StatementId) {
         if let Some(key) = self.key(id) {
             self.with(host, |m, now| m.finish_statement(now, &key));
         }
     }
 
     /// The core has let go of a statement.
-    pub(crate) fn gone(&self, id: StatementId) {
+    pub(crate) fn remove_statement(&self, id: StatementId) {
         if let Some(key) = self.names.borrow_mut().remove(&id) {
             self.locals.borrow_mut().remove(&key);
         }
@@ -544,7 +544,7 @@
     }
 
     /// Whether an attempt of a statement may be written now.
-    pub(crate) fn may_go(&self, host: &Rc<Host>, id: StatementId) -> bool {
+    pub(crate) fn may_launch(&self, host: &Rc<Host>, id: StatementId) -> bool {
         !self.names.borrow().contains_key(&id) || self.may_act(host)
     }
 
@@ -556,7 +556,13 @@
     // ---- Tokens ----------------------------------------------------------------------------------------
 
     /// The part of a page's path that can't be guessed, for a statement that is protected.
-    pub fn slug(&self, id: StatementId, public_id: &str, after: Option<u64>, due: u64) -> Option<String> {
+    pub fn page_slug(
+        &self,
+        id: StatementId,
+        public_id: &str,
+        after: Option<u64>,
+        due: u64,
+    ) -> Option<String> {
         let key = self.key(id)?;
         let mut chain = self.machine.borrow().replica_list_with_terms(&key);
         if chain.is_empty() {
@@ -586,7 +592,7 @@
     }
 
     /// What a path says; `None` if no gateway of this fleet has made it.
-    pub fn token(&self, path: &str) -> Option<Token> {
+    pub fn parse_token(&self, path: &str) -> Option<Token> {
         let page = PageRef::parse(path)?;
         let (code, says) = page.slug.split_once('.')?;
         let code = code.is_ascii().then(|| code.split_at_checked(8)).flatten()?;
@@ -614,35 +620,35 @@
     }
 
     /// Where a statement is, and under which number if it is here.
-    pub fn find(&self, key: &StatementKey) -> (Whereabouts, Option<StatementId>) {
+    pub fn locate(&self, key: &StatementKey) -> (Whereabouts, Option<StatementId>) {
         (self.machine.borrow().locate(key), self.local(key))
     }
 
     // ---- Other gateways --------------------------------------------------------------------------------
 
     /// Something came from a member by datagram.
-    pub fn heard(&self, host: &Rc<Host>, from: &str, bytes: &[u8]) {
+    pub fn receive_message(&self, host: &Rc<Host>, from: &str, bytes: &[u8]) {
         self.with(host, |m, now| m.handle_message(now, from, bytes));
         self.came.notify(usize::MAX);
     }
 
     /// What membership believes may have changed.
-    pub fn members(&self, host: &Rc<Host>) {
+    pub fn update_members(&self, host: &Rc<Host>) {
         let Some(peers) = host.peers() else { return };
         let of = |seen: violetward_membership::Seen| Member {
             incarnation: Life { name: seen.record.name, life: seen.record.life },
             site: seen.record.site,
             state: state(seen.record.state),
         };
-        let members = peers.seen().into_iter().map(of).collect();
+        let members = peers.members().into_iter().map(of).collect();
         self.with(host, |m, now| m.update_members(now, members));
     }
 
     async fn look(self: Rc<Self>, host: Rc<Host>) {
         loop {
-            self.members(&host);
+            self.update_members(&host);
             // Who is not known any more needs no line.
-            let known: Vec<String> = host.peers().map_or(Vec::new(), |p| p.names());
+            let known: Vec<String> = host.peers().map_or(Vec::new(), |p| p.member_names());
             self.lines.borrow_mut().retain(|name, _| known.contains(name));
             violetward_net::sleep(LOOK).await;
         }
@@ -705,11 +711,11 @@
     async fn record(&self, host: &Rc<Host>, from: &str, record: &[u8]) -> Vec<u8> {
         match record.split_first() {
             Some((&MACHINE, bytes)) => {
-                self.heard(host, from, bytes);
+                self.receive_message(host, from, bytes);
                 Vec::new()
             }
             Some((&ASKED, bytes)) => {
-                let Ok(asked) = serde_json::from_slice::<Asked>(bytes) else { return Vec::new() };
+                let Ok(asked) = serde_json::from_slice::<ForwardedRequest>(bytes) else { return Vec::new() };
                 let front = host.front();
                 let Some(front) = front else { return Vec::new() };
                 let (told, body) = front.answer_forwarded(&asked).await;
@@ -720,14 +726,14 @@
     }
 
     /// Passes a request on to whoever holds the statement: who is said to, then those that its token names.
-    pub(crate) async fn pass_on(
+    pub(crate) async fn forward(
         &self,
         host: &Rc<Host>,
         token: &Token,
-        asked: &Asked,
+        asked: &ForwardedRequest,
         first: Option<String>,
-    ) -> Passed {
-        let Some(peers) = host.peers() else { return Passed::Later };
+    ) -> ForwardOutcome {
+        let Some(peers) = host.peers() else { return ForwardOutcome::Unreachable };
         self.passed_on.set(self.passed_on.get() + 1);
         // Looked at before anybody is asked: who is over by then passes it to nobody between two answers.
         let mut verdict = self.verdict(host, &peers, token);
@@ -740,29 +746,29 @@
         loop {
             let Some(name) = next.pop() else {
                 // Nobody of them knows. It may have gone on from one to another since the token was made.
-                if wide || peers.may_live(&token.key.taken_by) {
+                if wide || peers.may_be_alive(&token.key.taken_by) {
                     break;
                 }
                 wide = true;
                 // Only who is to say that nobody has it has to ask all.
                 let most = if verdict { usize::MAX } else { WIDE };
-                next.extend(peers.names().into_iter().take(most));
+                next.extend(peers.member_names().into_iter().take(most));
                 continue;
             };
             if tried.contains(&name) {
                 continue;
             }
-            let Some(seen) = peers.seen().into_iter().find(|s| s.record.name == name) else { continue };
+            let Some(seen) = peers.members().into_iter().find(|s| s.record.name == name) else { continue };
             if seen.record.state > violetward_membership::State::Suspect {
                 continue;
             }
-            let Some(address) = peers.reached_at(&name) else { continue };
+            let Some(address) = peers.stream_address(&name) else { continue };
             tried.push(name.clone());
             match self.ask(&name, address, asked).await {
                 // It can't say, or may not act: somebody else may.
                 Some((told, _)) if told.status == 503 => verdict = false,
-                Some((told, body)) if told.status != 0 => return Passed::Told(told, body),
-                Some((Told { at: Some(at), .. }, _)) => {
+                Some((told, body)) if told.status != 0 => return ForwardOutcome::Response(told, body),
+                Some((ForwardedResponse { at: Some(at), .. }, _)) => {
                     // One that knows of it: nobody says then that nobody does.
                     verdict = false;
                     next.push(at);
@@ -771,11 +777,11 @@
                 None => verdict = false,
             }
         }
-        let all = || peers.seen().iter().all(|s| !living(s) || tried.contains(&s.record.name));
+        let all = || peers.members().iter().all(|s| !living(s) || tried.contains(&s.record.name));
         if verdict && wide && all() {
-            Passed::Lost
+            ForwardOutcome::Lost
         } else {
-            Passed::Later
+            ForwardOutcome::Unreachable
         }
     }
 
@@ -784,7 +790,7 @@
     /// still runs may give back what it had, so until nobody waits any more its process has to be known to have ended.
     fn verdict(&self, host: &Rc<Host>, peers: &crate::peers::Peers, token: &Token) -> bool {
         let now = host.now();
-        let seen = peers.seen();
+        let seen = peers.members();
         let mut open: Vec<(Life, u32)> = Vec::new();
         let mut ended = true;
         for (life, term) in token.chain.iter().filter(|(life, _)| *life != self.me) {
@@ -800,7 +806,7 @@
             open.push((Life { name: gone.record.name.clone(), life: gone.record.life }, 0));
         }
         let settled = micros(self.terms.lease) * SETTLED;
-        if token.key.taken_by == self.me || !peers.gone_for(&token.key.taken_by, now, settled) {
+        if token.key.taken_by == self.me || !peers.ended_for(&token.key.taken_by, now, settled) {
             return false;
         }
         open.retain(|(life, term)| !self.machine.borrow().is_fenced(life, *term));
@@ -811,15 +817,20 @@
     }
 
     /// How long a gateway that may not act holds a poll for what it has.
-    pub(crate) fn rest(&self) -> Duration {
+    pub(crate) fn half_lease(&self) -> Duration {
         self.terms.lease / 2
     }
 
-    async fn ask(&self, name: &str, address: SocketAddr, asked: &Asked) -> Option<(Told, Vec<u8>)> {
+    async fn ask(
+        &self,
+        name: &str,
+        address: SocketAddr,
+        asked: &ForwardedRequest,
+    ) -> Option<(ForwardedResponse, Vec<u8>)> {
         let within = Duration::from_millis(asked.wait_millis) + SEND;
         let mut asked = asked.clone();
         let mut body: Vec<u8> = Vec::new();
-        let mut first: Option<Told> = None;
+        let mut first: Option<ForwardedResponse> = None;
         loop {
             asked.from = body.len();
             let mut record = vec![ASKED];
@@ -827,7 +838,7 @@
             let answer = self.caller.call_named(name, address, &record, within).await.ok()?;
             let (length, rest) = answer.split_first_chunk::<4>()?;
             let (head, part) = rest.split_at_checked(u32::from_be_bytes(*length) as usize)?;
-            let told: Told = serde_json::from_slice(head).ok()?;
+            let told: ForwardedResponse = serde_json::from_slice(head).ok()?;
             // A page that changed between two parts would be put together wrongly.
             if first.as_ref().is_some_and(|f| f.whole != told.whole) {
                 return None;
@@ -844,20 +855,20 @@
     }
 
     /// Everything held goes to others; nothing is begun any more.
-    pub fn hand_over(&self, host: &Rc<Host>) {
+    pub fn start_hand_over(&self, host: &Rc<Host>) {
         self.with(host, TakeoverNode::start_hand_over);
     }
 
     /// Nothing is held here any more.
-    pub fn handed_over(&self) -> bool {
+    pub fn hand_over_complete(&self) -> bool {
         self.machine.borrow().hand_over_complete()
     }
 
     /// How it stands.
-    pub fn standing(&self, host: &Rc<Host>) -> Standing {
+    pub fn status(&self, host: &Rc<Host>) -> CustodyStatus {
         let usage = self.machine.borrow().usage();
         let counts = host.read_core(|core| core.counts);
-        Standing {
+        CustodyStatus {
             name: self.me.name.clone(),
             life: format!("{:016x}", self.me.life),
             tenure: self.may_act(host),
@@ -874,7 +885,7 @@
     }
 }
 
-fn told_and(told: &Told, body: &[u8], from: usize) -> Vec<u8> {
+fn told_and(told: &ForwardedResponse, body: &[u8], from: usize) -> Vec<u8> {
     let head = serde_json::to_vec(told).unwrap_or_default();
     let part = &body[from.min(body.len())..];
     let part = &part[..part.len().min(PART)];
@@ -892,7 +903,7 @@
         let mut record = Vec::with_capacity(bytes.len() + 1);
         record.push(MACHINE);
         record.extend_from_slice(&bytes);
-        let address = host.peers().and_then(|peers| peers.reached_at(&to));
+        let address = host.peers().and_then(|peers| peers.stream_address(&to));
         let sent = match address {
             Some(address) => custody.caller.call_named(&to, address, &record, SEND).await.is_ok(),
             None => false,
@@ -915,7 +926,7 @@
 }
 
 /// Waits for news of who holds what, at most until then and for so long.
-pub(crate) async fn news(custody: &Custody, until: Instant, most: Duration) {
+pub(crate) async fn wait_for_change(custody: &Custody, until: Instant, most: Duration) {
     let listener = custody.changed.listen();
     let until = until.min(Instant::now() + most);
     future::or(listener, violetward_net::sleep_until(until)).await;
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -19,7 +19,7 @@
 
 use crate::agreement;
 use crate::core::{StatementId, Submission};
-use crate::custody::{self, Asked, Custody, Passed, Takes, Token, Told};
+use crate::custody::{self, Acceptance, Custody, ForwardOutcome, ForwardedRequest, ForwardedResponse, Token};
 use crate::host::Host;
 use crate::metrics;
 
@@ -149,7 +149,7 @@
     }
 
     /// Answers a request that another gateway has forwarded.
-    pub(crate) async fn answer_forwarded(&self, request: &Asked) -> (Told, Vec<u8>) {
+    pub(crate) async fn answer_forwarded(&self, request: &ForwardedRequest) -> (ForwardedResponse, Vec<u8>) {
         let path = request.path.split('?').next().unwrap_or_default();
         let host = format!("http://{}", request.host);
         let until = Instant::now() + Duration::from_millis(request.wait_millis);
@@ -159,9 +159,11 @@
             HeldAnswer::Reply(reply) => {
                 let headers = reply.headers.iter().map(|(n, v)| (n.to_owned(), v.to_owned())).collect();
                 let whole = (reply.body.len(), crate::list::fnv1a(&String::from_utf8_lossy(&reply.body)));
-                (Told { status: reply.status, headers, whole, at: None }, reply.body)
+                (ForwardedResponse { status: reply.status, headers, whole, at: None }, reply.body)
+            }
+            HeldAnswer::Elsewhere(at) => {
+                (ForwardedResponse { at, ..ForwardedResponse::default() }, Vec::new())
             }
-            HeldAnswer::Elsewhere(at) => (Told { at, ..Told::default() }, Vec::new()),
             HeldAnswer::Disconnected => Default::default(),
         }
     }
@@ -169,7 +171,7 @@
     /// Decodes the path of a page of a protected statement.
     fn protected_page(&self, path: &str) -> Option<(Rc<Custody>, Token)> {
         let custody = self.host.custody()?;
-        let token = custody.token(path)?;
+        let token = custody.parse_token(path)?;
         Some((custody, token))
     }
 
@@ -191,20 +193,20 @@
                 HeldAnswer::Disconnected => return None,
                 HeldAnswer::Elsewhere(holder) => holder,
             };
-            let forwarded = Asked {
+            let forwarded = ForwardedRequest {
                 method: method.to_owned(),
                 path: target.to_owned(),
                 host: message.headers.get("host").unwrap_or("localhost").to_owned(),
                 wait_millis: until.saturating_duration_since(Instant::now()).as_millis() as u64,
                 from: 0,
             };
-            match custody.pass_on(&self.host, &token, &forwarded, holder).await {
-                Passed::Told(told, body) => {
+            match custody.forward(&self.host, &token, &forwarded, holder).await {
+                ForwardOutcome::Response(told, body) => {
                     let mut headers = Headers::default();
                     told.headers.iter().for_each(|(name, value)| headers.push(name, value));
                     return Some(Reply { status: told.status, headers, body });
                 }
-                Passed::Lost => {
+                ForwardOutcome::Lost => {
                     let (from, number) = (&token.key.taken_by.name, token.key.number);
                     tracing::warn!(
                         from,
@@ -215,13 +217,15 @@
                     return Some(lost_reply());
                 }
                 // A gateway that may not act now cannot take the statement over; another one may know more.
-                Passed::Later
+                ForwardOutcome::Unreachable
                     if Instant::now() >= until || self.host.is_draining() || !custody.may_act(&self.host) =>
                 {
                     return Some(unreachable_reply())
                 }
                 // The statement may be taken over by this gateway or another one meanwhile.
-                Passed::Later => custody::news(&custody, until, REMOTE_LOOKUP_INTERVAL).await,
+                ForwardOutcome::Unreachable => {
+                    custody::wait_for_change(&custody, until, REMOTE_LOOKUP_INTERVAL).await
+                }
             }
         }
     }
@@ -234,20 +238,20 @@
         request: &Request<'_>,
         connection: Option<&Connection>,
     ) -> HeldAnswer {
-        let confirm_until = request.until.min(Instant::now() + custody.rest());
+        let confirm_until = request.until.min(Instant::now() + custody.half_lease());
         loop {
-            let (whereabouts, local_id) = custody.find(&token.key);
+            let (whereabouts, local_id) = custody.locate(&token.key);
             let may_act = custody.may_act(&self.host);
             // A gateway that may not act does not take anything over.
             let until = if may_act { request.until } else { confirm_until };
             match (whereabouts, local_id) {
                 // The holder may be dead, and this gateway may take the statement over.
                 (Whereabouts::At(life), None) if Instant::now() < until && !self.is_alive(&life) => {
-                    custody::news(custody, until, LOCAL_LOOKUP_INTERVAL).await;
+                    custody::wait_for_change(custody, until, LOCAL_LOOKUP_INTERVAL).await;
                 }
                 (Whereabouts::At(life), _) => return HeldAnswer::Elsewhere(Some(life.name)),
                 (Whereabouts::Taking | Whereabouts::Here, None) if Instant::now() < until => {
-                    custody::news(custody, until, LOCAL_LOOKUP_INTERVAL).await;
+                    custody::wait_for_change(custody, until, LOCAL_LOOKUP_INTERVAL).await;
                 }
                 (Whereabouts::Taking | Whereabouts::Here, None) => {
                     return HeldAnswer::Reply(unreachable_reply())
@@ -262,7 +266,7 @@
                             None => HeldAnswer::Reply(unreachable_reply()),
                         };
                     }
-                    custody::news(custody, confirm_until, LOCAL_LOOKUP_INTERVAL).await;
+                    custody::wait_for_change(custody, confirm_until, LOCAL_LOOKUP_INTERVAL).await;
                 }
                 (_, Some(id)) if request.method == "DELETE" => {
                     let is_known = self.host.with_core(|core, now| core.cancel(now, id));
@@ -275,7 +279,7 @@
                 }
                 (_, Some(id)) => match self.poll(request, id, &token.page, token.after, connection).await {
                     // Another gateway has taken the statement over meanwhile.
-                    Some(reply) if reply.status == 404 && custody.find(&token.key).1.is_none() => {}
+                    Some(reply) if reply.status == 404 && custody.locate(&token.key).1.is_none() => {}
                     Some(reply) => return HeldAnswer::Reply(reply),
                     None => return HeldAnswer::Disconnected,
                 },
@@ -308,7 +312,7 @@
     }
 
     fn is_alive(&self, life: &violetward_custody::Life) -> bool {
-        self.host.peers().is_some_and(|peers| peers.lives(life))
+        self.host.peers().is_some_and(|peers| peers.is_alive(life))
     }
 
     /// The page that tells a statement's ending.
@@ -393,10 +397,10 @@
         // without a table.
         let public_id = self.host.next_public_id();
         let submission = Submission { public_id: public_id.clone(), text, context };
-        let may_protect = match self.host.custody().map(|custody| custody.takes(&self.host)) {
-            Some(Takes::No(why)) => return Reply::text(503, why),
-            Some(Takes::Unprotected) => false,
-            Some(Takes::Protected) | None => true,
+        let may_protect = match self.host.custody().map(|custody| custody.acceptance(&self.host)) {
+            Some(Acceptance::Refused(why)) => return Reply::text(503, why),
+            Some(Acceptance::Unprotected) => false,
+            Some(Acceptance::Protected) | None => true,
         };
         let id = self.host.with_core(|core, now| core.submit_with_protection(now, submission, may_protect));
         let mut page = PageRef { slug: self.slug_of(id, &public_id, None), id: public_id, token: 0 };
@@ -405,14 +409,14 @@
                 return self.document(&base_uri(message), &page, &contents);
             }
         }
-        let custody = self.host.custody().filter(|custody| custody.knows(id));
+        let custody = self.host.custody().filter(|custody| custody.is_protected(id));
         if let Some(custody) = &custody {
-            if !custody.settles(&self.host, id).await {
+            if !custody.wait_until_replicated(&self.host, id).await {
                 return Reply::text(503, "no other gateway could keep the statement; it was not taken");
             }
             // Further gateways may have got its record meanwhile. A statement that has been handed over keeps
             // its slug.
-            if custody.knows(id) {
+            if custody.is_protected(id) {
                 page.slug = self.slug_of(id, &page.id, None);
             }
         }
@@ -510,7 +514,7 @@
     /// The slug of a statement's next page. If the statement is protected, all gateways can decode it.
     fn slug_of(&self, id: StatementId, public_id: &str, after: Option<u64>) -> String {
         let deadline = self.host.read_core(|core| core.deadline(id)).unwrap_or(0);
-        let shared_slug = || self.host.custody()?.slug(id, public_id, after, deadline);
+        let shared_slug = || self.host.custody()?.page_slug(id, public_id, after, deadline);
         shared_slug().unwrap_or_else(|| self.slug(public_id))
     }
 
@@ -538,7 +542,7 @@
 
     fn members(&self) -> Reply {
         match &*self.host.peers.borrow() {
-            Some(peers) => Reply::json(&serde_json::to_value(peers.view()).unwrap_or_default()),
+            Some(peers) => Reply::json(&serde_json::to_value(peers.status()).unwrap_or_default()),
             None => {
                 Reply::text(404, "this gateway knows of no others: its configuration has no (membership ...)")
             }
@@ -548,7 +552,7 @@
     fn custody(&self) -> Reply {
         match self.host.custody() {
             Some(custody) => {
-                Reply::json(&serde_json::to_value(custody.standing(&self.host)).unwrap_or_default())
+                Reply::json(&serde_json::to_value(custody.status(&self.host)).unwrap_or_default())
             }
             None => {
                 Reply::text(404, "statements end with this gateway: its configuration has no (custody ...)")
@@ -558,14 +562,14 @@
 
     fn windows(&self) -> Reply {
         match &*self.host.windows.borrow() {
-            Some(windows) => Reply::json(&windows.standing(&self.host)),
+            Some(windows) => Reply::json(&windows.status(&self.host)),
             None => Reply::text(404, "this gateway holds no windows: its configuration has no (windows ...)"),
         }
     }
 
     fn sites(&self) -> Reply {
         match self.host.outage() {
-            Some(outage) => Reply::json(&outage.standing(&self.host)),
+            Some(outage) => Reply::json(&outage.status(&self.host)),
             None => {
                 Reply::text(404, "this gateway watches no sites: its configuration has no (site-loss ...)")
             }
@@ -613,10 +617,10 @@
             "attempts": counts.attempts, "overdue": counts.overdue,
         });
         if let Some(custody) = self.host.custody() {
-            value["custody"] = serde_json::to_value(custody.standing(&self.host)).unwrap_or_default();
+            value["custody"] = serde_json::to_value(custody.status(&self.host)).unwrap_or_default();
         }
         if let Some(peers) = &*self.host.peers.borrow() {
-            let view = peers.view();
+            let view = peers.status();
             let count = |state: &str| view.members.iter().filter(|m| m.state == state).count();
             value["membership"] = serde_json::json!({
                 "name": view.name, "standing": view.standing, "share": view.share,
--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -188,7 +188,8 @@
         self.refresh_rules();
         // An attempt that was still connecting when its statement was handed over must not be written.
         let still_here = || self.attempts.borrow().contains_key(&attempt);
-        let may_act = self.custody().is_none_or(|custody| still_here() && custody.may_go(self, attempt.0));
+        let may_act =
+            self.custody().is_none_or(|custody| still_here() && custody.may_launch(self, attempt.0));
         may_act && self.read_core(|core| core.may_send(attempt, engine))
     }
 
@@ -300,7 +301,7 @@
         match effect {
             Effect::Launch(launch) => {
                 let launch = match self.custody() {
-                    Some(custody) => custody.intend(self, launch),
+                    Some(custody) => custody.request_launch(self, launch),
                     None => Some(launch),
                 };
                 launch.into_iter().for_each(|launch| self.launch(*launch));
@@ -312,19 +313,19 @@
                 self.spawn(engine::resume(self.clone(), *resumed, fetch_requests, stop_requests));
             }
             Effect::Detach(id) => {
-                let parked = self.custody().is_some_and(|custody| custody.withdrawn(id));
+                let parked = self.custody().is_some_and(|custody| custody.cancel_pending_launch(id));
                 if let (Some(control), false) = (self.attempts.borrow_mut().remove(&id), parked) {
                     control.detach();
                 }
             }
-            Effect::Protect(id) => self.custody().iter().for_each(|c| c.taken(self, id)),
-            Effect::ProgressChanged(id) => self.custody().iter().for_each(|c| c.noted(self, id)),
+            Effect::Protect(id) => self.custody().iter().for_each(|c| c.register_statement(self, id)),
+            Effect::ProgressChanged(id) => self.custody().iter().for_each(|c| c.record_progress(self, id)),
             Effect::RecordEnding(id, ending) => match self.custody() {
-                Some(custody) => custody.decide(self, id, &ending),
+                Some(custody) => custody.record_ending(self, id, &ending),
                 None => self.with_core(|core, now| core.ending_recorded(now, id)),
             },
-            Effect::ReleaseRecord(id) => self.custody().iter().for_each(|c| c.forget(self, id)),
-            Effect::Removed(id) => self.custody().iter().for_each(|c| c.gone(id)),
+            Effect::ReleaseRecord(id) => self.custody().iter().for_each(|c| c.finish_statement(self, id)),
+            Effect::Removed(id) => self.custody().iter().for_each(|c| c.remove_statement(id)),
             Effect::FetchPage(id) => {
                 if let Some(control) = self.attempts.borrow().get(&id) {
                     control.fetch_page.try_send(()).ok();
@@ -332,7 +333,7 @@
             }
             Effect::Cancel(id) => {
                 if let Some(custody) = self.custody() {
-                    custody.withdrawn(id);
+                    custody.cancel_pending_launch(id);
                 }
                 if let Some(control) = self.attempts.borrow_mut().remove(&id) {
                     control.stop.try_send(true).ok();
--- a/crates/gateway/src/main.rs
+++ b/crates/gateway/src/main.rs
@@ -357,12 +357,12 @@
 
 /// Shows the members that a gateway knows and, if it has custody, the state of that.
 fn members(address: std::net::SocketAddr, json: bool) -> ExitCode {
-    match futures_lite::future::block_on(peers::ask(address)) {
+    match futures_lite::future::block_on(peers::fetch_status(address)) {
         Ok(view) if json => println!("{}", serde_json::to_string_pretty(&view).unwrap_or_default()),
         Ok(view) => {
             println!("{view}");
             // Without custody there is nothing to show.
-            let custody = futures_lite::future::block_on(violetward_gateway::custody::ask(address));
+            let custody = futures_lite::future::block_on(violetward_gateway::custody::fetch_status(address));
             custody.iter().for_each(|standing| println!("{standing}"));
         }
         Err(why) => {
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -26,29 +26,29 @@
 
 /// What a reading of the list's text leads to.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Verdict {
+pub enum ReadOutcome {
     /// The list that now holds.
-    Holds(BTreeMap<String, EngineRecord>),
+    Applied(BTreeMap<String, EngineRecord>),
     /// The text is not to be believed as a whole: the old list stands.
-    Stands(String),
+    Rejected(String),
 }
 
 /// The list as last believed.
 #[derive(Debug, Default)]
-pub struct Membership {
+pub struct EngineRegistry {
     known: BTreeMap<String, EngineRecord>,
     serial: Option<u32>,
     zone: Option<Zone>,
 }
 
-impl Membership {
+impl EngineRegistry {
     /// The list that holds.
-    pub fn list(&self) -> &BTreeMap<String, EngineRecord> {
+    pub fn engines(&self) -> &BTreeMap<String, EngineRecord> {
         &self.known
     }
 
     /// The zone that holds, where the list is one.
-    pub fn served(&self) -> Option<&Zone> {
+    pub fn zone(&self) -> Option<&Zone> {
         self.zone.as_ref()
     }
 
@@ -56,54 +56,54 @@
     ///
     /// # Errors
     /// The code to answer with; nothing has changed.
-    pub fn update(&mut self, update: &Message, names: &Names) -> Result<Vec<String>, Rcode> {
+    pub fn apply_update(&mut self, update: &Message, names: &Names) -> Result<Vec<String>, Rcode> {
         let new = update::apply(self.zone.as_ref().ok_or(Rcode::NOTAUTH)?, update)?;
         let mut told = Vec::new();
-        let engines = engines(&new, names, &mut told);
+        let engines = engines_of_zone(&new, names, &mut told);
         self.serial = new.serial();
         self.zone = Some(new);
-        self.believe(&engines);
+        self.apply(&engines);
         Ok(told)
     }
 
     /// Reads S-expressions.
-    pub fn forms(&mut self, text: &str, names: &Names) -> (Verdict, Vec<String>) {
+    pub fn read_expressions(&mut self, text: &str, names: &Names) -> (ReadOutcome, Vec<String>) {
         match list::parse(text, names) {
             Ok(reading) => {
                 let told = reading.mistakes.iter().map(ToString::to_string).collect();
-                (self.believe(&reading), told)
+                (self.apply(&reading), told)
             }
-            Err(mistake) => (Verdict::Stands(mistake.to_string()), Vec::new()),
+            Err(mistake) => (ReadOutcome::Rejected(mistake.to_string()), Vec::new()),
         }
     }
 
     /// Reads a zone file. One that is cut off, has no start of authority, or an older serial than was seen, is not believed; a
     /// damaged record keeps what was known of its engine.
-    pub fn zone(
+    pub fn read_zone_file(
         &mut self,
         text: &str,
         origin: &Name,
         names: &Names,
         include: &mut dyn FnMut(&str) -> Result<String, String>,
-    ) -> (Verdict, Vec<String>) {
+    ) -> (ReadOutcome, Vec<String>) {
         let reading = master::read(text, origin, include);
         let mut told: Vec<String> = reading.mistakes.iter().map(ToString::to_string).collect();
         if reading.cut {
-            return (Verdict::Stands("it is cut off".into()), told);
+            return (ReadOutcome::Rejected("it is cut off".into()), told);
         }
         let (zone, wrong) = master::zone(origin, &reading);
         told.extend(wrong);
         let Some(serial) = zone.serial() else {
-            return (Verdict::Stands("it has no start of authority".into()), told);
+            return (ReadOutcome::Rejected("it has no start of authority".into()), told);
         };
         if self.serial.is_some_and(|seen| serial::is_newer(seen, serial)) {
             let seen = self.serial.unwrap_or_default();
             return (
-                Verdict::Stands(format!("its serial {serial} is older than {seen}, which was seen")),
+                ReadOutcome::Rejected(format!("its serial {serial} is older than {seen}, which was seen")),
                 told,
             );
         }
-        let mut engines = engines(&zone, names, &mut told);
+        let mut engines = engines_of_zone(&zone, names, &mut told);
         // A record that cannot be read may have been an engine's: what is known of names that the file still mentions, or that
         // stood on damaged lines, is kept.
         let damaged_lines: Vec<&str> =
@@ -117,17 +117,17 @@
         }
         self.serial = Some(serial);
         self.zone = Some(zone);
-        (self.believe(&engines), told)
+        (self.apply(&engines), told)
     }
 
-    fn believe(&mut self, reading: &ParsedList) -> Verdict {
+    fn apply(&mut self, reading: &ParsedList) -> ReadOutcome {
         self.known = list::merge(&self.known, reading);
-        Verdict::Holds(self.known.clone())
+        ReadOutcome::Applied(self.known.clone())
     }
 }
 
 /// The engines of a zone; what is wrong with one is added to `told`.
-pub fn engines(zone: &Zone, names: &Names, told: &mut Vec<String>) -> ParsedList {
+pub fn engines_of_zone(zone: &Zone, names: &Names, told: &mut Vec<String>) -> ParsedList {
     let mut reading = ParsedList::default();
     let mut owners: Vec<Name> =
         zone.records().filter(|r| r.data.kind() == Type::SRV).map(|r| r.name).collect();
@@ -227,15 +227,15 @@
         Name::parse("fleet.example.", &Name::root()).unwrap()
     }
 
-    fn read(m: &mut Membership, text: &str) -> (Verdict, Vec<String>) {
-        m.zone(text, &origin(), &names(), &mut |_| Err("none".into()))
+    fn read(m: &mut EngineRegistry, text: &str) -> (ReadOutcome, Vec<String>) {
+        m.read_zone_file(text, &origin(), &names(), &mut |_| Err("none".into()))
     }
 
     #[test]
     fn engines_are_listed_by_a_zone() {
-        let mut m = Membership::default();
+        let mut m = EngineRegistry::default();
         let (verdict, told) = read(&mut m, ZONE);
-        let Verdict::Holds(list) = verdict else { panic!("{verdict:?}") };
+        let ReadOutcome::Applied(list) = verdict else { panic!("{verdict:?}") };
         assert!(told.is_empty(), "{told:?}");
         let (e1, e2) = (&list["e1"], &list["e2"]);
         assert_eq!((e1.address.port(), e1.entry.weight, e1.entry.came_up), (9001, 10.0, 5000));
@@ -245,7 +245,7 @@
 
     #[test]
     fn a_damaged_record_keeps_what_was_known_and_a_damaged_file_empties_nothing() {
-        let mut m = Membership::default();
+        let mut m = EngineRegistry::default();
         read(&mut m, ZONE);
         // Its line cannot be read, its terms cannot, its host has no address.
         for (from, to) in [
@@ -254,27 +254,30 @@
             ("9001 host", "9001 gone"),
         ] {
             let (verdict, told) = read(&mut m, &ZONE.replace(from, to));
-            assert_eq!(verdict, Verdict::Holds(m.list().clone()));
-            assert!(m.list().contains_key("e1") && m.list().len() == 2 && !told.is_empty(), "{to}: {told:?}");
+            assert_eq!(verdict, ReadOutcome::Applied(m.engines().clone()));
+            assert!(
+                m.engines().contains_key("e1") && m.engines().len() == 2 && !told.is_empty(),
+                "{to}: {told:?}"
+            );
         }
         for text in [&ZONE[..ZONE.len() - 12], "", "$TTL 5\nhost A 127.0.0.1\n"] {
-            assert!(matches!(read(&mut m, text).0, Verdict::Stands(_)), "{text}");
-            assert_eq!(m.list().len(), 2);
+            assert!(matches!(read(&mut m, text).0, ReadOutcome::Rejected(_)), "{text}");
+            assert_eq!(m.engines().len(), 2);
         }
     }
 
     #[test]
     fn an_older_version_does_not_undo_a_newer_one_also_where_serials_wrap() {
-        let mut m = Membership::default();
+        let mut m = EngineRegistry::default();
         let version = |serial: u32, engine: &str| {
             format!("$TTL 5\n@ SOA ns h {serial} 1 1 1 1\nhost A 127.0.0.1\n{engine} SRV 0 0 1 host\n")
         };
         read(&mut m, &version(u32::MAX, "e1"));
-        assert!(matches!(read(&mut m, &version(1, "e2")).0, Verdict::Holds(_)));
-        assert!(matches!(read(&mut m, &version(u32::MAX, "e1")).0, Verdict::Stands(_)));
-        assert_eq!(m.list().keys().collect::<Vec<_>>(), ["e2"]);
+        assert!(matches!(read(&mut m, &version(1, "e2")).0, ReadOutcome::Applied(_)));
+        assert!(matches!(read(&mut m, &version(u32::MAX, "e1")).0, ReadOutcome::Rejected(_)));
+        assert_eq!(m.engines().keys().collect::<Vec<_>>(), ["e2"]);
         // What a whole and newer zone does not name any more is gone, all of them too.
         read(&mut m, "$TTL 5\n@ SOA ns h 2 1 1 1 1\n");
-        assert!(m.list().is_empty());
+        assert!(m.engines().is_empty());
     }
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -49,7 +49,7 @@
         ];
         let mut members = BTreeMap::new();
         if let Some(peers) = host.peers() {
-            let view = peers.view();
+            let view = peers.status();
             members.extend(
                 ["alive", "suspect", "dead", "left"]
                     .map(|state| (state, view.members.iter().filter(|m| m.state == state).count() as i64)),
@@ -63,7 +63,7 @@
             ]);
         }
         if let Some(custody) = host.custody() {
-            let standing = custody.standing(host);
+            let standing = custody.status(host);
             counters.extend([
                 ("statements_adopted", "Statements taken over from other gateways", standing.adopted),
                 ("statements_left", "Statements left to other gateways", standing.left),
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -34,10 +34,10 @@
 mod known;
 mod told;
 
-pub use told::{ask, ChangeRow, Counts, Forecast, LineRow, SiteRow, Standing};
+pub use told::{fetch_status, Counts, Forecast, ForecastLine, SiteChange, SiteStatus, SitesStatus};
 
 /// The first octet of what is said over membership: a datagram of summaries, or a witness's word.
-pub const SAID: u8 = 0xD6;
+pub const MESSAGE_TAG: u8 = 0xD6;
 const PAGES_SAID: u8 = 1;
 const WITNESS: u8 = 2;
 /// Between two looks.
@@ -95,7 +95,7 @@
     taught: (Micros, Totals),
     came: BTreeMap<usize, u64>,
     opening: Option<Forecast>,
-    changes: VecDeque<ChangeRow>,
+    changes: VecDeque<SiteChange>,
     keep: [Vec<f64>; 2],
     counts: Counts,
 }
@@ -149,7 +149,7 @@
             step: terms.limit_step,
             every: terms.limit_interval,
         };
-        let (me, _) = peers.me();
+        let (me, _) = peers.local_member();
         let names = terms.sites.iter().map(|s| s.name.clone()).collect();
         let sights = Observations::new(&terms.site_tag, names, terms.own_site, &settings.classes);
         host.with_core(|core, _| core.observe(sights));
@@ -186,17 +186,17 @@
     }
 
     /// The share of the fleet that is in force where membership gives this one.
-    pub(crate) fn share(&self, part: f64) -> f64 {
+    pub(crate) fn effective_share(&self, part: f64) -> f64 {
         self.least.get().map_or(part, |least| part.max(least))
     }
 
     /// This process stood still.
-    pub(crate) fn paused(&self, host: &Rc<Host>, span: Micros) {
+    pub(crate) fn record_pause(&self, host: &Rc<Host>, span: Micros) {
         self.inner.borrow_mut().watch.take(host.now(), Evidence::Paused(span));
     }
 
     /// Another gateway has said something.
-    pub(crate) fn heard(&self, host: &Rc<Host>, from: &str, bytes: &[u8]) {
+    pub(crate) fn receive_message(&self, host: &Rc<Host>, from: &str, bytes: &[u8]) {
         let (begun, now) = (Instant::now(), host.now());
         let mut inner = self.inner.borrow_mut();
         let inner = &mut *inner;
@@ -235,19 +235,19 @@
     }
 
     /// The places of the sites of these engines, by name, as the section tells them.
-    pub(crate) fn sites_of(&self, host: &Host, engines: &[EngineRecord]) -> BTreeMap<String, usize> {
+    pub(crate) fn engine_sites(&self, host: &Host, engines: &[EngineRecord]) -> BTreeMap<String, usize> {
         engines.iter().filter_map(|r| Some((r.name.clone(), self.site_of(host, r)?))).collect()
     }
 
     /// The places of the sites whose engines are not to be reckoned with: lost, or cut off from here.
-    pub(crate) fn away(&self) -> Vec<usize> {
+    pub(crate) fn unreachable_sites(&self) -> Vec<usize> {
         let inner = self.inner.borrow();
         let is_away = |&site: &usize| inner.watch.state(site).is_some_and(|(state, _, _)| state.is_away());
         (0..self.terms.sites.len()).filter(is_away).collect()
     }
 
     fn site_of_member(&self, name: &str) -> Option<usize> {
-        let seen = self.peers.seen().into_iter().find(|s| s.record.name == name)?;
+        let seen = self.peers.members().into_iter().find(|s| s.record.name == name)?;
         self.terms.sites.iter().position(|s| s.name == seen.record.site)
     }
 
@@ -277,7 +277,7 @@
             self.speak(inner, now, &mut said);
         }
         for (to, bytes) in said {
-            self.peers.say(host, &to, &bytes);
+            self.peers.send_message(host, &to, &bytes);
         }
         self.act(host);
         self.inner.borrow_mut().counts.spent += begun.elapsed().as_micros() as u64;
@@ -287,7 +287,8 @@
     fn engines(&self, host: &Host, inner: &mut Inner, now: Micros) {
         let listed: Vec<EngineRecord> = host.read_core(|core| core.engines().cloned().collect());
         // What is worked on in a window of maintenance is no loss.
-        let windows = host.windows.borrow().as_ref().map(|windows| windows.away()).unwrap_or_default();
+        let windows =
+            host.windows.borrow().as_ref().map(|windows| windows.drained_engines()).unwrap_or_default();
         let mut gone: Vec<EngineId> = inner.engines.keys().copied().collect();
         for record in &listed {
             let (engine, Some(site)) = (record.entry.engine, self.site_of(host, record)) else { continue };
@@ -393,7 +394,7 @@
 
     /// What membership believes.
     fn members(&self, inner: &mut Inner, now: Micros) {
-        for seen in self.peers.seen() {
+        for seen in self.peers.members() {
             let Some(site) = self.terms.sites.iter().position(|s| s.name == seen.record.site) else {
                 continue;
             };
@@ -406,7 +407,7 @@
             let member = fnv1a(&seen.record.name);
             inner.watch.take(now, Evidence::Member { site, member, sign });
         }
-        let stands = match self.peers.standing().0 {
+        let stands = match self.peers.standing_and_share().0 {
             Stands::Whole => OwnStanding::Whole,
             _ => OwnStanding::Doubtful,
         };
@@ -420,7 +421,7 @@
     fn changed(&self, host: &Host, inner: &mut Inner, now: Micros, change: Change) {
         inner.act.site(now, change);
         if change.was != change.state {
-            let row = ChangeRow {
+            let row = SiteChange {
                 at: now,
                 site: self.name(change.site),
                 was: change.was.word().into(),
@@ -512,11 +513,11 @@
         }
         let live = |s: &violetward_membership::Seen| s.record.state <= Lives::Suspect;
         let mut names: Vec<String> =
-            self.peers.seen().into_iter().filter(live).map(|s| s.record.name).collect();
+            self.peers.members().into_iter().filter(live).map(|s| s.record.name).collect();
         for place in 0..names.len().min(SPEAK.1) {
             let drawn = rand::random_range(place..names.len());
             names.swap(place, drawn);
-            let bytes = [&[SAID, WITNESS], word.as_slice()].concat();
+            let bytes = [&[MESSAGE_TAG, WITNESS], word.as_slice()].concat();
             inner.counts.sent = (inner.counts.sent.0 + 1, inner.counts.sent.1 + bytes.len() as u64);
             said.push((names[place].clone(), bytes));
         }
@@ -531,7 +532,7 @@
                 Effect::Share(least) => {
                     tracing::info!(least, acts = self.terms.enforce, "share that a loss gives");
                     self.least.set(least.filter(|_| self.terms.enforce));
-                    let share = self.share(self.peers.standing().1);
+                    let share = self.effective_share(self.peers.standing_and_share().1);
                     host.with_core(|core, now| core.set_share(now, share));
                 }
                 Effect::Narrow(_) => self.narrow(host),
--- a/crates/gateway/src/outage/known.rs
+++ b/crates/gateway/src/outage/known.rs
@@ -14,11 +14,11 @@
         if now >= inner.spread.next_poll_at() {
             let live = |s: &violetward_membership::Seen| s.record.state <= Lives::Suspect;
             let members =
-                || self.peers.seen().into_iter().filter(live).map(|s| s.record.name).collect::<Vec<_>>();
+                || self.peers.members().into_iter().filter(live).map(|s| s.record.name).collect::<Vec<_>>();
             let sums = self.sums(host, inner);
             let out = inner.spread.poll(now, members, || sums, &mut inner.own, &mut inner.digest);
             for (to, pages) in out {
-                let mut bytes = vec![SAID, PAGES_SAID];
+                let mut bytes = vec![MESSAGE_TAG, PAGES_SAID];
                 bytes.extend(pages);
                 inner.counts.sent = (inner.counts.sent.0 + 1, inner.counts.sent.1 + bytes.len() as u64);
                 said.push((to, bytes));
--- a/crates/gateway/src/outage/told.rs
+++ b/crates/gateway/src/outage/told.rs
@@ -21,7 +21,7 @@
 /// A site, as `/v1/sites` tells it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct SiteRow {
+pub struct SiteStatus {
     /// Its name.
     pub name: String,
     /// `whole`, `doubtful`, `partly-lost`, `cut-off`, `lost` or `returning`.
@@ -38,7 +38,7 @@
 
 /// A change of a site's state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ChangeRow {
+pub struct SiteChange {
     /// When, microseconds since the Unix epoch.
     pub at: u64,
     /// The site.
@@ -53,7 +53,7 @@
 
 /// One class of one site's clients in a forecast, requests a second.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct LineRow {
+pub struct ForecastLine {
     /// Whose clients.
     pub site: String,
     /// The class.
@@ -88,12 +88,12 @@
     /// Worth a second that each site's own clients lose.
     pub displaced: Vec<(String, f64)>,
     /// The first one is kept first, the last one refused first.
-    pub lines: Vec<LineRow>,
+    pub lines: Vec<ForecastLine>,
 }
 
 /// What `/v1/sites` tells.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct SitesStatus {
     /// This gateway and its site.
     pub name: String,
     /// See `name`.
@@ -101,7 +101,7 @@
     /// What follows from a loss is done, not only told.
     pub acts: bool,
     /// All sites.
-    pub sites: Vec<SiteRow>,
+    pub sites: Vec<SiteStatus>,
     /// The least share of the fleet that a loss gives this gateway, and the share in force.
     pub share: (Option<f64>, f64),
     /// Parts of requests that are let in, by class: of own clients and of guests. Empty: all.
@@ -111,14 +111,14 @@
     /// What the present limits opened with, or the last ones did.
     pub opening: Option<Forecast>,
     /// The last changes of states.
-    pub changes: Vec<ChangeRow>,
+    pub changes: Vec<SiteChange>,
     /// Gateways of which summaries are known.
     pub origins: usize,
     /// What it costs.
     pub counts: Counts,
 }
 
-impl std::fmt::Display for Standing {
+impl std::fmt::Display for SitesStatus {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         for s in &self.sites {
             write!(f, "\nsite {:<12} {:<12} {}", s.name, s.state, s.why)?;
@@ -139,7 +139,7 @@
         let lost = p.loss.engines.iter().enumerate().filter(|(_, left)| **left < 1.0);
         let lost = lost.map(|(site, _)| self.name(site)).collect();
         let class = |n: usize| host.config.names.classes.get(n).cloned().unwrap_or_default();
-        let line = |l: &violetward_site::projection::Line| LineRow {
+        let line = |l: &violetward_site::projection::Line| ForecastLine {
             site: self.name(l.site),
             class: class(l.class),
             asked: l.asked,
@@ -161,12 +161,12 @@
     }
 
     /// What is known.
-    pub fn standing(&self, host: &Rc<Host>) -> Standing {
+    pub fn status(&self, host: &Rc<Host>) -> SitesStatus {
         let (now, inner) = (host.now(), self.inner.borrow());
         let row = |site: usize| {
             let (state, since, why) =
                 inner.watch.state(site).unwrap_or((State::Whole, now, Default::default()));
-            SiteRow {
+            SiteStatus {
                 name: self.name(site),
                 state: state.word().into(),
                 since,
@@ -180,12 +180,12 @@
         let part = |kept: &Vec<f64>, n: usize| kept.get(n).copied().unwrap_or(1.0);
         let keep = classes.map(|(n, c)| (c.clone(), (part(&inner.keep[0], n), part(&inner.keep[1], n))));
         let project = |site: usize| Some(self.forecast(host, &inner.act.project(now, &Loss::of(site))?, now));
-        Standing {
+        SitesStatus {
             name: inner.own.origin().to_owned(),
             site: self.name(self.terms.own_site),
             acts: self.terms.enforce,
             sites: all.clone().map(row).collect(),
-            share: (self.least.get(), self.share(self.peers.standing().1)),
+            share: (self.least.get(), self.effective_share(self.peers.standing_and_share().1)),
             keep: if inner.keep[0].is_empty() { BTreeMap::new() } else { keep.collect() },
             projected: all.filter_map(project).collect(),
             opening: inner.opening.clone(),
@@ -200,6 +200,6 @@
 ///
 /// # Errors
 /// What it answers instead, or why it does not.
-pub async fn ask(address: SocketAddr) -> Result<Standing, String> {
+pub async fn fetch_status(address: SocketAddr) -> Result<SitesStatus, String> {
     crate::fetch::get_json(address, "/v1/sites").await
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -40,7 +40,7 @@
 /// A member, as `/v1/members` tells it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct MemberRow {
+pub struct MemberStatus {
     /// Its name.
     pub name: String,
     /// Its site.
@@ -62,7 +62,7 @@
 /// What `/v1/members` tells.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct View {
+pub struct MembershipStatus {
     /// This gateway's own name and how it stands with the others.
     pub name: String,
     /// See `name`.
@@ -74,7 +74,7 @@
     /// Its own work asked for, core milliseconds a second.
     pub demand: f64,
     /// All others that are remembered.
-    pub members: Vec<MemberRow>,
+    pub members: Vec<MemberStatus>,
     /// Datagrams and octets sent and taken, and datagrams refused: unreadable, oversized, of an unknown key, forged, replayed,
     /// unproved.
     pub sent: (u64, u64),
@@ -187,14 +187,14 @@
             Effect::Send(to, bytes) => self.datagrams.send(to, &bytes),
             Effect::Share(part) => {
                 tracing::debug!(part, "share of the fleet");
-                let part = host.outage().map_or(part, |outage| outage.share(part));
+                let part = host.outage().map_or(part, |outage| outage.effective_share(part));
                 host.with_core(|core, now| core.set_share(now, part));
             }
-            Effect::Heard(from, bytes) if bytes.first() == Some(&custody::SAID) => {
-                host.custody().iter().for_each(|custody| custody.heard(host, &from, &bytes[1..]));
+            Effect::Heard(from, bytes) if bytes.first() == Some(&custody::MESSAGE_TAG) => {
+                host.custody().iter().for_each(|custody| custody.receive_message(host, &from, &bytes[1..]));
             }
-            Effect::Heard(from, bytes) if bytes.first() == Some(&outage::SAID) => {
-                host.outage().iter().for_each(|outage| outage.heard(host, &from, &bytes[1..]));
+            Effect::Heard(from, bytes) if bytes.first() == Some(&outage::MESSAGE_TAG) => {
+                host.outage().iter().for_each(|outage| outage.receive_message(host, &from, &bytes[1..]));
             }
             Effect::Heard(from, bytes) => {
                 let agreed = host.agreed.borrow().clone();
@@ -207,12 +207,12 @@
                         let was = was.map_or("unknown", word);
                         let state = word(state);
                         tracing::info!(member = name, was, state, incarnation, at, "member");
-                        host.custody().iter().for_each(|custody| custody.members(host));
+                        host.custody().iter().for_each(|custody| custody.update_members(host));
                     }
                     Change::Standing(standing) => tracing::info!(standing = standing.word(), at, "standing"),
                     Change::Paused(span) => {
                         tracing::warn!(ms = span / 1000, at, "this process stood still");
-                        host.outage().iter().for_each(|outage| outage.paused(host, span));
+                        host.outage().iter().for_each(|outage| outage.record_pause(host, span));
                     }
                     Change::Link(name, link) => {
                         tracing::info!(member = name, link = link_word(link), at, "link")
@@ -261,35 +261,35 @@
     }
 
     /// Says something to a member that is not membership's own.
-    pub fn say(&self, host: &Rc<Host>, name: &str, bytes: &[u8]) {
+    pub fn send_message(&self, host: &Rc<Host>, name: &str, bytes: &[u8]) {
         self.with(host, |m, now| m.say(now, name, bytes));
     }
 
     /// Says something to all that live.
-    pub fn say_all(&self, host: &Rc<Host>, bytes: &[u8]) {
-        self.say_some(host, bytes, usize::MAX);
+    pub fn broadcast(&self, host: &Rc<Host>, bytes: &[u8]) {
+        self.send_to_sample(host, bytes, usize::MAX);
     }
 
     /// Says something to some of those that live, drawn anew each time.
-    pub fn say_some(&self, host: &Rc<Host>, bytes: &[u8], most: usize) {
+    pub fn send_to_sample(&self, host: &Rc<Host>, bytes: &[u8], most: usize) {
         let lives = |seen: &violetward_membership::Seen| seen.record.state <= State::Suspect;
         let mut names: Vec<String> =
             self.membership.borrow().view().filter(lives).map(|seen| seen.record.name).collect();
         for place in 0..names.len().min(most) {
             let drawn = rand::random_range(place..names.len());
             names.swap(place, drawn);
-            self.say(host, &names[place], bytes);
+            self.send_message(host, &names[place], bytes);
         }
     }
 
     /// This one's life and site.
-    pub fn me(&self) -> (Life, String) {
+    pub fn local_member(&self) -> (Life, String) {
         let m = self.membership.borrow();
         (Life { name: m.me().name.clone(), life: m.me().life }, m.me().site.clone())
     }
 
     /// Work that clients ask for at all that live, by class: core milliseconds a second.
-    pub fn demand_of_all(&self) -> Vec<f64> {
+    pub fn total_demand(&self) -> Vec<f64> {
         let m = self.membership.borrow();
         let others: Vec<Demand> = m
             .view()
@@ -301,35 +301,35 @@
     }
 
     /// How this one stands with the others, and its part of the fleet.
-    pub fn standing(&self) -> (Standing, f64) {
+    pub fn standing_and_share(&self) -> (Standing, f64) {
         let m = self.membership.borrow();
         (m.standing(), m.share())
     }
 
     /// All other members that are remembered.
-    pub fn seen(&self) -> Vec<violetward_membership::Seen> {
+    pub fn members(&self) -> Vec<violetward_membership::Seen> {
         self.membership.borrow().view().collect()
     }
 
     /// The names of all other members that are remembered.
-    pub fn names(&self) -> Vec<String> {
-        self.seen().into_iter().map(|seen| seen.record.name).collect()
+    pub fn member_names(&self) -> Vec<String> {
+        self.members().into_iter().map(|seen| seen.record.name).collect()
     }
 
     /// Where a member is reached by streams.
-    pub fn reached_at(&self, name: &str) -> Option<SocketAddr> {
+    pub fn stream_address(&self, name: &str) -> Option<SocketAddr> {
         let known = self.membership.borrow().view().find(|seen| seen.record.name == name);
         known.map(|seen| self.via.get(name).copied().unwrap_or(seen.record.address))
     }
 
     /// Whether nobody can say yet that this life of a gateway is over.
-    pub fn may_live(&self, life: &Life) -> bool {
+    pub fn may_be_alive(&self, life: &Life) -> bool {
         let known = self.membership.borrow().view().find(|seen| seen.record.name == life.name);
         known.is_some_and(|seen| seen.record.life == life.life && seen.record.state <= State::Suspect)
     }
 
     /// Whether this life of a gateway has been over for so long, as far as is known here.
-    pub fn gone_for(&self, life: &Life, now: u64, span: u64) -> bool {
+    pub fn ended_for(&self, life: &Life, now: u64, span: u64) -> bool {
         let known = self.membership.borrow().view().find(|seen| seen.record.name == life.name);
         known.is_none_or(|seen| {
             let over = seen.record.life != life.life || seen.record.state > State::Suspect;
@@ -338,13 +338,13 @@
     }
 
     /// Whether nobody doubts that this life of a gateway goes on.
-    pub fn lives(&self, life: &Life) -> bool {
+    pub fn is_alive(&self, life: &Life) -> bool {
         let known = self.membership.borrow().view().find(|seen| seen.record.name == life.name);
         known.is_some_and(|seen| seen.record.life == life.life && seen.record.state == State::Alive)
     }
 
     /// Where streams of records are taken: on the port of datagrams, once.
-    pub fn streams(&self) -> Option<Async<TcpListener>> {
+    pub fn take_stream_listener(&self) -> Option<Async<TcpListener>> {
         self.streams.borrow_mut().take()
     }
 
@@ -354,9 +354,9 @@
     }
 
     /// What is known.
-    pub fn view(&self) -> View {
+    pub fn status(&self) -> MembershipStatus {
         let m = self.membership.borrow();
-        let row = |seen: violetward_membership::Seen| MemberRow {
+        let row = |seen: violetward_membership::Seen| MemberStatus {
             name: seen.record.name,
             site: seen.record.site,
             address: seen.record.address.to_string(),
@@ -367,7 +367,7 @@
             demand: seen.record.demand.total(),
         };
         let counts = m.counts;
-        View {
+        MembershipStatus {
             name: m.me().name.clone(),
             standing: Standing::word(m.standing()).into(),
             address: m.me().address.to_string(),
@@ -389,11 +389,11 @@
 ///
 /// # Errors
 /// What it answers instead, or why it does not.
-pub async fn ask(address: SocketAddr) -> Result<View, String> {
+pub async fn fetch_status(address: SocketAddr) -> Result<MembershipStatus, String> {
     crate::fetch::get_json(address, "/v1/members").await
 }
 
-impl std::fmt::Display for View {
+impl std::fmt::Display for MembershipStatus {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let living = self.members.iter().filter(|m| m.state == "alive" || m.state == "suspect").count();
         writeln!(
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -22,7 +22,7 @@
 use crate::custody_terms::CustodyTerms;
 use crate::front::Front;
 use crate::host::Host;
-use crate::membership::Membership;
+use crate::membership::EngineRegistry;
 use crate::notebook::Notebook;
 use crate::outage::Outage;
 use crate::peers::Peers;
@@ -99,8 +99,8 @@
     executor.spawn(host.clone().run_timers()).detach();
     executor.spawn(host.clone().run_status()).detach();
     executor.spawn(host.clone().run_releases()).detach();
-    let membership = Rc::new(RefCell::new(Membership::default()));
-    executor.spawn(watch::watch_engine_list(host.clone(), membership.clone())).detach();
+    let registry = Rc::new(RefCell::new(EngineRegistry::default()));
+    executor.spawn(watch::watch_engine_list(host.clone(), registry.clone())).detach();
     if let Some(terms) = host.config.peers.clone() {
         *host.peers.borrow_mut() = Some(Peers::start(&host, &terms)?);
     }
@@ -117,7 +117,7 @@
         Outage::start(&host, terms)?;
     }
     if let Some((listen, keys)) = host.config.zone_server.clone() {
-        ZoneServer::start(host.clone(), membership, ZoneUpdates::new(keys), listen)?;
+        ZoneServer::start(host.clone(), registry, ZoneUpdates::new(keys), listen)?;
     }
     if let Some(path) = host.config.sessions.key_file.clone() {
         let (key_host, interval) = (host.clone(), host.config.host.list_poll_interval);
@@ -149,10 +149,10 @@
     let missing = || std::io::Error::other("custody needs membership");
     let (peers, peer_terms) = host.peers().zip(host.config.peers.as_ref()).ok_or_else(missing)?;
     let keys = peer_terms.keys.clone();
-    let (life, _) = peers.me();
+    let (life, _) = peers.local_member();
     let me = Me { name: life.name, life: life.life };
     let station = Station::new(executor, host.clock, me, keys.clone(), Patience::default());
-    let listener = peers.streams().ok_or_else(missing)?;
+    let listener = peers.take_stream_listener().ok_or_else(missing)?;
     Custody::start(host, terms, station, keys, listener).map(|_| ())
 }
 
@@ -176,13 +176,13 @@
     // statements can be handed over only while this gateway counts as alive.
     let leave = || peers.iter().for_each(|peers| peers.leave(host));
     match &custody {
-        Some(custody) => custody.hand_over(host),
+        Some(custody) => custody.start_hand_over(host),
         None => leave(),
     }
     let open = host.read_core(|core| core.open());
     tracing::info!(open, "stopping: refusing new statements; accepted ones are answered here or handed over");
     let until = Instant::now() + within;
-    let all_handed_over = || custody.as_ref().is_none_or(|custody| custody.handed_over());
+    let all_handed_over = || custody.as_ref().is_none_or(|custody| custody.hand_over_complete());
     while (host.read_core(|core| core.undelivered()) > 0 || !all_handed_over()) && Instant::now() < until {
         violetward_net::sleep(CHECK_INTERVAL).await;
     }
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -5,10 +5,10 @@
 use std::time::{Instant, SystemTime};
 
 use crate::host::Host;
-use crate::membership::{Membership, Verdict};
+use crate::membership::{EngineRegistry, ReadOutcome};
 
 /// Reads the list whenever it changes, and says when it learned what. Never ends.
-pub async fn watch_engine_list(host: Rc<Host>, membership: Rc<RefCell<Membership>>) {
+pub async fn watch_engine_list(host: Rc<Host>, registry: Rc<RefCell<EngineRegistry>>) {
     let path = host.config.engines.clone();
     let mut seen: Option<(SystemTime, u64)> = None;
     let mut changed = Instant::now();
@@ -25,7 +25,7 @@
                 Ok(new) if new == text => {}
                 Ok(new) => {
                     text = new;
-                    take(&host, &text, &mut membership.borrow_mut());
+                    take(&host, &text, &mut registry.borrow_mut());
                 }
                 Err(e) => {
                     tracing::warn!(file = %path.display(), "the engine list cannot be read, the old one stands: {e}")
@@ -58,19 +58,19 @@
     }
 }
 
-fn take(host: &Rc<Host>, text: &str, membership: &mut Membership) {
+fn take(host: &Rc<Host>, text: &str, registry: &mut EngineRegistry) {
     let (file, names) = (host.config.engines.display().to_string(), &host.config.names);
-    let known = membership.list().clone();
+    let known = registry.engines().clone();
     let (verdict, told) = match &host.config.origin {
         Some(origin) => {
-            membership.zone(text, origin, names, &mut |name| read_include(&host.config.engines, name))
+            registry.read_zone_file(text, origin, names, &mut |name| read_include(&host.config.engines, name))
         }
-        None => membership.forms(text, names),
+        None => registry.read_expressions(text, names),
     };
     told.iter().for_each(|mistake| tracing::warn!("{file}:{mistake}"));
     let new = match verdict {
-        Verdict::Holds(new) => new,
-        Verdict::Stands(why) => {
+        ReadOutcome::Applied(new) => new,
+        ReadOutcome::Rejected(why) => {
             tracing::warn!("{file}: {why}; the old list stands");
             return;
         }
--- a/crates/gateway/src/windows.rs
+++ b/crates/gateway/src/windows.rs
@@ -73,7 +73,7 @@
 /// A window as `/v1/windows` tells it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Row {
+pub struct WindowStatus {
     /// Its name and its engines.
     pub name: String,
     /// See `name`.
@@ -95,7 +95,7 @@
 /// What `/v1/windows` tells.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Standing {
+pub struct WindowsStatus {
     /// The time of day as windows go by it.
     pub now: String,
     /// The wall clock was set: nothing begins until somebody says that it is right.
@@ -111,7 +111,7 @@
     /// See `down`.
     pub cold: Vec<String>,
     /// The windows that are known here.
-    pub windows: Vec<Row>,
+    pub windows: Vec<WindowStatus>,
     /// Classes of which it is not sure what they need now, and why.
     pub unsure: Vec<String>,
     /// What is wrong with the store of profiles.
@@ -194,17 +194,17 @@
     }
 
     /// The windows of each version that is acted on from now on; `None`: there is no lease.
-    pub fn versions(&self, versions: Option<Vec<Vec<Grant>>>) {
+    pub fn set_versions(&self, versions: Option<Vec<Vec<Grant>>>) {
         self.held.borrow_mut().versions(versions);
     }
 
     /// The wall clock was set on purpose and is right.
-    pub fn clock_is_right(&self) {
+    pub fn confirm_clock(&self) {
         self.held.borrow_mut().clock_is_right();
     }
 
     /// The engines that nothing new is sent to because of windows.
-    pub fn away(&self) -> BTreeSet<String> {
+    pub fn drained_engines(&self) -> BTreeSet<String> {
         self.held.borrow().away()
     }
 
@@ -212,7 +212,7 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn fit(&self, host: &Host, before: &Rules, asked: &Rules) -> Result<bool, String> {
+    pub fn check_rules(&self, host: &Host, before: &Rules, asked: &Rules) -> Result<bool, String> {
         let old = |g: &Grant| before.windows().iter().any(|b| b.name == g.name);
         let now = {
             let mut held = self.held.borrow_mut();
@@ -252,7 +252,7 @@
 
     /// Work asked for now in the whole fleet, as far as members tell it: core seconds a second of each class.
     fn demand(&self, host: &Host) -> Vec<(Needs, f64)> {
-        let told = host.peers().map(|p| p.demand_of_all()).unwrap_or_default();
+        let told = host.peers().map(|p| p.total_demand()).unwrap_or_default();
         let work = |class: usize| told.get(class).copied().unwrap_or(0.0) / 1e3;
         (0..self.names.classes.len()).map(|class| (cell(class), work(class))).collect()
     }
@@ -263,7 +263,7 @@
         down.extend(host.read_core(|core| core.unhealthy_engines()));
         let young = |r: &&EngineRecord| r.entry.came_up.saturating_add(self.terms.cover.warm) > now;
         let cold = fleet.engines.iter().filter(young).map(|r| r.name.clone()).collect();
-        let doubtful = host.outage().map(|outage| outage.away()).unwrap_or_default();
+        let doubtful = host.outage().map(|outage| outage.unreachable_sites()).unwrap_or_default();
         let doubtful = doubtful.into_iter().map(short).collect();
         Evidence { down, cold, doubtful, demand: self.demand(host) }
     }
@@ -286,7 +286,7 @@
         }
         let away = self.away.borrow().clone();
         let (engines, out, classes) = host.read_core(|core| core.fleet(&away));
-        let sites = host.outage().map(|outage| outage.sites_of(host, &engines)).unwrap_or_default();
+        let sites = host.outage().map(|outage| outage.engine_sites(host, &engines)).unwrap_or_default();
         let fleet = Fleet { engines, out, classes, sites };
         let (at, changed) = {
             let at = self.held.borrow_mut().now(now, wall());
@@ -309,7 +309,7 @@
         self.carry_out(host, now);
         // What is left out may be other engines now.
         agreed.iter().for_each(|a| a.refresh_rules(host));
-        *self.away.borrow_mut() = self.away();
+        *self.away.borrow_mut() = self.drained_engines();
     }
 
     fn carry_out(&self, host: &Rc<Host>, now: u64) {
@@ -389,7 +389,7 @@
     }
 
     /// What is known.
-    pub fn standing(&self, host: &Host) -> Standing {
+    pub fn status(&self, host: &Host) -> WindowsStatus {
         let now = host.now();
         let evidence = self.evidence(host, now);
         let mut held = self.held.borrow_mut();
@@ -404,7 +404,7 @@
                 Phase::Over => ("over", None),
                 Phase::Off(reason) => ("off", Some(reason.clone())),
             };
-            Row {
+            WindowStatus {
                 name: g.name.clone(),
                 engines: g.engines.iter().cloned().collect(),
                 from: timestamp::format(g.from),
@@ -420,7 +420,7 @@
             let why = profile.project(&cell(n), at).unsure?;
             Some(format!("{name}: {why}"))
         };
-        Standing {
+        WindowsStatus {
             now: timestamp::format(at),
             clock_was_set: held.clock_was_set(),
             lease: host.agreed.borrow().as_ref().is_some_and(|a| a.has_lease()),
@@ -454,7 +454,7 @@
 ///
 /// # Errors
 /// What it answers instead, or why it does not.
-pub async fn ask(address: SocketAddr) -> Result<Standing, String> {
+pub async fn fetch_status(address: SocketAddr) -> Result<WindowsStatus, String> {
     let body = crate::agreement::http_get(address, PATH).await?;
     serde_json::from_slice(&body).map_err(|e| e.to_string())
 }
--- a/crates/gateway/src/zone_server.rs
+++ b/crates/gateway/src/zone_server.rs
@@ -11,13 +11,13 @@
 use violetward_net::{sleep, timeout};
 
 use crate::host::Host;
-use crate::membership::Membership;
+use crate::membership::EngineRegistry;
 use crate::zone_updates::ZoneUpdates;
 
 /// The front: one zone, shared with the watcher of its file.
 pub struct ZoneServer {
     host: Rc<Host>,
-    membership: Rc<RefCell<Membership>>,
+    registry: Rc<RefCell<EngineRegistry>>,
     updates: RefCell<ZoneUpdates>,
 }
 
@@ -28,14 +28,14 @@
     /// If a socket cannot be bound.
     pub fn start(
         host: Rc<Host>,
-        membership: Rc<RefCell<Membership>>,
+        registry: Rc<RefCell<EngineRegistry>>,
         updates: ZoneUpdates,
         listen: std::net::SocketAddr,
     ) -> std::io::Result<std::net::SocketAddr> {
         let tcp = Async::<TcpListener>::bind(listen)?;
         let address = tcp.get_ref().local_addr()?;
         let udp = Async::<UdpSocket>::bind(address)?;
-        let front = Rc::new(ZoneServer { host: host.clone(), membership, updates: RefCell::new(updates) });
+        let front = Rc::new(ZoneServer { host: host.clone(), registry, updates: RefCell::new(updates) });
         host.spawn(front.clone().datagrams(udp));
         host.spawn(front.streams(tcp));
         tracing::info!(%address, "serving the zone");
@@ -45,14 +45,14 @@
     fn handle(&self, bytes: &[u8], stream: bool) -> Vec<Vec<u8>> {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
         let names = &self.host.config.names;
-        let mut membership = self.membership.borrow_mut();
-        let outcome = self.updates.borrow_mut().handle_message(now, bytes, stream, &mut membership, names);
+        let mut registry = self.registry.borrow_mut();
+        let outcome = self.updates.borrow_mut().handle_message(now, bytes, stream, &mut registry, names);
         if let Some(said) = &outcome.log_line {
             tracing::info!("{said}");
         }
         if outcome.changed {
-            let list = membership.list().clone();
-            drop(membership);
+            let list = registry.engines().clone();
+            drop(registry);
             self.host.update_engine_list(&list);
         }
         outcome.answers
--- a/crates/gateway/src/zone_updates.rs
+++ b/crates/gateway/src/zone_updates.rs
@@ -8,7 +8,7 @@
 use violetward_dns::tsig::{self, Key, Seconds};
 use violetward_dns::zone::Zone;
 
-use crate::membership::Membership;
+use crate::membership::EngineRegistry;
 use crate::terms::Names;
 
 /// Signatures that are remembered against replays, for as long as one could be believed.
@@ -45,7 +45,7 @@
         now: Seconds,
         bytes: &[u8],
         stream: bool,
-        membership: &mut Membership,
+        registry: &mut EngineRegistry,
         names: &Names,
     ) -> Outcome {
         let Ok(message) = Message::read(bytes) else {
@@ -64,16 +64,16 @@
         }
         match message.opcode {
             Opcode::QUERY => {
-                Outcome { answers: self.query(&message, stream, membership), ..Outcome::default() }
+                Outcome { answers: self.query(&message, stream, registry), ..Outcome::default() }
             }
-            Opcode::UPDATE => self.update(now, bytes, &message, membership, names),
+            Opcode::UPDATE => self.update(now, bytes, &message, registry, names),
             _ => Outcome { answers: vec![message.answer(Rcode::NOTIMP).write()], ..Outcome::default() },
         }
     }
 
-    fn query(&self, message: &Message, stream: bool, membership: &Membership) -> Vec<Vec<u8>> {
+    fn query(&self, message: &Message, stream: bool, registry: &EngineRegistry) -> Vec<Vec<u8>> {
         let refused = |code: Rcode| vec![message.answer(code).write()];
-        let (Some(zone), [question]) = (membership.served(), message.questions.as_slice()) else {
+        let (Some(zone), [question]) = (registry.zone(), message.questions.as_slice()) else {
             return refused(Rcode::REFUSED);
         };
         if !question.name.is_within(zone.origin()) || question.class != IN {
@@ -91,7 +91,7 @@
         now: Seconds,
         bytes: &[u8],
         message: &Message,
-        membership: &mut Membership,
+        registry: &mut EngineRegistry,
         names: &Names,
     ) -> Outcome {
         let verified = match tsig::verify(bytes, &self.keys, now, None) {
@@ -116,7 +116,7 @@
         let result = match unsigned {
             // What was done once is not done again: what came in between would be undone.
             Some(_) if replayed => Err(Rcode::REFUSED),
-            Some(update) => membership.update(&update, names),
+            Some(update) => registry.apply_update(&update, names),
             None => Err(Rcode::FORMERR),
         };
         self.seen.push_back((now, verified.mac.clone()));
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -218,8 +218,9 @@
     assert!(good && told.contains("- window w: e2 from"), "{told}");
     let (good, told) = propose(&at, &folder.file("none.lisp", ""), &[]);
     assert!(!good && told.contains("window w is not over"), "{told}");
-    let standing =
-        || futures_lite::future::block_on(windows::ask(at.parse().expect("an address"))).expect("told");
+    let standing = || {
+        futures_lite::future::block_on(windows::fetch_status(at.parse().expect("an address"))).expect("told")
+    };
     let start = Instant::now();
     while standing().windows.is_empty() {
         assert!(start.elapsed() < Duration::from_secs(20), "{:?}", standing());
@@ -239,8 +240,10 @@
 /// Waits until the gateway has read its list.
 fn listed(at: &str) {
     let (address, start) = (at.parse().expect("an address"), Instant::now());
-    let lease =
-        || futures_lite::future::block_on(windows::ask(address)).is_ok_and(|w| w.lease && w.engines == 3);
+    let lease = || {
+        futures_lite::future::block_on(windows::fetch_status(address))
+            .is_ok_and(|w| w.lease && w.engines == 3)
+    };
     while !lease() {
         assert!(start.elapsed() < Duration::from_secs(20), "no lease, or no list");
         std::thread::sleep(Duration::from_millis(20));
--- a/crates/gateway/tests/zone.rs
+++ b/crates/gateway/tests/zone.rs
@@ -5,7 +5,7 @@
 use violetward_dns::record::{Type, ANY, IN};
 use violetward_dns::tsig::{sign, verify, Key};
 use violetward_gateway::config::Names;
-use violetward_gateway::membership::Membership;
+use violetward_gateway::membership::EngineRegistry;
 use violetward_gateway::zone_updates::ZoneUpdates;
 
 const NOW: u64 = 1_796_000_000;
@@ -22,15 +22,15 @@
     Key { name: name("ops."), secret: b"sixteen bytes and more".to_vec() }
 }
 
-fn bed() -> (ZoneUpdates, Membership) {
-    let mut membership = Membership::default();
+fn bed() -> (ZoneUpdates, EngineRegistry) {
+    let mut registry = EngineRegistry::default();
     let mut text = "$TTL 5\n@ SOA ns h 5 1 1 1 1\nhost A 127.0.0.1\n".to_owned();
     for n in 0..150 {
         text += &format!("e{n} SRV 0 0 {} host\n", 9000 + n);
     }
-    membership.zone(&text, &name("fleet.example."), &names(), &mut |_| Err("none".into()));
-    assert_eq!(membership.list().len(), 150);
-    (ZoneUpdates::new(vec![key()]), membership)
+    registry.read_zone_file(&text, &name("fleet.example."), &names(), &mut |_| Err("none".into()));
+    assert_eq!(registry.engines().len(), 150);
+    (ZoneUpdates::new(vec![key()]), registry)
 }
 
 fn removal(id: u16, engines: &[&str]) -> Vec<u8> {
@@ -67,17 +67,17 @@
         (sign(&plain, &Key { name: name("else."), ..key() }, NOW, None).0, Rcode::NOTAUTH),
     ] {
         let outcome = updates.handle_message(NOW, &bytes, false, &mut m, &names());
-        assert!(!outcome.changed && outcome.log_line.is_some() && m.list().len() == 150);
+        assert!(!outcome.changed && outcome.log_line.is_some() && m.engines().len() == 150);
         assert_eq!(rcode(&outcome.answers), code);
     }
     let (signed, mac) = sign(&plain, &key(), NOW, None);
     let outcome = updates.handle_message(NOW, &signed, false, &mut m, &names());
-    assert!(outcome.changed && m.list().len() == 148);
+    assert!(outcome.changed && m.engines().len() == 148);
     assert!(
         verify(&outcome.answers[0], &[key()], NOW, Some(&mac)).is_ok(),
         "the answer is signed over the question"
     );
-    assert_eq!(m.served().unwrap().serial(), Some(6));
+    assert_eq!(m.zone().unwrap().serial(), Some(6));
     // An engine that is added again is not removed again by the same message, whatever its id says now.
     let mut replayed = signed.clone();
     replayed[1] ^= 1;
@@ -87,8 +87,8 @@
     }
     // The file that the zone was read from is older now.
     let text = "$TTL 5\n@ SOA ns h 5 1 1 1 1\nhost A 127.0.0.1\ne0 SRV 0 0 1 host\n";
-    m.zone(text, &name("fleet.example."), &names(), &mut |_| Err("none".into()));
-    assert_eq!(m.list().len(), 148);
+    m.read_zone_file(text, &name("fleet.example."), &names(), &mut |_| Err("none".into()));
+    assert_eq!(m.engines().len(), 148);
 }
 
 #[test]
--- a/crates/lab/src/cluster/check.rs
+++ b/crates/lab/src/cluster/check.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 use violetward_gateway::agreement::SettingsStatus;
-use violetward_gateway::peers::View;
+use violetward_gateway::peers::MembershipStatus;
 
 use super::custody;
 use super::plan::{Act, Plan};
@@ -24,15 +24,15 @@
     /// Which one.
     pub gateway: usize,
     /// What it said.
-    pub view: View,
+    pub view: MembershipStatus,
     /// How it stood with the settings, where there is agreement on them.
     pub settings: Option<SettingsStatus>,
     /// How custody stood, where there is any.
-    pub custody: Option<violetward_gateway::custody::Standing>,
+    pub custody: Option<violetward_gateway::custody::CustodyStatus>,
     /// How windows stood, where they are held.
-    pub windows: Option<violetward_gateway::windows::Standing>,
+    pub windows: Option<violetward_gateway::windows::WindowsStatus>,
     /// How the sites stood, where they are watched.
-    pub sites: Option<violetward_gateway::outage::Standing>,
+    pub sites: Option<violetward_gateway::outage::SitesStatus>,
 }
 
 /// What came of a run.
--- a/crates/lab/src/cluster/custody.rs
+++ b/crates/lab/src/cluster/custody.rs
@@ -82,7 +82,7 @@
         }
         found.gaps.sort_unstable();
         // The last word of each life counts.
-        let mut last: BTreeMap<&str, &violetward_gateway::custody::Standing> = BTreeMap::new();
+        let mut last: BTreeMap<&str, &violetward_gateway::custody::CustodyStatus> = BTreeMap::new();
         for standing in samples.iter().filter_map(|s| s.custody.as_ref()) {
             last.insert(&standing.life, standing);
         }
--- a/crates/lab/src/cluster/mod.rs
+++ b/crates/lab/src/cluster/mod.rs
@@ -522,7 +522,7 @@
         }
         let address = self.gateways.borrow()[number].address;
         for _ in 0..40 {
-            if let Ok(view) = peers::ask(address).await {
+            if let Ok(view) = peers::fetch_status(address).await {
                 self.doors.lead_to(number, view.address.parse().ok());
                 return;
             }
@@ -547,7 +547,7 @@
             };
             if let Some(address) = address.filter(|_| !self.options.even) {
                 let at = clock();
-                if let Ok(view) = peers::ask(address).await {
+                if let Ok(view) = peers::fetch_status(address).await {
                     let mut settings = None;
                     if self.plan.voters > 0 {
                         let known = self.versions.borrow().keys().next_back().copied().unwrap_or(0);
@@ -560,15 +560,15 @@
                     }
                     let mut custody = None;
                     if self.plan.keepers > 0 {
-                        custody = held::ask(address).await.ok();
+                        custody = held::fetch_status(address).await.ok();
                     }
                     let mut windows = None;
                     if self.plan.windows.is_some() {
-                        windows = gateway_windows::ask(address).await.ok();
+                        windows = gateway_windows::fetch_status(address).await.ok();
                     }
                     let mut sites = None;
                     if self.plan.acts_on_loss {
-                        sites = outage::ask(address).await.ok();
+                        sites = outage::fetch_status(address).await.ok();
                     }
                     let sample = Sample { at, gateway: number, view, settings, custody, windows, sites };
                     self.samples.borrow_mut().push(sample);
@@ -777,7 +777,7 @@
                     gateways[n].process.as_ref().map(|_| gateways[n].address)
                 };
                 let Some(address) = running else { continue };
-                let Ok(standing) = held::ask(address).await else { continue };
+                let Ok(standing) = held::fetch_status(address).await else { continue };
                 let taken = standing.adopted > before.get(&standing.life).copied().unwrap_or(0);
                 if taken && killed.len() < count {
                     self.kill(n);
@@ -844,7 +844,7 @@
             let asked = Instant::now();
             let says = async |name: &str| {
                 let address = self.gateways.borrow()[gateway].address;
-                let standing = gateway_windows::ask(address).await.ok()?;
+                let standing = gateway_windows::fetch_status(address).await.ok()?;
                 let open = windows::phase(&standing, name) == Some("open") && standing.lease;
                 Some((open, windows::phase(&standing, name).unwrap_or("unknown").to_owned()))
             };
@@ -945,7 +945,9 @@
         let mut targets: Vec<SocketAddr> = Vec::new();
         let gateways: Vec<SocketAddr> = self.gateways.borrow().iter().map(|g| g.address).collect();
         for gateway in gateways {
-            targets.extend(peers::ask(gateway).await.ok().and_then(|v| v.address.parse::<SocketAddr>().ok()));
+            targets.extend(
+                peers::fetch_status(gateway).await.ok().and_then(|v| v.address.parse::<SocketAddr>().ok()),
+            );
         }
         let mut forged = Vec::new();
         for n in 0..count {
--- a/crates/lab/src/cluster/windows.rs
+++ b/crates/lab/src/cluster/windows.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use violetward_gateway::timestamp;
-use violetward_gateway::windows::Standing;
+use violetward_gateway::windows::WindowsStatus;
 use violetward_standin::journal::What;
 use violetward_store::file::Files;
 use violetward_store::Store;
@@ -140,7 +140,7 @@
 }
 
 /// The phase of a window at a gateway, as it told it.
-pub fn phase<'a>(standing: &'a Standing, name: &str) -> Option<&'a str> {
+pub fn phase<'a>(standing: &'a WindowsStatus, name: &str) -> Option<&'a str> {
     standing.windows.iter().find(|w| w.name == name).map(|w| w.phase.as_str())
 }
 
@@ -378,7 +378,7 @@
 mod tests {
     use super::*;
     use crate::checker::GatewayLife;
-    use violetward_gateway::windows::Row;
+    use violetward_gateway::windows::WindowStatus;
     use violetward_standin::journal::Line;
 
     const S: u64 = 1_000_000;
@@ -388,9 +388,22 @@
         let engines: Vec<String> = away.iter().map(|e| (*e).to_owned()).collect();
         let (name, phase, text) = ("w".to_owned(), phase.to_owned(), String::new);
         let (from, until, by) = (text(), text(), text());
-        let row = Row { name, engines: vec!["e0".into()], from, until, by, off: false, phase, reason: None };
-        let windows =
-            Some(Standing { away: engines, windows: vec![row], lease: true, ..Standing::default() });
+        let row = WindowStatus {
+            name,
+            engines: vec!["e0".into()],
+            from,
+            until,
+            by,
+            off: false,
+            phase,
+            reason: None,
+        };
+        let windows = Some(WindowsStatus {
+            away: engines,
+            windows: vec![row],
+            lease: true,
+            ..WindowsStatus::default()
+        });
         Sample {
             at: at * S,
             gateway,
