--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,5 +1,5 @@
-//! Hands datagrams between the transport and membership, and passes on what follows from them: this gateway's share to its
-//! core, changes to the log. Decides nothing.
+//! Runs membership among gateways: moves datagrams between the transport and the protocol and applies the protocol's effects.
+//! The share of the fleet goes to the core, changes go to the log. All decisions are made in `violetward-membership`.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
@@ -22,77 +22,78 @@
 use crate::outage;
 use crate::watch;
 
-/// Over how long what clients ask for is averaged, and how often that is told.
-const AVERAGE: (Duration, Duration) = (Duration::from_secs(5), Duration::from_millis(500));
-/// Octets read at once: one more than any good datagram tells a longer one.
-const READ: usize = violetward_membership::wire::DATAGRAM + 1;
+/// Time constant of the moving average of the work that clients ask for.
+const DEMAND_AVERAGE_SPAN: Duration = Duration::from_secs(5);
+/// Interval at which the averaged demand is updated and announced to the other members.
+const DEMAND_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
+/// Size of the read buffer: one byte more than the longest valid datagram, so that an oversized one is recognized.
+const READ_BUFFER_BYTES: usize = violetward_membership::wire::DATAGRAM + 1;
 
-/// The other gateways, as this one knows them.
+/// Membership of this gateway: what it knows of the other gateways, and its link to them.
 pub struct Peers {
     membership: RefCell<Membership>,
-    /// Where to reach members that are not reached where they say.
-    via: std::collections::BTreeMap<String, SocketAddr>,
-    streams: RefCell<Option<Async<TcpListener>>>,
+    /// Addresses to use for members that cannot be reached at the address that they announce.
+    address_overrides: std::collections::BTreeMap<String, SocketAddr>,
+    stream_listener: RefCell<Option<Async<TcpListener>>>,
     datagrams: Datagrams,
     alarm: Alarm,
 }
 
-/// A member, as `/v1/members` tells it.
+/// A member in the answer of `/v1/members`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct MemberStatus {
-    /// Its name.
+    /// Name of the member.
     pub name: String,
-    /// Its site.
+    /// Site of the member.
     pub site: String,
-    /// Where it takes datagrams.
+    /// Address at which the member receives datagrams.
     pub address: String,
     /// `alive`, `suspect`, `dead` or `left`.
     pub state: String,
-    /// Its incarnation.
+    /// Incarnation number, which the member raises to refute a suspicion.
     pub incarnation: u32,
-    /// Since when, microseconds since the Unix epoch.
+    /// Time of the last change of state, in microseconds since the Unix epoch.
     pub since: u64,
-    /// `good`, `outbound` or `inbound`: which way is cut.
+    /// `good`, or the direction in which the link is cut: `outbound` or `inbound`.
     pub link: String,
-    /// Work that its clients ask for, core milliseconds a second.
+    /// Work that the member's clients ask for, in core milliseconds per second.
     pub demand: f64,
 }
 
-/// What `/v1/members` tells.
+/// The answer of `/v1/members`.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct MembershipStatus {
-    /// This gateway's own name and how it stands with the others.
+    /// Name of this gateway.
     pub name: String,
-    /// See `name`.
+    /// Reachability of this gateway among the others; see [`Standing`].
     pub standing: String,
-    /// Where it takes datagrams.
+    /// Address at which this gateway receives datagrams.
     pub address: String,
-    /// Its part of the fleet.
+    /// Share of the fleet's capacity that this gateway may use.
     pub share: f64,
-    /// Its own work asked for, core milliseconds a second.
+    /// Work that this gateway's own clients ask for, in core milliseconds per second.
     pub demand: f64,
-    /// All others that are remembered.
+    /// All other known members, including dead ones and those that left.
     pub members: Vec<MemberStatus>,
-    /// Datagrams and octets sent and taken, and datagrams refused: unreadable, oversized, of an unknown key, forged, replayed,
-    /// unproved.
+    /// Datagrams and bytes sent.
     pub sent: (u64, u64),
-    /// See `sent`.
+    /// Datagrams and bytes accepted.
     pub taken: (u64, u64),
-    /// See `sent`.
+    /// Refused datagrams by reason: malformed, oversized, unknown key, forged, replayed, sender not proved alive.
     pub refused: [u64; 6],
-    /// Pauses of this process that were noticed, suspicions raised, deaths declared, own refutations.
+    /// Pauses of this process that were detected.
     pub paused: u64,
-    /// See `paused`.
+    /// Suspicions that this gateway raised.
     pub suspected: u64,
-    /// See `paused`.
+    /// Members that this gateway declared dead.
     pub declared: u64,
-    /// See `paused`.
+    /// Suspicions of itself that this gateway refuted.
     pub refuted: u64,
 }
 
-fn word(state: State) -> &'static str {
+fn state_word(state: State) -> &'static str {
     match state {
         State::Alive => "alive",
         State::Suspect => "suspect",
@@ -113,18 +114,20 @@
     /// Starts the tasks of membership; they run as long as the host's executor does.
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// If the listening socket cannot be bound.
     pub fn start(host: &Rc<Host>, terms: &PeerTerms) -> std::io::Result<Rc<Peers>> {
-        // Streams of records are taken on the port of datagrams, where something stands on them.
-        let (datagrams, streams) = match host.config.custody {
-            Some(_) => sockets::bind(terms.listen).map(|(datagrams, streams)| (datagrams, Some(streams)))?,
+        // With custody, streams of records are accepted on the same port as the datagrams.
+        let (datagrams, stream_listener) = match host.config.custody {
+            Some(_) => {
+                sockets::bind(terms.listen).map(|(datagrams, listener)| (datagrams, Some(listener)))?
+            }
             None => (Datagrams::bind(terms.listen)?, None),
         };
         let address = match terms.advertise {
             Some(address) => address,
             None => datagrams.address()?,
         };
-        let known = Terms {
+        let membership_terms = Terms {
             name: terms.name.clone(),
             site: terms.site.clone(),
             address,
@@ -139,41 +142,42 @@
             plain: false,
         };
         tracing::info!(name = terms.name, site = terms.site, %address, "membership");
-        let membership = RefCell::new(Membership::new(known, rand::random(), host.now()));
+        let membership = RefCell::new(Membership::new(membership_terms, rand::random(), host.now()));
         let peers = Rc::new(Peers {
             membership,
-            via: terms.address_overrides.clone(),
-            streams: RefCell::new(streams),
+            address_overrides: terms.address_overrides.clone(),
+            stream_listener: RefCell::new(stream_listener),
             datagrams,
             alarm: Alarm::default(),
         });
-        host.spawn(peers.clone().read(host.clone()));
-        host.spawn(peers.clone().wake(host.clone()));
-        host.spawn(peers.clone().demand(host.clone()));
+        host.spawn(peers.clone().receive_datagrams(host.clone()));
+        host.spawn(peers.clone().run_timers(host.clone()));
+        host.spawn(peers.clone().announce_demand(host.clone()));
         if let Some(file) = terms.key_file.clone() {
-            let (of, to) = (peers.clone(), host.clone());
-            let take = move |text: &str| {
+            let (watching_peers, watching_host) = (peers.clone(), host.clone());
+            let apply_keys = move |text: &str| {
                 let keys = read_membership_keys(text)?;
-                to.custody().iter().for_each(|custody| custody.set_keys(keys.clone()));
-                of.membership.borrow_mut().keys(keys);
+                watching_host.custody().iter().for_each(|custody| custody.set_keys(keys.clone()));
+                watching_peers.membership.borrow_mut().keys(keys);
                 Ok(())
             };
-            host.spawn(watch::watch_key_file(file, host.config.host.list_poll_interval, take));
+            host.spawn(watch::watch_key_file(file, host.config.host.list_poll_interval, apply_keys));
         }
         Ok(peers)
     }
 
-    /// Nothing is waited for once this one has said good-bye.
+    /// Time of the next timer; `None` once this gateway has left, since no timer is pending then.
     fn next_wake(&self) -> Option<u64> {
         Some(self.membership.borrow().next_wake()).filter(|&at| at < u64::MAX)
     }
 
-    fn with<T>(&self, host: &Rc<Host>, act: impl FnOnce(&mut Membership, u64) -> T) -> T {
-        let result = act(&mut self.membership.borrow_mut(), host.now());
+    /// Runs `operation` on the protocol and applies the effects that it produces.
+    fn update<T>(&self, host: &Rc<Host>, operation: impl FnOnce(&mut Membership, u64) -> T) -> T {
+        let result = operation(&mut self.membership.borrow_mut(), host.now());
         loop {
             let effect = self.membership.borrow_mut().effect();
             match effect {
-                Some(effect) => self.carry_out(host, effect),
+                Some(effect) => self.apply_effect(host, effect),
                 None => break,
             }
         }
@@ -181,14 +185,14 @@
         result
     }
 
-    fn carry_out(&self, host: &Rc<Host>, effect: Effect) {
+    fn apply_effect(&self, host: &Rc<Host>, effect: Effect) {
         match effect {
-            // A full buffer, or a port that nobody listens on, is a datagram lost: the protocol bears that.
+            // A full send buffer or a closed port loses the datagram, which the protocol tolerates.
             Effect::Send(to, bytes) => self.datagrams.send(to, &bytes),
-            Effect::Share(part) => {
-                tracing::debug!(part, "share of the fleet");
-                let part = host.outage().map_or(part, |outage| outage.effective_share(part));
-                host.with_core(|core, now| core.set_share(now, part));
+            Effect::Share(share) => {
+                tracing::debug!(share, "share of the fleet changed");
+                let share = host.outage().map_or(share, |outage| outage.effective_share(share));
+                host.with_core(|core, now| core.set_share(now, share));
             }
             Effect::Heard(from, bytes) if bytes.first() == Some(&custody::MESSAGE_TAG) => {
                 host.custody().iter().for_each(|custody| custody.receive_message(host, &from, &bytes[1..]));
@@ -197,15 +201,15 @@
                 host.outage().iter().for_each(|outage| outage.receive_message(host, &from, &bytes[1..]));
             }
             Effect::Heard(from, bytes) => {
-                let agreed = host.agreed.borrow().clone();
-                agreed.iter().for_each(|agreed| agreed.receive(host, &from, &bytes));
+                let agreement = host.agreed.borrow().clone();
+                agreement.iter().for_each(|agreement| agreement.receive(host, &from, &bytes));
             }
             Effect::Told(change) => {
                 let at = host.now();
                 match change {
                     Change::Member { name, was, state, incarnation } => {
-                        let was = was.map_or("unknown", word);
-                        let state = word(state);
+                        let was = was.map_or("unknown", state_word);
+                        let state = state_word(state);
                         tracing::info!(member = name, was, state, incarnation, at, "member");
                         host.custody().iter().for_each(|custody| custody.update_members(host));
                     }
@@ -218,162 +222,168 @@
                         tracing::info!(member = name, link = link_word(link), at, "link")
                     }
                     Change::Rival(address) => {
-                        tracing::error!(%address, at, "another process has this one's name");
+                        tracing::error!(%address, at, "another process uses this gateway's name");
                     }
                 }
             }
         }
     }
 
-    async fn read(self: Rc<Self>, host: Rc<Host>) {
-        let mut bytes = vec![0; READ];
+    async fn receive_datagrams(self: Rc<Self>, host: Rc<Host>) {
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
         loop {
-            let (from, bytes) = self.datagrams.next(&mut bytes).await;
-            // What is due comes first: after a pause it is the wake-up that tells of it, not old datagrams.
+            let (from, bytes) = self.datagrams.next(&mut buffer).await;
+            // Due timers run first: the protocol detects a pause of this process by a late timer, and must do so before it
+            // handles datagrams that arrived during the pause.
             if self.membership.borrow().next_wake() <= host.now() {
-                self.with(&host, Membership::wake);
+                self.update(&host, Membership::wake);
             }
-            self.with(&host, |m, now| m.datagram(now, from, bytes));
+            self.update(&host, |m, now| m.datagram(now, from, bytes));
         }
     }
 
-    async fn wake(self: Rc<Self>, host: Rc<Host>) {
+    async fn run_timers(self: Rc<Self>, host: Rc<Host>) {
         loop {
             self.alarm.wait(&host.clock, || self.next_wake()).await;
-            self.with(&host, Membership::wake);
+            self.update(&host, Membership::wake);
             future::yield_now().await;
         }
     }
 
-    async fn demand(self: Rc<Self>, host: Rc<Host>) {
-        let mut before = host.read_core(|core| core.offered_work().to_vec());
-        let mut rates = vec![0.0; before.len()];
+    /// Announces the moving average of the work that this gateway's clients ask for.
+    async fn announce_demand(self: Rc<Self>, host: Rc<Host>) {
+        let mut previous = host.read_core(|core| core.offered_work().to_vec());
+        let mut rates = vec![0.0; previous.len()];
         loop {
-            violetward_net::sleep(AVERAGE.1).await;
+            violetward_net::sleep(DEMAND_UPDATE_INTERVAL).await;
             let offered = host.read_core(|core| core.offered_work().to_vec());
-            let keep = (-AVERAGE.1.as_secs_f64() / AVERAGE.0.as_secs_f64()).exp();
-            for ((rate, now), was) in rates.iter_mut().zip(&offered).zip(&before) {
-                *rate = *rate * keep + (now - was) / AVERAGE.1.as_secs_f64() * (1.0 - keep);
+            let interval_s = DEMAND_UPDATE_INTERVAL.as_secs_f64();
+            let decay = (-interval_s / DEMAND_AVERAGE_SPAN.as_secs_f64()).exp();
+            for ((rate, now), was) in rates.iter_mut().zip(&offered).zip(&previous) {
+                *rate = *rate * decay + (now - was) / interval_s * (1.0 - decay);
             }
-            before = offered;
+            previous = offered;
             self.membership.borrow_mut().demand(Demand::of(&rates));
         }
     }
 
-    /// Says something to a member that is not membership's own.
+    /// Sends a message of another protocol to a member.
     pub fn send_message(&self, host: &Rc<Host>, name: &str, bytes: &[u8]) {
-        self.with(host, |m, now| m.say(now, name, bytes));
+        self.update(host, |m, now| m.say(now, name, bytes));
     }
 
-    /// Says something to all that live.
+    /// Sends a message of another protocol to all members that are not dead or gone.
     pub fn broadcast(&self, host: &Rc<Host>, bytes: &[u8]) {
         self.send_to_sample(host, bytes, usize::MAX);
     }
 
-    /// Says something to some of those that live, drawn anew each time.
-    pub fn send_to_sample(&self, host: &Rc<Host>, bytes: &[u8], most: usize) {
-        let lives = |seen: &violetward_membership::Seen| seen.record.state <= State::Suspect;
+    /// Sends a message of another protocol to at most `max_members` random members that are not dead or gone.
+    pub fn send_to_sample(&self, host: &Rc<Host>, bytes: &[u8], max_members: usize) {
+        let is_live = |seen: &violetward_membership::Seen| seen.record.state <= State::Suspect;
         let mut names: Vec<String> =
-            self.membership.borrow().view().filter(lives).map(|seen| seen.record.name).collect();
-        for place in 0..names.len().min(most) {
-            let drawn = rand::random_range(place..names.len());
-            names.swap(place, drawn);
-            self.send_message(host, &names[place], bytes);
+            self.membership.borrow().view().filter(is_live).map(|seen| seen.record.name).collect();
+        for index in 0..names.len().min(max_members) {
+            let chosen = rand::random_range(index..names.len());
+            names.swap(index, chosen);
+            self.send_message(host, &names[index], bytes);
         }
     }
 
-    /// This one's life and site.
+    /// Name, incarnation and site of this gateway.
     pub fn local_member(&self) -> (Life, String) {
-        let m = self.membership.borrow();
-        (Life { name: m.me().name.clone(), life: m.me().life }, m.me().site.clone())
+        let membership = self.membership.borrow();
+        (
+            Life { name: membership.me().name.clone(), life: membership.me().life },
+            membership.me().site.clone(),
+        )
     }
 
-    /// Work that clients ask for at all that live, by class: core milliseconds a second.
+    /// Work that clients ask for at all live gateways, by class, in core milliseconds per second.
     pub fn total_demand(&self) -> Vec<f64> {
-        let m = self.membership.borrow();
-        let others: Vec<Demand> = m
+        let membership = self.membership.borrow();
+        let demands: Vec<Demand> = membership
             .view()
             .filter(|seen| seen.record.state <= State::Suspect)
             .map(|seen| seen.record.demand)
-            .chain([m.me().demand])
+            .chain([membership.me().demand])
             .collect();
-        (0..CLASSES).map(|class| others.iter().map(|d| d.class(class)).sum()).collect()
+        (0..CLASSES).map(|class| demands.iter().map(|demand| demand.class(class)).sum()).collect()
     }
 
-    /// How this one stands with the others, and its part of the fleet.
+    /// Reachability of this gateway among the others, and its share of the fleet.
     pub fn standing_and_share(&self) -> (Standing, f64) {
-        let m = self.membership.borrow();
-        (m.standing(), m.share())
+        let membership = self.membership.borrow();
+        (membership.standing(), membership.share())
     }
 
-    /// All other members that are remembered.
+    /// All other known members.
     pub fn members(&self) -> Vec<violetward_membership::Seen> {
         self.membership.borrow().view().collect()
     }
 
-    /// The names of all other members that are remembered.
+    /// Names of all other known members.
     pub fn member_names(&self) -> Vec<String> {
         self.members().into_iter().map(|seen| seen.record.name).collect()
     }
 
-    /// Where a member is reached by streams.
+    /// Address at which a member accepts streams.
     pub fn stream_address(&self, name: &str) -> Option<SocketAddr> {
         let known = self.membership.borrow().view().find(|seen| seen.record.name == name);
-        known.map(|seen| self.via.get(name).copied().unwrap_or(seen.record.address))
+        known.map(|seen| self.address_overrides.get(name).copied().unwrap_or(seen.record.address))
     }
 
-    /// Whether nobody can say yet that this life of a gateway is over.
+    /// Whether this process of a gateway is a known member that is alive or suspect.
     pub fn may_be_alive(&self, life: &Life) -> bool {
         let known = self.membership.borrow().view().find(|seen| seen.record.name == life.name);
         known.is_some_and(|seen| seen.record.life == life.life && seen.record.state <= State::Suspect)
     }
 
-    /// Whether this life of a gateway has been over for so long, as far as is known here.
+    /// Whether this process of a gateway is known to have ended at least `span` microseconds ago, or is not known at all.
     pub fn ended_for(&self, life: &Life, now: u64, span: u64) -> bool {
         let known = self.membership.borrow().view().find(|seen| seen.record.name == life.name);
         known.is_none_or(|seen| {
-            let over = seen.record.life != life.life || seen.record.state > State::Suspect;
-            over && now >= seen.since + span
+            let ended = seen.record.life != life.life || seen.record.state > State::Suspect;
+            ended && now >= seen.since + span
         })
     }
 
-    /// Whether nobody doubts that this life of a gateway goes on.
+    /// Whether this process of a gateway is a known member that is alive and not suspect.
     pub fn is_alive(&self, life: &Life) -> bool {
         let known = self.membership.borrow().view().find(|seen| seen.record.name == life.name);
         known.is_some_and(|seen| seen.record.life == life.life && seen.record.state == State::Alive)
     }
 
-    /// Where streams of records are taken: on the port of datagrams, once.
+    /// Listener for streams of records, on the port of the datagrams; only the first call gets it.
     pub fn take_stream_listener(&self) -> Option<Async<TcpListener>> {
-        self.streams.borrow_mut().take()
+        self.stream_listener.borrow_mut().take()
     }
 
-    /// Says good-bye: others take this one's share at once.
+    /// Announces that this gateway leaves, so that the others take over its share at once.
     pub fn leave(&self, host: &Rc<Host>) {
-        self.with(host, Membership::leave);
+        self.update(host, Membership::leave);
     }
 
-    /// What is known.
+    /// The answer of `/v1/members`.
     pub fn status(&self) -> MembershipStatus {
-        let m = self.membership.borrow();
+        let membership = self.membership.borrow();
         let row = |seen: violetward_membership::Seen| MemberStatus {
             name: seen.record.name,
             site: seen.record.site,
             address: seen.record.address.to_string(),
-            state: word(seen.record.state).into(),
+            state: state_word(seen.record.state).into(),
             incarnation: seen.record.incarnation,
             since: seen.since,
             link: link_word(seen.link).into(),
             demand: seen.record.demand.total(),
         };
-        let counts = m.counts;
+        let counts = membership.counts;
         MembershipStatus {
-            name: m.me().name.clone(),
-            standing: Standing::word(m.standing()).into(),
-            address: m.me().address.to_string(),
-            share: m.share(),
-            demand: m.me().demand.total(),
-            members: m.view().map(row).collect(),
+            name: membership.me().name.clone(),
+            standing: Standing::word(membership.standing()).into(),
+            address: membership.me().address.to_string(),
+            share: membership.share(),
+            demand: membership.me().demand.total(),
+            members: membership.view().map(row).collect(),
             sent: counts.sent,
             taken: counts.taken,
             refused: counts.refused,
@@ -385,23 +395,23 @@
     }
 }
 
-/// Asks a gateway for its view.
+/// Fetches the membership status of a gateway.
 ///
 /// # Errors
-/// What it answers instead, or why it does not.
+/// If the gateway does not answer, or answers something else.
 pub async fn fetch_status(address: SocketAddr) -> Result<MembershipStatus, String> {
     crate::fetch::get_json(address, "/v1/members").await
 }
 
 impl std::fmt::Display for MembershipStatus {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let living = self.members.iter().filter(|m| m.state == "alive" || m.state == "suspect").count();
+        let live = self.members.iter().filter(|m| m.state == "alive" || m.state == "suspect").count();
         writeln!(
             f,
             "{} is {}; {} of {} others live; its part of the fleet is {:.4}",
             self.name,
             self.standing,
-            living,
+            live,
             self.members.len(),
             self.share
         )?;
