--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -1,10 +1,10 @@
-//! What becomes of a text that lists engines, S-expressions or a zone: the list that now holds, or why the old one stands. Free of
-//! I/O and clock.
+//! The list of engines that is in force, read from S-expressions or from a zone. A text that cannot be trusted as a whole is
+//! rejected, and the previous list stays in force. Does no I/O and reads no clock.
 //!
-//! In a zone every name with an SRV record is an engine: its own name without the zone's, port and host by the record, address by
-//! the host's A or AAAA record in the zone, share by the record's weight (0 counts as 1). What else the list says comes as
-//! `name=value` strings of a TXT record, or as parameters of an SVCB record: `kind` (key65280), `zone` (key65281), `cell`
-//! (key65282), `came-up` (key65283), `state` (key65284). TXT goes before SVCB.
+//! In a zone, every name with an SRV record is an engine. The engine's name is that name relative to the zone. The SRV record
+//! gives the port, the host and the weight (0 counts as 1), and the host's A or AAAA record in the zone gives the address. The
+//! remaining fields are `name=value` strings of a TXT record or parameters of an SVCB record: `kind` (key65280), `zone`
+//! (key65281), `cell` (key65282), `came-up` (key65283), `state` (key65284). TXT takes precedence over SVCB.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -20,65 +20,65 @@
 use crate::list::{self, EngineRecord, ParsedList};
 use crate::terms::Names;
 
-/// Parameters of SVCB records, from the range for private use (RFC 9460, section 14.3.1), and their names in TXT records.
-const PARAMETERS: [(u16, &str); 5] =
+/// Keys of SVCB parameters, from the range for private use (RFC 9460, section 14.3.1), and their names in TXT records.
+const ENGINE_PARAMETERS: [(u16, &str); 5] =
     [(65_280, "kind"), (65_281, "zone"), (65_282, "cell"), (65_283, "came-up"), (65_284, "state")];
 
-/// What a reading of the list's text leads to.
+/// The result of reading the text of an engine list.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ReadOutcome {
-    /// The list that now holds.
+    /// The list that is in force from now on.
     Applied(BTreeMap<String, EngineRecord>),
-    /// The text is not to be believed as a whole: the old list stands.
+    /// Why the text is rejected as a whole. The previous list stays in force.
     Rejected(String),
 }
 
-/// The list as last believed.
+/// The engine list in force, with the zone that it came from.
 #[derive(Debug, Default)]
 pub struct EngineRegistry {
-    known: BTreeMap<String, EngineRecord>,
+    engines: BTreeMap<String, EngineRecord>,
     serial: Option<u32>,
     zone: Option<Zone>,
 }
 
 impl EngineRegistry {
-    /// The list that holds.
+    /// The engines of the list in force, by name.
     pub fn engines(&self) -> &BTreeMap<String, EngineRecord> {
-        &self.known
+        &self.engines
     }
 
-    /// The zone that holds, where the list is one.
+    /// The zone in force; `None` if the list was not read from a zone.
     pub fn zone(&self) -> Option<&Zone> {
         self.zone.as_ref()
     }
 
-    /// Changes the zone by an update that is believed; what is wrong with its engines is told.
+    /// Applies an authenticated update to the zone. Returns the mistakes found in the zone's engines.
     ///
     /// # Errors
-    /// The code to answer with; nothing has changed.
+    /// The code to answer with. The zone is unchanged then.
     pub fn apply_update(&mut self, update: &Message, names: &Names) -> Result<Vec<String>, Rcode> {
         let new = update::apply(self.zone.as_ref().ok_or(Rcode::NOTAUTH)?, update)?;
-        let mut told = Vec::new();
-        let engines = engines_of_zone(&new, names, &mut told);
+        let mut mistakes = Vec::new();
+        let engines = engines_of_zone(&new, names, &mut mistakes);
         self.serial = new.serial();
         self.zone = Some(new);
         self.apply(&engines);
-        Ok(told)
+        Ok(mistakes)
     }
 
-    /// Reads S-expressions.
+    /// Reads a list in S-expressions. Returns the result and the mistakes found in records.
     pub fn read_expressions(&mut self, text: &str, names: &Names) -> (ReadOutcome, Vec<String>) {
         match list::parse(text, names) {
-            Ok(reading) => {
-                let told = reading.mistakes.iter().map(ToString::to_string).collect();
-                (self.apply(&reading), told)
+            Ok(parsed) => {
+                let mistakes = parsed.mistakes.iter().map(ToString::to_string).collect();
+                (self.apply(&parsed), mistakes)
             }
             Err(mistake) => (ReadOutcome::Rejected(mistake.to_string()), Vec::new()),
         }
     }
 
-    /// Reads a zone file. One that is cut off, has no start of authority, or an older serial than was seen, is not believed; a
-    /// damaged record keeps what was known of its engine.
+    /// Reads a zone file. Returns the result and the mistakes found in records. A file that is truncated, has no SOA record or
+    /// has an older serial than the zone in force is rejected. An engine whose record is damaged keeps its previous entry.
     pub fn read_zone_file(
         &mut self,
         text: &str,
@@ -87,89 +87,90 @@
         include: &mut dyn FnMut(&str) -> Result<String, String>,
     ) -> (ReadOutcome, Vec<String>) {
         let reading = master::read(text, origin, include);
-        let mut told: Vec<String> = reading.mistakes.iter().map(ToString::to_string).collect();
+        let mut mistakes: Vec<String> = reading.mistakes.iter().map(ToString::to_string).collect();
         if reading.cut {
-            return (ReadOutcome::Rejected("it is cut off".into()), told);
+            return (ReadOutcome::Rejected("the zone file is truncated".into()), mistakes);
         }
-        let (zone, wrong) = master::zone(origin, &reading);
-        told.extend(wrong);
+        let (zone, zone_mistakes) = master::zone(origin, &reading);
+        mistakes.extend(zone_mistakes);
         let Some(serial) = zone.serial() else {
-            return (ReadOutcome::Rejected("it has no start of authority".into()), told);
+            return (ReadOutcome::Rejected("the zone file has no SOA record".into()), mistakes);
         };
         if self.serial.is_some_and(|seen| serial::is_newer(seen, serial)) {
             let seen = self.serial.unwrap_or_default();
             return (
-                ReadOutcome::Rejected(format!("its serial {serial} is older than {seen}, which was seen")),
-                told,
+                ReadOutcome::Rejected(format!("serial {serial} is older than {seen} of the zone in force")),
+                mistakes,
             );
         }
-        let mut engines = engines_of_zone(&zone, names, &mut told);
-        // A record that cannot be read may have been an engine's: what is known of names that the file still mentions, or that
-        // stood on damaged lines, is kept.
+        let mut engines = engines_of_zone(&zone, names, &mut mistakes);
+        // An unreadable record may belong to an engine: an engine without a valid record whose name appears on a damaged line
+        // keeps its previous entry.
         let damaged_lines: Vec<&str> =
             reading.mistakes.iter().filter_map(|m| text.lines().nth(m.line.wrapping_sub(1))).collect();
-        for name in self.known.keys() {
-            let mentioned =
-                damaged_lines.iter().any(|l| l.split_whitespace().any(|w| w.eq_ignore_ascii_case(name)));
+        for name in self.engines.keys() {
+            let mentioned = damaged_lines
+                .iter()
+                .any(|line| line.split_whitespace().any(|w| w.eq_ignore_ascii_case(name)));
             if mentioned && !engines.records.contains_key(name) && !engines.damaged.contains(name) {
                 engines.damaged.push(name.clone());
             }
         }
         self.serial = Some(serial);
         self.zone = Some(zone);
-        (self.apply(&engines), told)
+        (self.apply(&engines), mistakes)
     }
 
-    fn apply(&mut self, reading: &ParsedList) -> ReadOutcome {
-        self.known = list::merge(&self.known, reading);
-        ReadOutcome::Applied(self.known.clone())
+    fn apply(&mut self, parsed: &ParsedList) -> ReadOutcome {
+        self.engines = list::merge(&self.engines, parsed);
+        ReadOutcome::Applied(self.engines.clone())
     }
 }
 
-/// The engines of a zone; what is wrong with one is added to `told`.
-pub fn engines_of_zone(zone: &Zone, names: &Names, told: &mut Vec<String>) -> ParsedList {
-    let mut reading = ParsedList::default();
+/// Reads the engines of a zone. Mistakes are added to `mistakes`.
+pub fn engines_of_zone(zone: &Zone, names: &Names, mistakes: &mut Vec<String>) -> ParsedList {
+    let mut parsed = ParsedList::default();
     let mut owners: Vec<Name> =
         zone.records().filter(|r| r.data.kind() == Type::SRV).map(|r| r.name).collect();
     owners.dedup();
     for owner in owners {
-        let name = relative(&owner, zone.origin());
-        match engine(zone, &owner, &name, names) {
+        let name = relative_name(&owner, zone.origin());
+        match parse_engine(zone, &owner, &name, names) {
             Ok(record) => {
-                reading.records.insert(name, record);
+                parsed.records.insert(name, record);
             }
             Err(why) => {
-                told.push(format!("engine {name}: {why}"));
-                reading.damaged.push(name);
+                mistakes.push(format!("engine {name}: {why}"));
+                parsed.damaged.push(name);
             }
         }
     }
-    reading
+    parsed
 }
 
-fn relative(name: &Name, origin: &Name) -> String {
+fn relative_name(name: &Name, origin: &Name) -> String {
     let (name, origin) = (name.to_string(), origin.to_string());
     name.strip_suffix(&origin).map_or(name.as_str(), |n| n.trim_end_matches('.')).to_owned()
 }
 
-fn engine(zone: &Zone, owner: &Name, name: &str, names: &Names) -> Result<EngineRecord, String> {
+fn parse_engine(zone: &Zone, owner: &Name, name: &str, names: &Names) -> Result<EngineRecord, String> {
     let services = zone.get(owner, Type::SRV).map(|s| s.data.as_slice()).unwrap_or_default();
-    // Of several, the one with the lowest priority; ties by the order of the zone.
-    let best =
+    // Of several records, the one with the lowest priority value applies; ties go to the first one in the zone.
+    let preferred =
         services.iter().min_by_key(|d| if let Data::Srv { priority, .. } = d { *priority } else { u16::MAX });
-    let Some(Data::Srv { weight, port, target, .. }) = best else { return Err("no SRV record".into()) };
-    let of = |kind: Type| zone.get(target, kind).and_then(|s| s.data.first());
-    let ip: IpAddr = match (of(Type::A), of(Type::AAAA)) {
+    let Some(Data::Srv { weight, port, target, .. }) = preferred else { return Err("no SRV record".into()) };
+    let first_of = |kind: Type| zone.get(target, kind).and_then(|s| s.data.first());
+    let ip: IpAddr = match (first_of(Type::A), first_of(Type::AAAA)) {
         (Some(Data::A(a)), _) => (*a).into(),
         (_, Some(Data::Aaaa(a))) => (*a).into(),
-        _ => return Err(format!("its host {target} has no address in the zone")),
+        _ => return Err(format!("host {target} has no A or AAAA record in the zone")),
     };
-    let terms = terms(zone, owner)?;
+    let fields = engine_fields(zone, owner)?;
     let mut text = format!("(engine \"engine\" (address \"{}\")", SocketAddr::new(ip, *port));
-    for (key, value) in &terms {
-        // Words and numbers, checked below as in a file of S-expressions.
+    for (key, value) in &fields {
+        // Only words and numbers are allowed, so that the text below parses as S-expressions.
         if !value.bytes().all(|b| b.is_ascii_alphanumeric() || b"._-".contains(&b)) || value.is_empty() {
-            return Err(format!("{key}={value} cannot be read"));
+            return Err(format!("{key}={value} is not a word or a number"));
         }
         text.push_str(&format!(" ({key} {value})"));
     }
@@ -178,36 +179,37 @@
     if let Some(mistake) = parsed.mistakes.first() {
         return Err(mistake.message.clone());
     }
-    let mut record = parsed.records.into_values().next().ok_or("it cannot be read")?;
+    let mut record = parsed.records.into_values().next().ok_or("the record is empty")?;
     record.name = name.to_owned();
     record.entry.engine = list::engine_id(name);
     record.entry.weight = if *weight == 0 { 1.0 } else { f64::from(*weight) };
     Ok(record)
 }
 
-/// What the zone says of an engine beside its address.
-fn terms(zone: &Zone, owner: &Name) -> Result<BTreeMap<String, String>, String> {
-    let mut terms = BTreeMap::new();
+/// The fields of an engine that its TXT and SVCB records give.
+fn engine_fields(zone: &Zone, owner: &Name) -> Result<BTreeMap<String, String>, String> {
+    let mut fields = BTreeMap::new();
     for data in zone.get(owner, Type::SVCB).iter().flat_map(|s| &s.data) {
         let Data::Svcb { parameters, .. } = data else { continue };
-        for (key, name) in PARAMETERS {
+        for (key, name) in ENGINE_PARAMETERS {
             if let Some((_, value)) = parameters.iter().find(|p| p.0 == key) {
-                let value = String::from_utf8(value.clone()).map_err(|_| format!("{name} is no text"))?;
-                terms.insert(name.to_owned(), value);
+                let value =
+                    String::from_utf8(value.clone()).map_err(|_| format!("{name} is not valid UTF-8"))?;
+                fields.insert(name.to_owned(), value);
             }
         }
     }
     for data in zone.get(owner, Type::TXT).iter().flat_map(|s| &s.data) {
         let Data::Txt(strings) = data else { continue };
         for string in strings {
-            let text = String::from_utf8(string.clone()).map_err(|_| "a string that is no text")?;
+            let text = String::from_utf8(string.clone()).map_err(|_| "a TXT string is not valid UTF-8")?;
             let (key, value) = text.split_once('=').unwrap_or((&text, ""));
-            if PARAMETERS.iter().any(|(_, name)| *name == key) {
-                terms.insert(key.to_owned(), value.to_owned());
+            if ENGINE_PARAMETERS.iter().any(|(_, name)| *name == key) {
+                fields.insert(key.to_owned(), value.to_owned());
             }
         }
     }
-    Ok(terms)
+    Ok(fields)
 }
 
 #[cfg(test)]
@@ -227,57 +229,59 @@
         Name::parse("fleet.example.", &Name::root()).unwrap()
     }
 
-    fn read(m: &mut EngineRegistry, text: &str) -> (ReadOutcome, Vec<String>) {
-        m.read_zone_file(text, &origin(), &names(), &mut |_| Err("none".into()))
+    fn read_zone(registry: &mut EngineRegistry, text: &str) -> (ReadOutcome, Vec<String>) {
+        registry.read_zone_file(text, &origin(), &names(), &mut |_| Err("none".into()))
     }
 
     #[test]
-    fn engines_are_listed_by_a_zone() {
-        let mut m = EngineRegistry::default();
-        let (verdict, told) = read(&mut m, ZONE);
-        let ReadOutcome::Applied(list) = verdict else { panic!("{verdict:?}") };
-        assert!(told.is_empty(), "{told:?}");
+    fn a_zone_lists_engines() {
+        let mut registry = EngineRegistry::default();
+        let (outcome, mistakes) = read_zone(&mut registry, ZONE);
+        let ReadOutcome::Applied(list) = outcome else { panic!("{outcome:?}") };
+        assert!(mistakes.is_empty(), "{mistakes:?}");
         let (e1, e2) = (&list["e1"], &list["e2"]);
         assert_eq!((e1.address.port(), e1.entry.weight, e1.entry.came_up), (9001, 10.0, 5000));
         assert_eq!((e2.entry.weight, e2.entry.listed), (1.0, Listed::Draining));
-        assert_eq!(e1.entry.engine, list::engine_id("e1"), "the same number whatever lists it");
+        assert_eq!(e1.entry.engine, list::engine_id("e1"), "the id depends on the name alone");
     }
 
     #[test]
-    fn a_damaged_record_keeps_what_was_known_and_a_damaged_file_empties_nothing() {
-        let mut m = EngineRegistry::default();
-        read(&mut m, ZONE);
-        // Its line cannot be read, its terms cannot, its host has no address.
+    fn a_damaged_record_keeps_the_known_engine_and_a_damaged_file_keeps_the_list() {
+        let mut registry = EngineRegistry::default();
+        read_zone(&mut registry, ZONE);
+        // A malformed SRV record, an unknown kind, a host without an address.
         for (from, to) in [
             ("e1 SRV 0 10 9001 host", "e1 SRV 0 x 9001 host"),
             ("kind=m8\" \"zone", "kind=m9\" \"zone"),
             ("9001 host", "9001 gone"),
         ] {
-            let (verdict, told) = read(&mut m, &ZONE.replace(from, to));
-            assert_eq!(verdict, ReadOutcome::Applied(m.engines().clone()));
+            let (outcome, mistakes) = read_zone(&mut registry, &ZONE.replace(from, to));
+            assert_eq!(outcome, ReadOutcome::Applied(registry.engines().clone()));
             assert!(
-                m.engines().contains_key("e1") && m.engines().len() == 2 && !told.is_empty(),
-                "{to}: {told:?}"
+                registry.engines().contains_key("e1")
+                    && registry.engines().len() == 2
+                    && !mistakes.is_empty(),
+                "{to}: {mistakes:?}"
             );
         }
         for text in [&ZONE[..ZONE.len() - 12], "", "$TTL 5\nhost A 127.0.0.1\n"] {
-            assert!(matches!(read(&mut m, text).0, ReadOutcome::Rejected(_)), "{text}");
-            assert_eq!(m.engines().len(), 2);
+            assert!(matches!(read_zone(&mut registry, text).0, ReadOutcome::Rejected(_)), "{text}");
+            assert_eq!(registry.engines().len(), 2);
         }
     }
 
     #[test]
-    fn an_older_version_does_not_undo_a_newer_one_also_where_serials_wrap() {
-        let mut m = EngineRegistry::default();
+    fn an_older_serial_is_rejected_also_when_serials_wrap() {
+        let mut registry = EngineRegistry::default();
         let version = |serial: u32, engine: &str| {
             format!("$TTL 5\n@ SOA ns h {serial} 1 1 1 1\nhost A 127.0.0.1\n{engine} SRV 0 0 1 host\n")
         };
-        read(&mut m, &version(u32::MAX, "e1"));
-        assert!(matches!(read(&mut m, &version(1, "e2")).0, ReadOutcome::Applied(_)));
-        assert!(matches!(read(&mut m, &version(u32::MAX, "e1")).0, ReadOutcome::Rejected(_)));
-        assert_eq!(m.engines().keys().collect::<Vec<_>>(), ["e2"]);
-        // What a whole and newer zone does not name any more is gone, all of them too.
-        read(&mut m, "$TTL 5\n@ SOA ns h 2 1 1 1 1\n");
-        assert!(m.engines().is_empty());
+        read_zone(&mut registry, &version(u32::MAX, "e1"));
+        assert!(matches!(read_zone(&mut registry, &version(1, "e2")).0, ReadOutcome::Applied(_)));
+        assert!(matches!(read_zone(&mut registry, &version(u32::MAX, "e1")).0, ReadOutcome::Rejected(_)));
+        assert_eq!(registry.engines().keys().collect::<Vec<_>>(), ["e2"]);
+        // A complete, newer zone removes the engines that it does not name, even if it names none.
+        read_zone(&mut registry, "$TTL 5\n@ SOA ns h 2 1 1 1 1\n");
+        assert!(registry.engines().is_empty());
     }
 }
