--- a/crates/gateway/src/custody.rs
+++ b/crates/gateway/src/custody.rs
@@ -1,6 +1,7 @@
-//! Carries out custody of statements: moves its sayings and records to other gateways, keeps on disk what has to be kept, makes
-//! and checks tokens that any gateway can read, and passes polls on to whoever holds a statement. Decides nothing about who
-//! that is: that is `violetward-custody`.
+//! Runs custody of statements, which lets another gateway take over the statements of one that died: moves
+//! the protocol's messages and records to other gateways, stores its marks on disk, makes and checks the page
+//! tokens that any gateway can read, and forwards polls to the gateway that holds a statement. Which gateway
+//! that is, `violetward-custody` decides.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -14,7 +15,7 @@
 use hmac::Mac;
 use serde::{Deserialize, Serialize};
 use violetward_custody::{
-    Effect, Life, Member, MemberState, Out, Permission, Record, Settings, StatementKey, TakeoverNode,
+    Effect, Incarnation, Member, MemberState, Out, Permission, Record, Settings, StatementKey, TakeoverNode,
     Whereabouts,
 };
 use violetward_net::Alarm;
@@ -31,153 +32,159 @@
 use crate::custody_terms::CustodyTerms;
 use crate::host::Host;
 
-/// The first octet of what custody says over membership, where agreement's sayings begin with their format.
+/// First byte of custody's messages over membership. Messages of the agreement begin with their format
+/// instead.
 pub const MESSAGE_TAG: u8 = 0xC5;
-/// First octets of records: of the machine, and a request passed on.
-const MACHINE: u8 = 1;
-const ASKED: u8 = 2;
-/// How long a record may take to another gateway.
-const SEND: Duration = Duration::from_secs(1);
-/// Records that wait for one gateway.
-const WAITING: usize = 4_096;
-/// Octets of an answer that travel at once.
-const PART: usize = 1 << 20;
-/// Between two looks at what membership believes, beside those when it changes.
-const LOOK: Duration = Duration::from_millis(200);
-/// Gateways that are asked at most if nobody of those does that a token names.
-const WIDE: usize = 32;
-/// Leases after its holder's death until a statement that nobody knows is given up.
-const SETTLED: u64 = 5;
-/// Gateways told of in a token, and octets of their names, at most.
-const CHAIN: usize = 6;
-const NAMES: usize = 384;
-/// Until what may not be done now is asked for again.
-const REST: Duration = Duration::from_millis(50);
-/// The name of what is kept.
-const KEPT: &str = "custody.ends";
-const USE: &[u8] = b"violetward page";
-
-/// What a page's path says, once its code has been checked.
+/// First byte of a stream record that is for the custody protocol.
+const PROTOCOL_RECORD: u8 = 1;
+/// First byte of a stream record that is a forwarded request.
+const REQUEST_RECORD: u8 = 2;
+/// Time limit for the transfer of a record to another gateway.
+const RECORD_TIMEOUT: Duration = Duration::from_secs(1);
+/// Maximum number of records queued for one gateway.
+const MAX_QUEUED_RECORDS: usize = 4_096;
+/// Maximum size of the part of a response body that one record carries.
+const MAX_BODY_PART_BYTES: usize = 1 << 20;
+/// Interval at which the members are read from membership, in addition to each reported change.
+const MEMBER_REFRESH_INTERVAL: Duration = Duration::from_millis(200);
+/// Maximum number of further gateways to ask when none of those named by a token holds the statement.
+const MAX_FURTHER_GATEWAYS: usize = 32;
+/// Leases that must pass after the end of the accepting gateway before an unknown statement is declared lost.
+const LOST_AFTER_LEASES: u64 = 5;
+/// Maximum number of gateways named in a token.
+const MAX_TOKEN_GATEWAYS: usize = 6;
+/// Maximum total length of the gateway entries in a token, since the length of a path is limited.
+const MAX_TOKEN_GATEWAY_BYTES: usize = 384;
+/// Delay before a denied permission is requested again.
+const PERMISSION_RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Key of the protocol's marks in the store.
+const MARKS_KEY: &str = "custody.ends";
+/// Domain separator of the authentication code of page tokens.
+const TOKEN_CODE_DOMAIN: &[u8] = b"violetward page";
+
+/// The content of a page path whose authentication code is valid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Token {
-    /// Which statement.
+    /// The statement.
     pub key: StatementKey,
-    /// The page asked for.
+    /// The requested page.
     pub page: PageRef,
-    /// The engine's page after the rows that its client has got; `None`: it has none.
+    /// Number of the engine's page that follows the rows the client has received; `None` if it has received
+    /// none.
     pub after: Option<u64>,
-    /// Lives, each in a term, that may hold it, the one that took it first.
-    pub chain: Vec<(Life, u32)>,
-    /// When its client stops waiting, microseconds since the Unix epoch.
-    pub due: u64,
+    /// Gateways that may hold the statement, each with its term. The first one accepted the statement.
+    pub gateways: Vec<(Incarnation, u32)>,
+    /// Time at which the client stops waiting, in microseconds since the Unix epoch.
+    pub deadline: u64,
 }
 
-/// A request that is passed on to another gateway.
+/// A request that is forwarded to another gateway.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ForwardedRequest {
     /// `GET` or `DELETE`.
     pub method: String,
     /// The path as the client sent it.
     pub path: String,
-    /// The host as its client calls it: addresses of further pages keep it.
+    /// The host name that the client used; the addresses of further pages contain it.
     pub host: String,
-    /// How long the answer may wait for news, milliseconds.
+    /// How long the answer may wait for new rows, in milliseconds.
     pub wait_millis: u64,
-    /// From which octet on the body is wanted.
-    pub from: usize,
+    /// Offset in the body from which on it is requested.
+    #[serde(rename = "from")]
+    pub offset: usize,
 }
 
-/// What is answered to it; the part of the body follows.
+/// The head of the answer to a forwarded request. The requested part of the body follows it.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct ForwardedResponse {
-    /// The status; 0: it isn't here.
+    /// The HTTP status; 0 if the gateway does not hold the statement.
     pub status: u16,
-    /// Headers.
+    /// The HTTP headers.
     pub headers: Vec<(String, String)>,
-    /// Octets of the whole body, and their hash.
-    pub whole: (usize, u64),
-    /// Who may hold it instead.
-    pub at: Option<String>,
+    /// Length and hash of the whole body.
+    #[serde(rename = "whole")]
+    pub body_length_and_hash: (usize, u64),
+    /// The gateway that may hold the statement instead.
+    #[serde(rename = "at")]
+    pub holder: Option<String>,
 }
 
-/// What passing a request on led to.
+/// The result of forwarding a request.
 pub enum ForwardOutcome {
-    /// The answer of whoever holds it.
+    /// The answer of the gateway that holds the statement.
     Response(ForwardedResponse, Vec<u8>),
-    /// Somebody may hold it who cannot be reached now.
+    /// A gateway that cannot be reached now may hold the statement.
     Unreachable,
-    /// Whoever took it is gone, and nobody of those that were to know of it does.
+    /// The accepting gateway is gone, and no gateway that may have had a record of the statement has one.
     Lost,
 }
 
-/// How a new statement is taken.
+/// Whether and how a new statement is accepted.
 pub enum Acceptance {
-    /// As one that is to outlive this gateway.
+    /// The statement is to survive the end of this gateway.
     Protected,
-    /// As one that ends with this gateway: it has no tenure.
+    /// The statement ends with this gateway, which has no tenure now.
     Unprotected,
-    /// Not at all.
+    /// The statement is not accepted, for this reason.
     Refused(&'static str),
 }
 
-/// Records on their way to one gateway.
-struct Line {
-    queue: async_channel::Sender<Vec<u8>>,
-}
-
-/// Custody in a running gateway.
+/// Custody of statements in a running gateway.
 pub struct Custody {
-    machine: RefCell<TakeoverNode>,
-    me: Life,
+    node: RefCell<TakeoverNode>,
+    incarnation: Incarnation,
     terms: CustodyTerms,
     station: Rc<Station>,
     caller: Caller,
     keys: RefCell<Keys>,
-    locals: RefCell<HashMap<StatementKey, StatementId>>,
-    names: RefCell<HashMap<StatementId, StatementKey>>,
-    /// Attempts that wait for leave, and since when.
-    parked: RefCell<HashMap<AttemptId, (u64, Box<Launch>)>>,
-    lines: RefCell<HashMap<String, Line>>,
-    keeps: async_channel::Sender<Vec<u8>>,
+    statement_ids: RefCell<HashMap<StatementKey, StatementId>>,
+    statement_keys: RefCell<HashMap<StatementId, StatementKey>>,
+    /// Attempts that wait for permission, each with the time at which it began to wait.
+    pending_launches: RefCell<HashMap<AttemptId, (u64, Box<Launch>)>>,
+    /// Queue of records for each gateway.
+    record_queues: RefCell<HashMap<String, async_channel::Sender<Vec<u8>>>>,
+    marks_to_store: async_channel::Sender<Vec<u8>>,
     alarm: Alarm,
-    /// Something about who holds what may have changed.
-    pub(crate) changed: Event,
-    /// Something has come from another gateway.
-    came: Event,
-    /// It has held its tenure.
-    ready: Cell<bool>,
+    /// Notified when the holder of a statement may have changed.
+    pub(crate) holder_changed: Event,
+    /// Notified when a message of another gateway has been handled.
+    message_received: Event,
+    /// Whether this process has had a tenure.
+    had_tenure: Cell<bool>,
     unprotected: Cell<u64>,
     passed_on: Cell<u64>,
-    waited: Cell<(u64, u64)>,
+    /// Number of launches that needed permission, and their total waiting time in microseconds.
+    launch_waits: Cell<(u64, u64)>,
 }
 
-/// What `/v1/custody` tells.
+/// The answer of `/v1/custody`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct CustodyStatus {
-    /// This gateway, and its life.
+    /// Name of this gateway.
     pub name: String,
-    /// See `name`.
+    /// Incarnation of this gateway's process, in hexadecimal.
     pub life: String,
-    /// It may begin attempts now.
+    /// Whether this gateway may start attempts now.
     pub tenure: bool,
-    /// Statements held here that are protected.
+    /// Protected statements that this gateway holds.
     pub held: usize,
-    /// Records kept for others, and their octets.
+    /// Replica records kept for other gateways.
     pub guarded: usize,
-    /// See `guarded`.
-    pub octets: usize,
-    /// Attempts that wait until another gateway knows of them.
+    /// Total size of these records.
+    #[serde(rename = "octets")]
+    pub guarded_bytes: usize,
+    /// Attempts that wait until another gateway has a record of them.
     pub waiting: usize,
-    /// Statements taken over from others, and left to others.
+    /// Statements taken over from other gateways.
     pub adopted: u64,
-    /// See `adopted`.
+    /// Statements that other gateways took over from this one.
     pub left: u64,
-    /// Statements for which there was no guardian.
+    /// Statements that no other gateway could keep a record of.
     pub unprotected: u64,
-    /// Requests passed on.
+    /// Requests forwarded to other gateways.
     pub passed_on: u64,
-    /// Attempts that had to have leave, and how long they waited for it in all, microseconds.
+    /// Attempts that needed permission to start, and their total waiting time in microseconds.
     pub intents: (u64, u64),
 }
 
@@ -185,11 +192,11 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
-            "custody: tenure {}; {} held, {} kept for others ({} octets), {} intents wait; {} taken over, {} left, {} without a guardian, {} requests passed on",
+            "custody: tenure {}; {} held, {} kept for others ({} bytes), {} attempts waiting; {} taken over, {} left, {} without a replica, {} requests forwarded",
             if self.tenure { "held" } else { "not held" },
             self.held,
             self.guarded,
-            self.octets,
+            self.guarded_bytes,
             self.waiting,
             self.adopted,
             self.left,
@@ -199,15 +206,15 @@
     }
 }
 
-/// Asks a gateway how custody stands there.
+/// Fetches the custody status of a gateway.
 ///
 /// # Errors
-/// What it answers instead, or why it does not.
+/// If the gateway does not answer, or answers something else.
 pub async fn fetch_status(address: SocketAddr) -> Result<CustodyStatus, String> {
     crate::fetch::get_json(address, "/v1/custody").await
 }
 
-fn state(state: violetward_membership::State) -> MemberState {
+fn member_state(state: violetward_membership::State) -> MemberState {
     match state {
         violetward_membership::State::Alive => MemberState::Alive,
         violetward_membership::State::Suspect => MemberState::Suspect,
@@ -216,7 +223,7 @@
     }
 }
 
-fn living(seen: &violetward_membership::Seen) -> bool {
+fn is_live(seen: &violetward_membership::Seen) -> bool {
     seen.record.state <= violetward_membership::State::Suspect
 }
 
@@ -224,16 +231,16 @@
     span.as_micros() as u64
 }
 
-/// A name as it stands in a token, where dots part the fields.
-fn word(name: &str) -> String {
+/// Encodes a gateway's name for a token, in which dots and tildes separate fields.
+fn encode_name(name: &str) -> String {
     encode(name).replace('.', "%2E").replace('~', "%7E")
 }
 
 impl Custody {
-    /// Starts custody; its tasks run as long as the host's executor does. Membership must run.
+    /// Starts custody; its tasks run as long as the host's executor does. Membership must be running.
     ///
     /// # Errors
-    /// If another process uses the same folder, or what was kept cannot be read.
+    /// If another process uses the same folder, or the stored marks cannot be read.
     pub fn start(
         host: &Rc<Host>,
         terms: &CustodyTerms,
@@ -245,10 +252,10 @@
         let unusable =
             |why: &dyn std::fmt::Display| std::io::Error::other(format!("{}: {why}", terms.folder.display()));
         let mut store = Files::open(&terms.folder).map_err(|why| unusable(&why))?;
-        let ends = store.get(KEPT).map_err(|why| unusable(&why))?.map(|kept| kept.bytes);
-        let (me, site) = peers.local_member();
-        let known = Settings {
-            incarnation: me.clone(),
+        let marks = store.get(MARKS_KEY).map_err(|why| unusable(&why))?.map(|stored| stored.bytes);
+        let (incarnation, site) = peers.local_member();
+        let settings = Settings {
+            incarnation: incarnation.clone(),
             site,
             voters: terms.voters.clone(),
             lease: micros(terms.lease),
@@ -258,96 +265,97 @@
             max_replica_records: terms.max_records,
             max_replica_bytes: terms.max_record_bytes,
         };
-        let machine = TakeoverNode::new(known, ends.as_deref(), host.now()).map_err(|why| unusable(&why))?;
-        tracing::info!(name = me.name, life = format!("{:016x}", me.life), "custody");
-        let (keeps, kept) = async_channel::unbounded();
+        let node = TakeoverNode::new(settings, marks.as_deref(), host.now()).map_err(|why| unusable(&why))?;
+        tracing::info!(name = incarnation.name, life = format!("{:016x}", incarnation.life), "custody");
+        let (marks_to_store, pending_marks) = async_channel::unbounded();
         let custody = Rc::new(Custody {
-            machine: RefCell::new(machine),
-            me,
+            node: RefCell::new(node),
+            incarnation,
             terms: terms.clone(),
             caller: Caller::new(&station),
             station: station.clone(),
             keys: RefCell::new(keys),
-            locals: RefCell::default(),
-            names: RefCell::default(),
-            parked: RefCell::default(),
-            lines: RefCell::default(),
-            keeps,
+            statement_ids: RefCell::default(),
+            statement_keys: RefCell::default(),
+            pending_launches: RefCell::default(),
+            record_queues: RefCell::default(),
+            marks_to_store,
             alarm: Alarm::default(),
-            changed: Event::new(),
-            came: Event::new(),
-            ready: Cell::default(),
+            holder_changed: Event::new(),
+            message_received: Event::new(),
+            had_tenure: Cell::default(),
             unprotected: Cell::default(),
             passed_on: Cell::default(),
-            waited: Cell::default(),
+            launch_waits: Cell::default(),
         });
         *host.custody.borrow_mut() = Some(custody.clone());
         host.with_core(|core, _| core.protect_classes(terms.protected_classes.clone()));
-        host.spawn(custody.clone().keep(host.clone(), store, kept));
-        host.spawn(custody.clone().wake(host.clone()));
-        host.spawn(custody.clone().look(host.clone()));
-        let (of, to) = (custody.clone(), host.clone());
+        host.spawn(custody.clone().store_marks(host.clone(), store, pending_marks));
+        host.spawn(custody.clone().run_timers(host.clone()));
+        host.spawn(custody.clone().refresh_members(host.clone()));
+        let (serving_custody, serving_host) = (custody.clone(), host.clone());
         host.spawn(async move {
             let handler = move |from: String, record: Vec<u8>| {
-                let (custody, host) = (of.clone(), to.clone());
-                async move { custody.record(&host, &from, &record).await }
+                let (custody, host) = (serving_custody.clone(), serving_host.clone());
+                async move { custody.handle_record(&host, &from, &record).await }
             };
             sockets::serve(station, listener, handler).await;
         });
         Ok(custody)
     }
 
-    /// The keys of the fleet are these from now on.
+    /// Replaces the keys that sign messages and tokens.
     pub fn set_keys(&self, keys: Keys) {
         self.station.keys(keys.clone());
         *self.keys.borrow_mut() = keys;
     }
 
-    fn with<T>(&self, host: &Rc<Host>, act: impl FnOnce(&mut TakeoverNode, u64) -> T) -> T {
-        let result = act(&mut self.machine.borrow_mut(), host.now());
+    /// Runs `operation` on the protocol and applies the effects that it produces.
+    fn update<T>(&self, host: &Rc<Host>, operation: impl FnOnce(&mut TakeoverNode, u64) -> T) -> T {
+        let result = operation(&mut self.node.borrow_mut(), host.now());
         loop {
-            let effect = self.machine.borrow_mut().next_effect();
+            let effect = self.node.borrow_mut().next_effect();
             match effect {
-                Some(effect) => self.carry_out(host, effect),
+                Some(effect) => self.apply_effect(host, effect),
                 None => break,
             }
         }
-        self.alarm.set(self.machine.borrow().next_wake());
+        self.alarm.set(self.node.borrow().next_wake());
         result
     }
 
-    fn carry_out(&self, host: &Rc<Host>, effect: Effect) {
+    fn apply_effect(&self, host: &Rc<Host>, effect: Effect) {
         match effect {
             Effect::SendDatagram(to, bytes) => {
-                let mut said = Vec::with_capacity(bytes.len() + 1);
-                said.push(MESSAGE_TAG);
-                said.extend_from_slice(&bytes);
-                host.peers().iter().for_each(|peers| peers.send_message(host, &to, &said));
+                let mut message = Vec::with_capacity(bytes.len() + 1);
+                message.push(MESSAGE_TAG);
+                message.extend_from_slice(&bytes);
+                host.peers().iter().for_each(|peers| peers.send_message(host, &to, &message));
             }
-            Effect::SendRecords(to, bytes) => self.send(host, to, bytes),
-            Effect::StoreMarks(bytes) => drop(self.keeps.try_send(bytes)),
+            Effect::SendRecords(to, bytes) => self.queue_record(host, to, bytes),
+            Effect::StoreMarks(bytes) => drop(self.marks_to_store.try_send(bytes)),
             Effect::StartAttempt(key, attempts) => {
-                let id = self.local(&key).map(|id| AttemptId(id, attempts.saturating_sub(1)));
-                let launch = id.and_then(|id| self.unpark(host, id));
+                let attempt = self.statement_id(&key).map(|id| AttemptId(id, attempts.saturating_sub(1)));
+                let launch = attempt.and_then(|attempt| self.take_pending_launch(host, attempt));
                 launch.into_iter().for_each(|launch| host.launch(*launch));
             }
             Effect::ReportEnding(key) => {
-                if let Some(id) = self.local(&key) {
+                if let Some(id) = self.statement_id(&key) {
                     host.with_core(|core, now| core.ending_recorded(now, id));
                 }
             }
-            Effect::TakenOver(record) => self.adopt(host, &record),
+            Effect::TakenOver(record) => self.take_over(host, &record),
             Effect::Relinquished(key) => {
-                if let Some(id) = self.local(&key) {
-                    tracing::info!(n = id.0, at = host.now(), "another gateway holds it");
+                if let Some(id) = self.statement_id(&key) {
+                    tracing::info!(n = id.0, at = host.now(), "another gateway has taken the statement over");
                     self.remove_statement(id);
                     host.with_core(|core, now| core.detach(now, id));
                 }
-                self.changed.notify(usize::MAX);
+                self.holder_changed.notify(usize::MAX);
             }
             Effect::Unreplicated(key) => {
                 self.unprotected.set(self.unprotected.get() + 1);
-                if let Some(id) = self.local(&key).filter(|_| self.terms.refuse_unguarded) {
+                if let Some(id) = self.statement_id(&key).filter(|_| self.terms.refuse_unguarded) {
                     let why = "no other gateway could keep it";
                     host.with_core(|core, now| core.refuse_unprotected(now, id, why));
                 }
@@ -356,66 +364,73 @@
         }
     }
 
-    fn adopt(&self, host: &Rc<Host>, record: &Record) {
+    fn take_over(&self, host: &Rc<Host>, record: &Record) {
         let (number, key) = (record.key.number, record.key.clone());
         let adopted = host.with_core_deferred(|core, now| core.adopt(now, record));
         match adopted {
             Ok(id) => {
-                tracing::info!(n = id.0, from = key.taken_by.name, number, at = host.now(), "taken over");
-                self.locals.borrow_mut().insert(key.clone(), id);
-                self.names.borrow_mut().insert(id, key);
-                // Only now it is known whose the effects of that are.
+                tracing::info!(
+                    n = id.0,
+                    from = key.taken_by.name,
+                    number,
+                    at = host.now(),
+                    "statement taken over"
+                );
+                self.statement_ids.borrow_mut().insert(key.clone(), id);
+                self.statement_keys.borrow_mut().insert(id, key);
+                // Runs the effects of the adoption, which look the statement up in the tables filled above.
                 host.with_core(|_, _| ());
             }
             Err(why) => {
                 tracing::error!(
                     from = key.taken_by.name,
                     number,
-                    "what was taken over cannot be read: {why}"
+                    "record of a statement taken over is malformed: {why}"
                 );
-                self.with(host, |m, now| m.finish_statement(now, &key));
+                self.update(host, |node, now| node.finish_statement(now, &key));
             }
         }
-        self.changed.notify(usize::MAX);
+        self.holder_changed.notify(usize::MAX);
     }
 
-    fn local(&self, key: &StatementKey) -> Option<StatementId> {
-        self.locals.borrow().get(key).copied()
+    fn statement_id(&self, key: &StatementKey) -> Option<StatementId> {
+        self.statement_ids.borrow().get(key).copied()
     }
 
-    fn key(&self, id: StatementId) -> Option<StatementKey> {
-        self.names.borrow().get(&id).cloned()
+    fn statement_key(&self, id: StatementId) -> Option<StatementKey> {
+        self.statement_keys.borrow().get(&id).cloned()
     }
 
-    // ---- What the core says ----------------------------------------------------------------------------
+    // ---- Calls from the core ----------------------------------------------------------------------------
 
-    /// A statement has been taken here.
+    /// Registers a statement that this gateway has accepted, so that it is protected from now on.
     pub(crate) fn register_statement(&self, host: &Rc<Host>, id: StatementId) {
-        let Some(taken) = host.read_core(|core| core.statement_record(id)) else { return };
-        let key = StatementKey { taken_by: self.me.clone(), number: id.0 };
-        self.locals.borrow_mut().insert(key.clone(), id);
-        self.names.borrow_mut().insert(id, key.clone());
+        let Some(statement) = host.read_core(|core| core.statement_record(id)) else { return };
+        let key = StatementKey { taken_by: self.incarnation.clone(), number: id.0 };
+        self.statement_ids.borrow_mut().insert(key.clone(), id);
+        self.statement_keys.borrow_mut().insert(id, key.clone());
         let record = Record {
             key,
             version: 1,
-            body: taken.body,
-            repeat: taken.repeat,
-            left: taken.remaining,
+            body: statement.body,
+            repeat: statement.repeat,
+            left: statement.remaining,
             attempts: 0,
             out: None,
             passed: 0,
             ending: None,
         };
-        self.with(host, |m, now| m.add_statement(now, record));
+        self.update(host, |node, now| node.add_statement(now, record));
     }
 
-    /// How a new statement is taken now. A gateway that has just started waits for its first tenure, as long as that can take.
+    /// Whether and how a new statement is accepted now. A gateway that has just started refuses statements
+    /// until its first tenure, for at most two leases, since a first tenure takes no longer than that.
     pub(crate) fn acceptance(&self, host: &Rc<Host>) -> Acceptance {
         if self.may_act(host) {
-            self.ready.set(true);
+            self.had_tenure.set(true);
             return Acceptance::Protected;
         }
-        if !self.ready.get() && host.started.elapsed() < self.terms.lease * 2 {
+        if !self.had_tenure.get() && host.started.elapsed() < self.terms.lease * 2 {
             return Acceptance::Refused("this gateway has just started; the statement was not taken");
         }
         match self.terms.refuse_unguarded {
@@ -424,24 +439,25 @@
         }
     }
 
-    /// Waits until the client of a new statement may be told that it is taken, so that it is not lost with this gateway from then
-    /// on. If that does not come to be within half a lease it is refused, and this says `false`: nothing that is unsafe
-    /// to repeat begins before its client knows its address.
+    /// Waits until a new statement is replicated, so that it survives this gateway once its client has been
+    /// told that it is accepted. Returns `false` if that takes longer than half a lease; the statement is
+    /// refused then. No attempt that is unsafe to repeat starts before the client knows the address of its
+    /// statement.
     pub(crate) async fn wait_until_replicated(&self, host: &Rc<Host>, id: StatementId) -> bool {
-        let Some(key) = self.key(id) else { return true };
+        let Some(key) = self.statement_key(id) else { return true };
         let since = host.now();
         let until = Instant::now() + self.half_lease();
         loop {
-            let news = self.came.listen();
-            if self.machine.borrow().is_safely_replicated(host.now(), &key, since) {
+            let message = self.message_received.listen();
+            if self.node.borrow().is_safely_replicated(host.now(), &key, since) {
                 return true;
             }
             if Instant::now() >= until {
                 break;
             }
-            future::or(news, violetward_net::sleep_until(until)).await;
+            future::or(message, violetward_net::sleep_until(until)).await;
         }
-        tracing::info!(n = id.0, at = host.now(), "not taken: nobody else came to know of it");
+        tracing::info!(n = id.0, at = host.now(), "statement refused: not replicated to any other gateway");
         host.with_core(|core, now| core.refuse_unprotected(now, id, "no other gateway could keep it"));
         self.finish_statement(host, id);
         false
@@ -449,38 +465,40 @@
 
     /// Whether a statement is protected.
     pub(crate) fn is_protected(&self, id: StatementId) -> bool {
-        self.names.borrow().contains_key(&id)
+        self.statement_keys.borrow().contains_key(&id)
     }
 
-    /// An attempt is to be begun; it waits here until it may. Gives it back if it may go at once, or is none of a statement
-    /// that is protected.
+    /// Requests permission to start an attempt. Returns the launch if it may start at once or its statement
+    /// is not protected; otherwise the launch waits here until the permission is granted.
     pub(crate) fn request_launch(&self, host: &Rc<Host>, launch: Box<Launch>) -> Option<Box<Launch>> {
         let attempt = launch.attempt;
-        if self.key(attempt.0).is_none() {
+        if self.statement_key(attempt.0).is_none() {
             return Some(launch);
         }
-        // Parked first: the machine may give leave while it is asked.
-        self.parked.borrow_mut().insert(attempt, (host.now(), launch));
-        self.ask_leave(host, attempt)
+        // Inserted first, since the protocol may grant the permission during the request.
+        self.pending_launches.borrow_mut().insert(attempt, (host.now(), launch));
+        self.request_permission(host, attempt)
     }
 
-    fn ask_leave(&self, host: &Rc<Host>, attempt: AttemptId) -> Option<Box<Launch>> {
-        let key = self.key(attempt.0)?;
+    fn request_permission(&self, host: &Rc<Host>, attempt: AttemptId) -> Option<Box<Launch>> {
+        let key = self.statement_key(attempt.0)?;
         let out = {
-            let parked = self.parked.borrow();
-            let (_, launch) = parked.get(&attempt)?;
+            let pending = self.pending_launches.borrow();
+            let (_, launch) = pending.get(&attempt)?;
             let within = launch.deadline.saturating_sub(host.now());
             Out { number: attempt.1, engine: launch.engine.clone(), next: None, page: 0, sent: 0, within }
         };
-        match self.with(host, |m, now| m.request_attempt(now, &key, attempt.1 + 1, out)) {
-            Permission::Granted => self.unpark(host, attempt),
+        match self.update(host, |node, now| node.request_attempt(now, &key, attempt.1 + 1, out)) {
+            Permission::Granted => self.take_pending_launch(host, attempt),
             Permission::Pending => None,
             Permission::Denied => {
-                // Without a tenure nothing is begun; one comes back, or the statement goes to another gateway.
+                // Without a tenure no attempt starts. Either the tenure returns, or another gateway takes the
+                // statement over.
                 let host = host.clone();
                 host.clone().spawn(async move {
-                    violetward_net::sleep(REST).await;
-                    let launch = host.custody().and_then(|custody| custody.ask_leave(&host, attempt));
+                    violetward_net::sleep(PERMISSION_RETRY_DELAY).await;
+                    let launch =
+                        host.custody().and_then(|custody| custody.request_permission(&host, attempt));
                     launch.into_iter().for_each(|launch| host.launch(*launch));
                 });
                 None
@@ -488,39 +506,40 @@
         }
     }
 
-    fn unpark(&self, host: &Rc<Host>, attempt: AttemptId) -> Option<Box<Launch>> {
-        let (since, launch) = self.parked.borrow_mut().remove(&attempt)?;
-        let (count, span) = self.waited.get();
-        self.waited.set((count + 1, span + host.now().saturating_sub(since)));
+    fn take_pending_launch(&self, host: &Rc<Host>, attempt: AttemptId) -> Option<Box<Launch>> {
+        let (since, launch) = self.pending_launches.borrow_mut().remove(&attempt)?;
+        let (count, total) = self.launch_waits.get();
+        self.launch_waits.set((count + 1, total + host.now().saturating_sub(since)));
         Some(launch)
     }
 
-    /// An attempt that may still wait for leave is not wanted any more. Whether it did.
+    /// Cancels an attempt that may still be waiting for permission. Returns whether it was.
     pub(crate) fn cancel_pending_launch(&self, attempt: AttemptId) -> bool {
-        self.parked.borrow_mut().remove(&attempt).is_some()
+        self.pending_launches.borrow_mut().remove(&attempt).is_some()
     }
 
-    /// What is known of a statement has changed.
+    /// Replicates the changed progress of a statement.
     pub(crate) fn record_progress(&self, host: &Rc<Host>, id: StatementId) {
-        let Some(key) = self.key(id) else { return };
+        let Some(key) = self.statement_key(id) else { return };
         if let Some((_, out, passed)) = host.read_core(|core| core.progress(id)) {
-            self.with(host, |m, now| m.record_progress(now, &key, out, passed));
+            self.update(host, |node, now| node.record_progress(now, &key, out, passed));
         }
     }
 
-    /// An end was decided here.
+    /// Records an ending that this gateway decided. The core reports it to the client once it is recorded.
     pub(crate) fn record_ending(&self, host: &Rc<Host>, id: StatementId, ending: &Ending) {
-        let Some(key) = self.key(id) else {
+        let Some(key) = self.statement_key(id) else {
             return host.with_core(|core, now| core.ending_recorded(now, id));
         };
-        match self.with(host, |m, now| m.request_ending(now, &key, ending_to_record(ending))) {
+        match self.update(host, |node, now| node.request_ending(now, &key, ending_to_record(ending))) {
             Permission::Granted => host.with_core(|core, now| core.ending_recorded(now, id)),
             Permission::Pending => {}
-            // It's another gateway's: that one is told by `Effect::Relinquished`. Without a tenure it has to wait.
+            // Without a tenure the ending waits. A statement that another gateway has taken over needs none:
+            // `Effect::Relinquished` detaches it.
             Permission::Denied if matches!(self.locate(&key).0, Whereabouts::Here) => {
                 let (host, ending) = (host.clone(), ending.clone());
                 host.clone().spawn(async move {
-                    violetward_net::sleep(REST).await;
+                    violetward_net::sleep(PERMISSION_RETRY_DELAY).await;
                     host.custody().iter().for_each(|custody| custody.record_ending(&host, id, &ending));
                 });
             }
@@ -528,231 +547,245 @@
         }
     }
 
-    /// Nobody needs to know of a statement any more.
+    /// Releases the records of a statement that no gateway needs any more.
     pub(crate) fn finish_statement(&self, host: &Rc<Host>, id: StatementId) {
-        if let Some(key) = self.key(id) {
-            self.with(host, |m, now| m.finish_statement(now, &key));
+        if let Some(key) = self.statement_key(id) {
+            self.update(host, |node, now| node.finish_statement(now, &key));
         }
     }
 
-    /// The core has let go of a statement.
+    /// Removes a statement that the core no longer has.
     pub(crate) fn remove_statement(&self, id: StatementId) {
-        if let Some(key) = self.names.borrow_mut().remove(&id) {
-            self.locals.borrow_mut().remove(&key);
+        if let Some(key) = self.statement_keys.borrow_mut().remove(&id) {
+            self.statement_ids.borrow_mut().remove(&key);
         }
-        self.parked.borrow_mut().retain(|attempt, _| attempt.0 != id);
+        self.pending_launches.borrow_mut().retain(|attempt, _| attempt.0 != id);
     }
 
-    /// Whether an attempt of a statement may be written now.
+    /// Whether an attempt of a statement may be sent to an engine now.
     pub(crate) fn may_launch(&self, host: &Rc<Host>, id: StatementId) -> bool {
-        !self.names.borrow().contains_key(&id) || self.may_act(host)
+        !self.statement_keys.borrow().contains_key(&id) || self.may_act(host)
     }
 
-    /// Whether this gateway may act for what it holds now.
+    /// Whether this gateway may act now for the statements that it holds.
     pub(crate) fn may_act(&self, host: &Rc<Host>) -> bool {
-        self.machine.borrow().may_act(host.now())
+        self.node.borrow().may_act(host.now())
     }
 
     // ---- Tokens ----------------------------------------------------------------------------------------
 
-    /// The part of a page's path that can't be guessed, for a statement that is protected.
+    /// The slug of a page of a protected statement: its content and an authentication code, so that it cannot
+    /// be guessed.
     pub fn page_slug(
         &self,
         id: StatementId,
         public_id: &str,
         after: Option<u64>,
-        due: u64,
+        deadline: u64,
     ) -> Option<String> {
-        let key = self.key(id)?;
-        let mut chain = self.machine.borrow().replica_list_with_terms(&key);
-        if chain.is_empty() {
-            chain.push((key.taken_by.clone(), 0));
+        let key = self.statement_key(id)?;
+        let mut gateways = self.node.borrow().replica_list_with_terms(&key);
+        if gateways.is_empty() {
+            gateways.push((key.taken_by.clone(), 0));
         }
-        // The one that took it, and those who joined last: who is gone is not needed.
-        if chain.len() > CHAIN {
-            chain.drain(1..chain.len() - CHAIN + 1);
+        // Keeps the accepting gateway and the latest replicas; earlier ones may be gone.
+        if gateways.len() > MAX_TOKEN_GATEWAYS {
+            gateways.drain(1..gateways.len() - MAX_TOKEN_GATEWAYS + 1);
         }
-        let mut chain: Vec<String> =
-            chain.iter().map(|(l, term)| format!("{}~{:x}~{term:x}", word(&l.name), l.life)).collect();
-        // A path has a bound: of long names the last ones stand for all.
-        while chain.len() > 2 && chain.iter().map(String::len).sum::<usize>() > NAMES {
-            chain.remove(1);
+        let mut gateways: Vec<String> = gateways
+            .iter()
+            .map(|(gateway, term)| format!("{}~{:x}~{term:x}", encode_name(&gateway.name), gateway.life))
+            .collect();
+        // The length of a path is limited: long names leave room for the latest replicas only.
+        while gateways.len() > 2 && gateways.iter().map(String::len).sum::<usize>() > MAX_TOKEN_GATEWAY_BYTES
+        {
+            gateways.remove(1);
         }
-        let says = format!(
+        let content = format!(
             "{:x}.{}.{}",
-            due / 1_000,
+            deadline / 1_000,
             after.map_or_else(|| "-".to_owned(), |n| n.to_string()),
-            chain.join(".")
+            gateways.join(".")
         );
         let keys = self.keys.borrow();
         let key = keys.first();
-        let code = key.code(&[USE, public_id.as_bytes(), b"/", says.as_bytes()]).finalize().into_bytes();
+        let code = key
+            .code(&[TOKEN_CODE_DOMAIN, public_id.as_bytes(), b"/", content.as_bytes()])
+            .finalize()
+            .into_bytes();
         let code: String = code[..16].iter().map(|b| format!("{b:02x}")).collect();
-        Some(format!("{:08x}{code}.{says}", mark(&key.name)))
+        Some(format!("{:08x}{code}.{content}", mark(&key.name)))
     }
 
-    /// What a path says; `None` if no gateway of this fleet has made it.
+    /// Parses a page path; `None` if no gateway of this fleet has made it.
     pub fn parse_token(&self, path: &str) -> Option<Token> {
         let page = PageRef::parse(path)?;
-        let (code, says) = page.slug.split_once('.')?;
-        let code = code.is_ascii().then(|| code.split_at_checked(8)).flatten()?;
-        let of = u32::from_str_radix(code.0, 16).ok()?;
-        let code = crate::front::parse_hex(code.1)?;
-        let believed = |key: &violetward_transport::Key| {
-            let said = key.code(&[USE, page.id.as_bytes(), b"/", says.as_bytes()]);
-            said.verify_truncated_left(&code).is_ok()
+        let (code, content) = page.slug.split_once('.')?;
+        let (key_mark, code) = code.is_ascii().then(|| code.split_at_checked(8)).flatten()?;
+        let key_mark = u32::from_str_radix(key_mark, 16).ok()?;
+        let code = crate::front::parse_hex(code)?;
+        let is_signed_by = |key: &violetward_transport::Key| {
+            let expected = key.code(&[TOKEN_CODE_DOMAIN, page.id.as_bytes(), b"/", content.as_bytes()]);
+            expected.verify_truncated_left(&code).is_ok()
         };
-        if !self.keys.borrow().marked(of).any(believed) {
+        if !self.keys.borrow().marked(key_mark).any(is_signed_by) {
             return None;
         }
-        let mut fields = says.split('.');
-        let due = u64::from_str_radix(fields.next()?, 16).ok()?.saturating_mul(1_000);
+        let mut fields = content.split('.');
+        let deadline = u64::from_str_radix(fields.next()?, 16).ok()?.saturating_mul(1_000);
         let after = Some(fields.next()?).filter(|n| *n != "-").map(str::parse).transpose().ok()?;
-        let link = |field: &str| {
+        let parse_gateway = |field: &str| {
             let mut parts = field.split('~');
             let (name, life) = (decode(parts.next()?)?, u64::from_str_radix(parts.next()?, 16).ok()?);
-            Some((Life { name, life }, u32::from_str_radix(parts.next()?, 16).ok()?))
+            Some((Incarnation { name, life }, u32::from_str_radix(parts.next()?, 16).ok()?))
         };
-        let chain: Vec<(Life, u32)> = fields.map(link).collect::<Option<_>>()?;
+        let gateways: Vec<(Incarnation, u32)> = fields.map(parse_gateway).collect::<Option<_>>()?;
         let number = page.id.rsplit('_').nth(1)?.parse().ok()?;
-        let taken_by = chain.first()?.0.clone();
-        Some(Token { key: StatementKey { taken_by, number }, after, chain, due, page })
+        let taken_by = gateways.first()?.0.clone();
+        Some(Token { key: StatementKey { taken_by, number }, after, gateways, deadline, page })
     }
 
-    /// Where a statement is, and under which number if it is here.
+    /// Which gateway holds a statement, and its local id if this gateway does.
     pub fn locate(&self, key: &StatementKey) -> (Whereabouts, Option<StatementId>) {
-        (self.machine.borrow().locate(key), self.local(key))
+        (self.node.borrow().locate(key), self.statement_id(key))
     }
 
     // ---- Other gateways --------------------------------------------------------------------------------
 
-    /// Something came from a member by datagram.
+    /// Handles a protocol message of another gateway.
     pub fn receive_message(&self, host: &Rc<Host>, from: &str, bytes: &[u8]) {
-        self.with(host, |m, now| m.handle_message(now, from, bytes));
-        self.came.notify(usize::MAX);
+        self.update(host, |node, now| node.handle_message(now, from, bytes));
+        self.message_received.notify(usize::MAX);
     }
 
-    /// What membership believes may have changed.
+    /// Passes the members that membership knows to the protocol.
     pub fn update_members(&self, host: &Rc<Host>) {
         let Some(peers) = host.peers() else { return };
-        let of = |seen: violetward_membership::Seen| Member {
-            incarnation: Life { name: seen.record.name, life: seen.record.life },
+        let member = |seen: violetward_membership::Seen| Member {
+            incarnation: Incarnation { name: seen.record.name, life: seen.record.life },
             site: seen.record.site,
-            state: state(seen.record.state),
+            state: member_state(seen.record.state),
         };
-        let members = peers.members().into_iter().map(of).collect();
-        self.with(host, |m, now| m.update_members(now, members));
+        let members = peers.members().into_iter().map(member).collect();
+        self.update(host, |node, now| node.update_members(now, members));
     }
 
-    async fn look(self: Rc<Self>, host: Rc<Host>) {
+    async fn refresh_members(self: Rc<Self>, host: Rc<Host>) {
         loop {
             self.update_members(&host);
-            // Who is not known any more needs no line.
+            // A gateway that membership no longer knows needs no queue.
             let known: Vec<String> = host.peers().map_or(Vec::new(), |p| p.member_names());
-            self.lines.borrow_mut().retain(|name, _| known.contains(name));
-            violetward_net::sleep(LOOK).await;
+            self.record_queues.borrow_mut().retain(|name, _| known.contains(name));
+            violetward_net::sleep(MEMBER_REFRESH_INTERVAL).await;
         }
     }
 
-    async fn wake(self: Rc<Self>, host: Rc<Host>) {
+    async fn run_timers(self: Rc<Self>, host: Rc<Host>) {
         loop {
-            self.alarm.wait(&host.clock, || self.machine.borrow().next_wake()).await;
-            self.with(&host, TakeoverNode::wake);
+            self.alarm.wait(&host.clock, || self.node.borrow().next_wake()).await;
+            self.update(&host, TakeoverNode::wake);
             future::yield_now().await;
         }
     }
 
-    /// Writes what is to be kept, the newest only, on a thread of its own: a disk that stalls must not hold up statements.
-    async fn keep(
+    /// Stores the latest marks on a separate thread, so that a slow disk does not delay statements.
+    async fn store_marks(
         self: Rc<Self>,
         host: Rc<Host>,
         mut store: Files<Folder>,
-        kept: async_channel::Receiver<Vec<u8>>,
+        pending_marks: async_channel::Receiver<Vec<u8>>,
     ) {
-        while let Ok(mut bytes) = kept.recv().await {
-            while let Ok(newer) = kept.try_recv() {
+        while let Ok(mut bytes) = pending_marks.recv().await {
+            while let Ok(newer) = pending_marks.try_recv() {
                 bytes = newer;
             }
             loop {
-                let Some((back, put)) = write(store, bytes.clone()).await else {
-                    tracing::error!("custody: the writing thread ended; nothing more is kept");
+                let Some((returned_store, result)) = write_marks(store, bytes.clone()).await else {
+                    tracing::error!(
+                        "custody: the thread that stores marks ended; no further marks are stored"
+                    );
                     return;
                 };
-                store = back;
-                let Err(why) = put else { break };
-                tracing::error!("custody: what has to be kept is not: {why}");
+                store = returned_store;
+                let Err(why) = result else { break };
+                tracing::error!("custody: marks not stored, retrying: {why}");
                 violetward_net::sleep(Duration::from_secs(1)).await;
             }
-            if kept.is_empty() {
-                self.with(&host, TakeoverNode::marks_stored);
+            if pending_marks.is_empty() {
+                self.update(&host, TakeoverNode::marks_stored);
             }
         }
     }
 
-    /// Records go to each gateway in order, one after the other.
-    fn send(&self, host: &Rc<Host>, to: String, bytes: Vec<u8>) {
-        let mut lines = self.lines.borrow_mut();
-        let line = lines.entry(to.clone()).or_insert_with(|| {
-            let (queue, wanted) = async_channel::bounded(WAITING);
-            host.spawn(carry(host.clone(), to.clone(), wanted));
-            Line { queue }
+    /// Queues a record for a gateway. The records for one gateway are sent in order, one at a time.
+    fn queue_record(&self, host: &Rc<Host>, to: String, bytes: Vec<u8>) {
+        let mut queues = self.record_queues.borrow_mut();
+        let queue = queues.entry(to.clone()).or_insert_with(|| {
+            let (queue, records) = async_channel::bounded(MAX_QUEUED_RECORDS);
+            host.spawn(send_records(host.clone(), to.clone(), records));
+            queue
         });
-        if line.queue.try_send(bytes).is_err() {
+        if queue.try_send(bytes).is_err() {
             let host = host.clone();
-            drop(lines);
+            drop(queues);
             host.clone().spawn(async move {
                 let custody = host.custody();
-                custody.iter().for_each(|c| c.with(&host, |m, now| m.handle_send_failure(now, &to)));
+                custody.iter().for_each(|c| c.update(&host, |node, now| node.handle_send_failure(now, &to)));
             });
         }
     }
 
-    /// A record has come over a stream.
-    async fn record(&self, host: &Rc<Host>, from: &str, record: &[u8]) -> Vec<u8> {
+    /// Handles a record that arrived over a stream, and returns the answer.
+    async fn handle_record(&self, host: &Rc<Host>, from: &str, record: &[u8]) -> Vec<u8> {
         match record.split_first() {
-            Some((&MACHINE, bytes)) => {
+            Some((&PROTOCOL_RECORD, bytes)) => {
                 self.receive_message(host, from, bytes);
                 Vec::new()
             }
-            Some((&ASKED, bytes)) => {
-                let Ok(asked) = serde_json::from_slice::<ForwardedRequest>(bytes) else { return Vec::new() };
+            Some((&REQUEST_RECORD, bytes)) => {
+                let Ok(request) = serde_json::from_slice::<ForwardedRequest>(bytes) else {
+                    return Vec::new();
+                };
                 let front = host.front();
                 let Some(front) = front else { return Vec::new() };
-                let (told, body) = front.answer_forwarded(&asked).await;
-                told_and(&told, &body, asked.from)
+                let (response, body) = front.answer_forwarded(&request).await;
+                encode_response(&response, &body, request.offset)
             }
             _ => Vec::new(),
         }
     }
 
-    /// Passes a request on to whoever holds the statement: who is said to, then those that its token names.
+    /// Forwards a request to the gateway that holds the statement. Asks `first_holder` first, then the
+    /// gateways that the token names, then others.
     pub(crate) async fn forward(
         &self,
         host: &Rc<Host>,
         token: &Token,
-        asked: &ForwardedRequest,
-        first: Option<String>,
+        request: &ForwardedRequest,
+        first_holder: Option<String>,
     ) -> ForwardOutcome {
         let Some(peers) = host.peers() else { return ForwardOutcome::Unreachable };
         self.passed_on.set(self.passed_on.get() + 1);
-        // Looked at before anybody is asked: who is over by then passes it to nobody between two answers.
-        let mut verdict = self.verdict(host, &peers, token);
-        let mut next: Vec<String> = token.chain.iter().map(|(life, _)| life.name.clone()).collect();
-        next.splice(..0, first);
+        // Checked before any gateway is asked: a gateway that has ended by now cannot hand the statement on
+        // between two answers.
+        let mut may_be_lost = self.may_be_lost(host, &peers, token);
+        let mut next: Vec<String> = token.gateways.iter().map(|(gateway, _)| gateway.name.clone()).collect();
+        next.splice(..0, first_holder);
         next.dedup();
         next.reverse();
-        let mut tried: Vec<String> = vec![self.me.name.clone()];
-        let mut wide = false;
+        let mut tried: Vec<String> = vec![self.incarnation.name.clone()];
+        let mut asks_others = false;
         loop {
             let Some(name) = next.pop() else {
-                // Nobody of them knows. It may have gone on from one to another since the token was made.
-                if wide || peers.may_be_alive(&token.key.taken_by) {
+                // None of these gateways holds it. It may have been taken over repeatedly since the token was
+                // made.
+                if asks_others || peers.may_be_alive(&token.key.taken_by) {
                     break;
                 }
-                wide = true;
-                // Only who is to say that nobody has it has to ask all.
-                let most = if verdict { usize::MAX } else { WIDE };
-                next.extend(peers.member_names().into_iter().take(most));
+                asks_others = true;
+                // Only the decision that the statement is lost requires that all gateways are asked.
+                let limit = if may_be_lost { usize::MAX } else { MAX_FURTHER_GATEWAYS };
+                next.extend(peers.member_names().into_iter().take(limit));
                 continue;
             };
             if tried.contains(&name) {
@@ -764,131 +797,137 @@
             }
             let Some(address) = peers.stream_address(&name) else { continue };
             tried.push(name.clone());
-            match self.ask(&name, address, asked).await {
-                // It can't say, or may not act: somebody else may.
-                Some((told, _)) if told.status == 503 => verdict = false,
-                Some((told, body)) if told.status != 0 => return ForwardOutcome::Response(told, body),
-                Some((ForwardedResponse { at: Some(at), .. }, _)) => {
-                    // One that knows of it: nobody says then that nobody does.
-                    verdict = false;
-                    next.push(at);
+            match self.call(&name, address, request).await {
+                // This gateway cannot answer or may not act; another one may.
+                Some((response, _)) if response.status == 503 => may_be_lost = false,
+                Some((response, body)) if response.status != 0 => {
+                    return ForwardOutcome::Response(response, body)
+                }
+                Some((ForwardedResponse { holder: Some(holder), .. }, _)) => {
+                    // A gateway knows of the statement, so it is not lost.
+                    may_be_lost = false;
+                    next.push(holder);
                 }
                 Some(_) => {}
-                None => verdict = false,
+                None => may_be_lost = false,
             }
         }
-        let all = || peers.members().iter().all(|s| !living(s) || tried.contains(&s.record.name));
-        if verdict && wide && all() {
+        let all_tried = || peers.members().iter().all(|s| !is_live(s) || tried.contains(&s.record.name));
+        if may_be_lost && asks_others && all_tried() {
             ForwardOutcome::Lost
         } else {
             ForwardOutcome::Unreachable
         }
     }
 
-    /// Whether it may be said that a statement is lost, once nobody that lives knows of it. On the far side of a cut its holder
-    /// looks dead and goes on: so whoever may have it and does not answer has to be surely over. One that was ended and
-    /// still runs may give back what it had, so until nobody waits any more its process has to be known to have ended.
-    fn verdict(&self, host: &Rc<Host>, peers: &crate::peers::Peers, token: &Token) -> bool {
+    /// Whether a statement may be declared lost once no live gateway knows of it. Behind a network partition
+    /// its holder looks dead and goes on, so each gateway that may hold it and does not answer must be
+    /// fenced. A fenced gateway whose process still runs may hand back the statement, so until the client's
+    /// deadline its process must also be known to have ended.
+    fn may_be_lost(&self, host: &Rc<Host>, peers: &crate::peers::Peers, token: &Token) -> bool {
         let now = host.now();
-        let seen = peers.members();
-        let mut open: Vec<(Life, u32)> = Vec::new();
-        let mut ended = true;
-        for (life, term) in token.chain.iter().filter(|(life, _)| *life != self.me) {
-            let known = seen.iter().find(|s| s.record.name == life.name);
-            ended &= known.is_some_and(|s| {
-                s.record.life != life.life || s.record.state == violetward_membership::State::Left
+        let members = peers.members();
+        let mut unfenced: Vec<(Incarnation, u32)> = Vec::new();
+        let mut all_ended = true;
+        for (gateway, term) in token.gateways.iter().filter(|(gateway, _)| *gateway != self.incarnation) {
+            let known = members.iter().find(|s| s.record.name == gateway.name);
+            all_ended &= known.is_some_and(|s| {
+                s.record.life != gateway.life || s.record.state == violetward_membership::State::Left
             });
-            if !known.is_some_and(|s| s.record.life == life.life && living(s)) {
-                open.push((life.clone(), *term));
+            if !known.is_some_and(|s| s.record.life == gateway.life && is_live(s)) {
+                unfenced.push((gateway.clone(), *term));
             }
         }
-        for gone in seen.iter().filter(|s| !living(s)) {
-            open.push((Life { name: gone.record.name.clone(), life: gone.record.life }, 0));
+        for gone in members.iter().filter(|s| !is_live(s)) {
+            unfenced.push((Incarnation { name: gone.record.name.clone(), life: gone.record.life }, 0));
         }
-        let settled = micros(self.terms.lease) * SETTLED;
-        if token.key.taken_by == self.me || !peers.ended_for(&token.key.taken_by, now, settled) {
+        let lost_after = micros(self.terms.lease) * LOST_AFTER_LEASES;
+        if token.key.taken_by == self.incarnation || !peers.ended_for(&token.key.taken_by, now, lost_after) {
             return false;
         }
-        open.retain(|(life, term)| !self.machine.borrow().is_fenced(life, *term));
-        for (life, term) in &open {
-            self.with(host, |m, now| m.request_fencing(now, life, *term));
+        unfenced.retain(|(gateway, term)| !self.node.borrow().is_fenced(gateway, *term));
+        for (gateway, term) in &unfenced {
+            self.update(host, |node, now| node.request_fencing(now, gateway, *term));
         }
-        open.is_empty() && (ended || now >= token.due)
+        unfenced.is_empty() && (all_ended || now >= token.deadline)
     }
 
-    /// How long a gateway that may not act holds a poll for what it has.
+    /// Half a lease: how long a gateway without a tenure delays polls and new statements before it refuses
+    /// them.
     pub(crate) fn half_lease(&self) -> Duration {
         self.terms.lease / 2
     }
 
-    async fn ask(
+    /// Sends a request to another gateway and collects the parts of the response body.
+    async fn call(
         &self,
         name: &str,
         address: SocketAddr,
-        asked: &ForwardedRequest,
+        request: &ForwardedRequest,
     ) -> Option<(ForwardedResponse, Vec<u8>)> {
-        let within = Duration::from_millis(asked.wait_millis) + SEND;
-        let mut asked = asked.clone();
+        let timeout = Duration::from_millis(request.wait_millis) + RECORD_TIMEOUT;
+        let mut request = request.clone();
         let mut body: Vec<u8> = Vec::new();
         let mut first: Option<ForwardedResponse> = None;
         loop {
-            asked.from = body.len();
-            let mut record = vec![ASKED];
-            serde_json::to_writer(&mut record, &asked).ok()?;
-            let answer = self.caller.call_named(name, address, &record, within).await.ok()?;
+            request.offset = body.len();
+            let mut record = vec![REQUEST_RECORD];
+            serde_json::to_writer(&mut record, &request).ok()?;
+            let answer = self.caller.call_named(name, address, &record, timeout).await.ok()?;
             let (length, rest) = answer.split_first_chunk::<4>()?;
             let (head, part) = rest.split_at_checked(u32::from_be_bytes(*length) as usize)?;
-            let told: ForwardedResponse = serde_json::from_slice(head).ok()?;
-            // A page that changed between two parts would be put together wrongly.
-            if first.as_ref().is_some_and(|f| f.whole != told.whole) {
+            let response: ForwardedResponse = serde_json::from_slice(head).ok()?;
+            // Parts of a body that changed meanwhile do not belong together.
+            if first.as_ref().is_some_and(|f| f.body_length_and_hash != response.body_length_and_hash) {
                 return None;
             }
             body.extend_from_slice(part);
-            if body.len() >= told.whole.0 {
-                return Some((told, body));
+            if body.len() >= response.body_length_and_hash.0 {
+                return Some((response, body));
             }
             if part.is_empty() {
                 return None;
             }
-            first = Some(told);
+            first = Some(response);
         }
     }
 
-    /// Everything held goes to others; nothing is begun any more.
+    /// Starts to hand over all held statements to other gateways; no attempt starts here any more.
     pub fn start_hand_over(&self, host: &Rc<Host>) {
-        self.with(host, TakeoverNode::start_hand_over);
+        self.update(host, TakeoverNode::start_hand_over);
     }
 
-    /// Nothing is held here any more.
+    /// Whether this gateway holds no statement any more.
     pub fn hand_over_complete(&self) -> bool {
-        self.machine.borrow().hand_over_complete()
+        self.node.borrow().hand_over_complete()
     }
 
-    /// How it stands.
+    /// The answer of `/v1/custody`.
     pub fn status(&self, host: &Rc<Host>) -> CustodyStatus {
-        let usage = self.machine.borrow().usage();
+        let usage = self.node.borrow().usage();
         let counts = host.read_core(|core| core.counts);
         CustodyStatus {
-            name: self.me.name.clone(),
-            life: format!("{:016x}", self.me.life),
+            name: self.incarnation.name.clone(),
+            life: format!("{:016x}", self.incarnation.life),
             tenure: self.may_act(host),
             held: usage.owned,
             guarded: usage.replica_records,
-            octets: usage.replica_bytes,
+            guarded_bytes: usage.replica_bytes,
             waiting: usage.awaiting_replicas,
             adopted: counts.adopted,
             left: counts.handed_over,
             unprotected: self.unprotected.get(),
             passed_on: self.passed_on.get(),
-            intents: self.waited.get(),
+            intents: self.launch_waits.get(),
         }
     }
 }
 
-fn told_and(told: &ForwardedResponse, body: &[u8], from: usize) -> Vec<u8> {
-    let head = serde_json::to_vec(told).unwrap_or_default();
-    let part = &body[from.min(body.len())..];
-    let part = &part[..part.len().min(PART)];
+/// Encodes the head of a response and the part of its body from `offset` on.
+fn encode_response(response: &ForwardedResponse, body: &[u8], offset: usize) -> Vec<u8> {
+    let head = serde_json::to_vec(response).unwrap_or_default();
+    let part = &body[offset.min(body.len())..];
+    let part = &part[..part.len().min(MAX_BODY_PART_BYTES)];
     let mut out = Vec::with_capacity(4 + head.len() + part.len());
     out.extend_from_slice(&(head.len() as u32).to_be_bytes());
     out.extend_from_slice(&head);
@@ -896,38 +935,42 @@
     out
 }
 
-/// Brings records to one gateway.
-async fn carry(host: Rc<Host>, to: String, wanted: async_channel::Receiver<Vec<u8>>) {
-    while let Ok(bytes) = wanted.recv().await {
+/// Sends the queued records of one gateway.
+async fn send_records(host: Rc<Host>, to: String, records: async_channel::Receiver<Vec<u8>>) {
+    while let Ok(bytes) = records.recv().await {
         let Some(custody) = host.custody() else { return };
         let mut record = Vec::with_capacity(bytes.len() + 1);
-        record.push(MACHINE);
+        record.push(PROTOCOL_RECORD);
         record.extend_from_slice(&bytes);
         let address = host.peers().and_then(|peers| peers.stream_address(&to));
         let sent = match address {
-            Some(address) => custody.caller.call_named(&to, address, &record, SEND).await.is_ok(),
+            Some(address) => custody.caller.call_named(&to, address, &record, RECORD_TIMEOUT).await.is_ok(),
             None => false,
         };
         if !sent {
-            custody.with(&host, |m, now| m.handle_send_failure(now, &to));
+            custody.update(&host, |node, now| node.handle_send_failure(now, &to));
         }
     }
 }
 
-/// Puts on a thread of its own; gives the store back with what came of it.
-async fn write(mut store: Files<Folder>, bytes: Vec<u8>) -> Option<(Files<Folder>, Result<u64, StoreError>)> {
+/// Stores marks on a separate thread. Returns the store and the result; `None` if the thread ended without
+/// one.
+async fn write_marks(
+    mut store: Files<Folder>,
+    bytes: Vec<u8>,
+) -> Option<(Files<Folder>, Result<u64, StoreError>)> {
     let (done, wait) = async_channel::bounded(1);
     let work = move || {
-        let put = store.put(KEPT, &bytes);
-        drop(done.try_send((store, put)));
+        let result = store.put(MARKS_KEY, &bytes);
+        drop(done.try_send((store, result)));
     };
     std::thread::Builder::new().name("custody".into()).spawn(work).ok()?;
     wait.recv().await.ok()
 }
 
-/// Waits for news of who holds what, at most until then and for so long.
-pub(crate) async fn wait_for_change(custody: &Custody, until: Instant, most: Duration) {
-    let listener = custody.changed.listen();
-    let until = until.min(Instant::now() + most);
+/// Waits until the holder of a statement may have changed, at most until `until` and for `max_wait`.
+pub(crate) async fn wait_for_change(custody: &Custody, until: Instant, max_wait: Duration) {
+    let listener = custody.holder_changed.listen();
+    let until = until.min(Instant::now() + max_wait);
     future::or(listener, violetward_net::sleep_until(until)).await;
 }
--- a/crates/gateway/src/front.rs
+++ b/crates/gateway/src/front.rs
@@ -158,11 +158,15 @@
         match self.answer_if_held(&custody, &token, &request, None).await {
             HeldAnswer::Reply(reply) => {
                 let headers = reply.headers.iter().map(|(n, v)| (n.to_owned(), v.to_owned())).collect();
-                let whole = (reply.body.len(), crate::list::fnv1a(&String::from_utf8_lossy(&reply.body)));
-                (ForwardedResponse { status: reply.status, headers, whole, at: None }, reply.body)
+                let body_length_and_hash =
+                    (reply.body.len(), crate::list::fnv1a(&String::from_utf8_lossy(&reply.body)));
+                (
+                    ForwardedResponse { status: reply.status, headers, body_length_and_hash, holder: None },
+                    reply.body,
+                )
             }
-            HeldAnswer::Elsewhere(at) => {
-                (ForwardedResponse { at, ..ForwardedResponse::default() }, Vec::new())
+            HeldAnswer::Elsewhere(holder) => {
+                (ForwardedResponse { holder, ..ForwardedResponse::default() }, Vec::new())
             }
             HeldAnswer::Disconnected => Default::default(),
         }
@@ -198,13 +202,13 @@
                 path: target.to_owned(),
                 host: message.headers.get("host").unwrap_or("localhost").to_owned(),
                 wait_millis: until.saturating_duration_since(Instant::now()).as_millis() as u64,
-                from: 0,
+                offset: 0,
             };
             match custody.forward(&self.host, &token, &forwarded, holder).await {
-                ForwardOutcome::Response(told, body) => {
+                ForwardOutcome::Response(response, body) => {
                     let mut headers = Headers::default();
-                    told.headers.iter().for_each(|(name, value)| headers.push(name, value));
-                    return Some(Reply { status: told.status, headers, body });
+                    response.headers.iter().for_each(|(name, value)| headers.push(name, value));
+                    return Some(Reply { status: response.status, headers, body });
                 }
                 ForwardOutcome::Lost => {
                     let (from, number) = (&token.key.taken_by.name, token.key.number);
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -1,10 +1,11 @@
-//! The list of engines that is in force, read from S-expressions or from a zone. A text that cannot be trusted as a whole is
-//! rejected, and the previous list stays in force. Does no I/O and reads no clock.
+//! The list of engines that is in force, read from S-expressions or from a zone. A text that cannot be
+//! trusted as a whole is rejected, and the previous list stays in force. Does no I/O and reads no clock.
 //!
-//! In a zone, every name with an SRV record is an engine. The engine's name is that name relative to the zone. The SRV record
-//! gives the port, the host and the weight (0 counts as 1), and the host's A or AAAA record in the zone gives the address. The
-//! remaining fields are `name=value` strings of a TXT record or parameters of an SVCB record: `kind` (key65280), `zone`
-//! (key65281), `cell` (key65282), `came-up` (key65283), `state` (key65284). TXT takes precedence over SVCB.
+//! In a zone, every name with an SRV record is an engine. The engine's name is that name relative to the
+//! zone. The SRV record gives the port, the host and the weight (0 counts as 1), and the host's A or AAAA
+//! record in the zone gives the address. The remaining fields are `name=value` strings of a TXT record or
+//! parameters of an SVCB record: `kind` (key65280), `zone` (key65281), `cell` (key65282), `came-up`
+//! (key65283), `state` (key65284). TXT takes precedence over SVCB.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -20,7 +21,8 @@
 use crate::list::{self, EngineRecord, ParsedList};
 use crate::terms::Names;
 
-/// Keys of SVCB parameters, from the range for private use (RFC 9460, section 14.3.1), and their names in TXT records.
+/// Keys of SVCB parameters, from the range for private use (RFC 9460, section 14.3.1), and their names in TXT
+/// records.
 const ENGINE_PARAMETERS: [(u16, &str); 5] =
     [(65_280, "kind"), (65_281, "zone"), (65_282, "cell"), (65_283, "came-up"), (65_284, "state")];
 
@@ -77,8 +79,9 @@
         }
     }
 
-    /// Reads a zone file. Returns the result and the mistakes found in records. A file that is truncated, has no SOA record or
-    /// has an older serial than the zone in force is rejected. An engine whose record is damaged keeps its previous entry.
+    /// Reads a zone file. Returns the result and the mistakes found in records. A file that is truncated, has
+    /// no SOA record or has an older serial than the zone in force is rejected. An engine whose record is
+    /// damaged keeps its previous entry.
     pub fn read_zone_file(
         &mut self,
         text: &str,
@@ -104,8 +107,8 @@
             );
         }
         let mut engines = engines_of_zone(&zone, names, &mut mistakes);
-        // An unreadable record may belong to an engine: an engine without a valid record whose name appears on a damaged line
-        // keeps its previous entry.
+        // An unreadable record may belong to an engine: an engine without a valid record whose name appears
+        // on a damaged line keeps its previous entry.
         let damaged_lines: Vec<&str> =
             reading.mistakes.iter().filter_map(|m| text.lines().nth(m.line.wrapping_sub(1))).collect();
         for name in self.engines.keys() {
@@ -155,7 +158,8 @@
 
 fn parse_engine(zone: &Zone, owner: &Name, name: &str, names: &Names) -> Result<EngineRecord, String> {
     let services = zone.get(owner, Type::SRV).map(|s| s.data.as_slice()).unwrap_or_default();
-    // Of several records, the one with the lowest priority value applies; ties go to the first one in the zone.
+    // Of several records, the one with the lowest priority value applies; ties go to the first one in the
+    // zone.
     let preferred =
         services.iter().min_by_key(|d| if let Data::Srv { priority, .. } = d { *priority } else { u16::MAX });
     let Some(Data::Srv { weight, port, target, .. }) = preferred else { return Err("no SRV record".into()) };
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -81,7 +81,7 @@
                     f64::from(u8::from(standing.tenure)),
                 ),
                 ("custody_records", "Records kept for other gateways", standing.guarded as f64),
-                ("custody_records_bytes", "Their octets", standing.octets as f64),
+                ("custody_records_bytes", "Their octets", standing.guarded_bytes as f64),
             ]);
         }
         if let Some(agreed) = &*host.agreed.borrow() {
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,5 +1,6 @@
-//! Runs membership among gateways: moves datagrams between the transport and the protocol and applies the protocol's effects.
-//! The share of the fleet goes to the core, changes go to the log. All decisions are made in `violetward-membership`.
+//! Runs membership among gateways: moves datagrams between the transport and the protocol and applies the
+//! protocol's effects. The share of the fleet goes to the core, changes go to the log. All decisions are made
+//! in `violetward-membership`.
 
 use std::cell::RefCell;
 use std::net::{SocketAddr, TcpListener};
@@ -26,7 +27,8 @@
 const DEMAND_AVERAGE_SPAN: Duration = Duration::from_secs(5);
 /// Interval at which the averaged demand is updated and announced to the other members.
 const DEMAND_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
-/// Size of the read buffer: one byte more than the longest valid datagram, so that an oversized one is recognized.
+/// Size of the read buffer: one byte more than the longest valid datagram, so that an oversized one is
+/// recognized.
 const READ_BUFFER_BYTES: usize = violetward_membership::wire::DATAGRAM + 1;
 
 /// Membership of this gateway: what it knows of the other gateways, and its link to them.
@@ -81,7 +83,8 @@
     pub sent: (u64, u64),
     /// Datagrams and bytes accepted.
     pub taken: (u64, u64),
-    /// Refused datagrams by reason: malformed, oversized, unknown key, forged, replayed, sender not proved alive.
+    /// Refused datagrams by reason: malformed, oversized, unknown key, forged, replayed, sender not proved
+    /// alive.
     pub refused: [u64; 6],
     /// Pauses of this process that were detected.
     pub paused: u64,
@@ -233,8 +236,8 @@
         let mut buffer = vec![0; READ_BUFFER_BYTES];
         loop {
             let (from, bytes) = self.datagrams.next(&mut buffer).await;
-            // Due timers run first: the protocol detects a pause of this process by a late timer, and must do so before it
-            // handles datagrams that arrived during the pause.
+            // Due timers run first: the protocol detects a pause of this process by a late timer, and must do
+            // so before it handles datagrams that arrived during the pause.
             if self.membership.borrow().next_wake() <= host.now() {
                 self.update(&host, Membership::wake);
             }
@@ -338,7 +341,8 @@
         known.is_some_and(|seen| seen.record.life == life.life && seen.record.state <= State::Suspect)
     }
 
-    /// Whether this process of a gateway is known to have ended at least `span` microseconds ago, or is not known at all.
+    /// Whether this process of a gateway is known to have ended at least `span` microseconds ago, or is not
+    /// known at all.
     pub fn ended_for(&self, life: &Life, now: u64, span: u64) -> bool {
         let known = self.membership.borrow().view().find(|seen| seen.record.name == life.name);
         known.is_none_or(|seen| {
