--- a/crates/custody/src/node/messages.rs
+++ b/crates/custody/src/node/messages.rs
@@ -1,4 +1,4 @@
-//! Messages from other gateways, each to what handles it.
+//! Decoding of messages from other gateways, and their dispatch.
 
 use super::{Effect, TakeoverNode};
 use crate::voter::LeaseAnswer;
@@ -6,13 +6,13 @@
 use crate::{Incarnation, Micros};
 
 impl TakeoverNode {
-    /// A datagram, or records over a stream, from a gateway that has proved its name.
+    /// Handles a datagram, or records from a stream, of a gateway whose name the transport has authenticated.
     pub fn handle_message(&mut self, now: Micros, from: &str, bytes: &[u8]) {
         let (process, message) = match Message::decode(bytes) {
             Ok(decoded) => decoded,
-            Err(why) => return self.handle_undecodable(now, from, why),
+            Err(error) => return self.handle_undecodable(now, from, error),
         };
-        let incarnation = Incarnation { name: from.to_owned(), life: process.life };
+        let incarnation = Incarnation { name: from.to_owned(), number: process.incarnation_number };
         if !self.learn_term(&incarnation, process.term) {
             return;
         }
@@ -24,15 +24,19 @@
         self.advance(now);
     }
 
-    fn handle_undecodable(&mut self, now: Micros, from: &str, why: DecodeError) {
-        match why {
+    fn handle_undecodable(&mut self, now: Micros, from: &str, error: DecodeError) {
+        match error {
             DecodeError::Malformed => {}
             DecodeError::UnknownFormat(format) => {
-                self.log(format!("{from} sends message format {format}, which is not supported here"));
+                self.log(format!(
+                    "{from} sent a message of format {format}, which this version does not support"
+                ));
                 self.effects.push_back(Effect::SendDatagram(from.to_owned(), unsupported_format_reply()));
             }
             DecodeError::PeerFormat(format) => {
-                self.log(format!("{from} supports message format {format} only: no replica"));
+                self.log(format!(
+                    "{from} supports only message format {format} and is not used as a replica"
+                ));
                 self.exclude_incompatible_gateway(now, from);
             }
         }
@@ -58,7 +62,9 @@
             Message::StoredMarks { asked_at, marks } => {
                 self.learn_stored_marks(now, &from, asked_at, &marks);
             }
-            Message::FenceRequest(who) => self.handle_fence_request(now, &from, who),
+            Message::FenceRequest(participants) => {
+                self.handle_fence_request(now, &from, participants);
+            }
             Message::FenceMarks(marks) => self.handle_fence_marks(now, &from, marks),
             Message::Batch { to, number, records, ended } => {
                 if self.is_local(to) {
@@ -79,10 +85,10 @@
         process == self.local.process_term()
     }
 
-    /// This gateway's own vote on a lease.
-    pub(super) fn vote_on_lease(&mut self, now: Micros, who: &Participant) -> LeaseAnswer {
+    /// Votes on a lease request as a voter.
+    pub(super) fn vote_on_lease(&mut self, now: Micros, participant: &Participant) -> LeaseAnswer {
         let voter = self.voter.as_mut();
-        let answer = voter.map_or(LeaseAnswer::Silence, |voter| voter.request_lease(now, who));
+        let answer = voter.map_or(LeaseAnswer::NoAnswer, |voter| voter.request_lease(now, participant));
         self.begin_storing_marks();
         answer
     }
@@ -92,7 +98,7 @@
         match self.vote_on_lease(now, sender) {
             LeaseAnswer::Granted => self.send_message(to, &Message::LeaseGrant(requested_at)),
             LeaseAnswer::Fenced(through) => self.send_message(to, &Message::Fenced(through)),
-            LeaseAnswer::Silence => {}
+            LeaseAnswer::NoAnswer => {}
         }
     }
 }
--- a/crates/custody/src/sim/statements.rs
+++ b/crates/custody/src/sim/statements.rs
@@ -1,24 +1,24 @@
-//! A model of the gateway around the state machine: it accepts statements, starts attempts at engines, and
+//! A model of the gateway around the state machine, which accepts statements, starts attempts at engines, and
 //! decides endings.
 
 use super::clients::ClientStatement;
 use super::events::Event;
 use super::{gateway_number, Fleet, MILLISECOND, SECOND};
-use crate::{Ending, Micros, Out, Permission, Record, Repeat, StatementKey};
+use crate::{Ending, InFlightAttempt, Micros, Permission, Record, RepeatSafety, StatementKey};
 
-/// Attempts of one statement, at most.
+/// Maximum number of attempts of one statement.
 const MAX_ATTEMPTS: u32 = 4;
 /// How long an attempt may take.
 const ATTEMPT_TIMEOUT: Micros = 5 * SECOND;
-/// So long before its deadline a statement is given up.
+/// How long before its deadline a statement is given up.
 const GIVE_UP_BEFORE: Micros = 400 * MILLISECOND;
-/// So long before its deadline a waiting statement is looked at again.
+/// How long before its deadline a waiting statement is checked.
 const CHECK_BEFORE: Micros = 300 * MILLISECOND;
 
-/// How far a gateway is with a statement.
+/// The stage of a statement at its gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// An attempt is to be started.
+    /// An attempt can be started.
     Ready,
     /// An attempt waits for its permission, since that time.
     AwaitingPermission(Micros),
@@ -26,7 +26,7 @@
     InFlight,
     /// An ending waits for its permission.
     AwaitingEnding(Ending),
-    /// There is an end for the client: the gateway's own, or the engine's result.
+    /// The ending can be reported: one that the gateway decided, or `None` for the engine's result.
     Ended(Option<Ending>),
 }
 
@@ -36,23 +36,27 @@
     pub(super) stage: Stage,
     attempts: u32,
     deadline: Micros,
-    repeat: Repeat,
-    /// Counts the planned steps: an earlier one is void.
+    repeat: RepeatSafety,
+    /// The number of the step scheduled last; earlier steps are outdated.
     pub(super) step: u32,
 }
 
-fn attempt(number: u32, next: Option<String>, page: u64) -> Out {
-    Out { number, engine: "e".into(), next, page, sent: 0, within: ATTEMPT_TIMEOUT }
+fn attempt(number: u32, next_uri: Option<String>, next_page: u64) -> InFlightAttempt {
+    InFlightAttempt { number, engine: "e".into(), next_uri, next_page, elapsed: 0, timeout: ATTEMPT_TIMEOUT }
 }
 
 impl Fleet {
-    /// Plans the next step with a statement, in place of the one that was planned.
+    /// Schedules the next step of a statement in place of the one scheduled before.
     fn schedule_step(&mut self, gateway: usize, key: &StatementKey, delay: Micros) {
-        let life = self.processes[gateway].life;
+        let incarnation_number = self.processes[gateway].incarnation_number;
         if let Some(statement) = self.processes[gateway].statements.get_mut(key) {
             statement.step += 1;
             let step = statement.step;
-            self.schedule(self.now + delay, gateway, Event::Proceed { life, key: key.clone(), step });
+            self.schedule(
+                self.now + delay,
+                gateway,
+                Event::Proceed { incarnation_number, key: key.clone(), step },
+            );
         }
     }
 
@@ -74,19 +78,19 @@
         }
         let deadline = self.random_time(3 * SECOND, 25 * SECOND);
         let is_unsafe = self.random() % 100 < self.case.unsafe_percent;
-        let repeat = if is_unsafe { Repeat::Unsafe } else { Repeat::Harmless };
+        let repeat = if is_unsafe { RepeatSafety::Unsafe } else { RepeatSafety::Safe };
         self.processes[gateway].last_number += 1;
         let number = self.processes[gateway].last_number;
-        let key = StatementKey { taken_by: self.incarnation(gateway), number };
+        let key = StatementKey { accepted_by: self.incarnation(gateway), number };
         let record = Record {
             key: key.clone(),
             version: 0,
             body: vec![7; self.case.body_bytes],
             repeat,
-            left: deadline - self.now,
+            remaining_wait: deadline - self.now,
             attempts: 0,
-            out: None,
-            passed: 0,
+            in_flight: None,
+            pages_delivered: 0,
             ending: None,
         };
         let mut token = vec![gateway];
@@ -106,12 +110,12 @@
         self.carry_out_effects(gateway);
     }
 
-    /// A gateway owns a statement from now on, and goes on with it by its record.
+    /// A gateway has taken a statement over, and continues it from its record.
     pub(super) fn taken_over(&mut self, gateway: usize, record: &Record) {
         let key = record.key.clone();
         self.counts.takeovers += 1;
         self.count_takeover_delay(gateway, &key);
-        let stage = match (&record.ending, &record.out) {
+        let stage = match (&record.ending, &record.in_flight) {
             (Some(ending), _) => Stage::Ended(Some(ending.clone())),
             (None, Some(_)) => Stage::InFlight,
             (None, None) => Stage::Ready,
@@ -120,14 +124,14 @@
         let statement = LocalStatement {
             stage,
             attempts: record.attempts,
-            deadline: self.now + record.left,
+            deadline: self.now + record.remaining_wait,
             repeat: record.repeat,
             step: 0,
         };
         self.processes[gateway].statements.insert(key.clone(), statement);
         self.add_owner(&key, gateway);
         self.check_only_actor(&key, gateway);
-        match &record.out {
+        match &record.in_flight {
             Some(attempt) if is_in_flight => self.resume_attempt(gateway, record, attempt),
             _ => self.schedule_step(gateway, &key, 10 * MILLISECOND),
         }
@@ -137,50 +141,50 @@
         let Some(statement) = self.statements.get_mut(key) else { return };
         let owner_before = std::mem::replace(&mut statement.owner, gateway);
         let process = &self.processes[owner_before];
-        if process.fell_at > 0 && process.node.is_none() {
-            self.counts.takeover_delays.push(self.now - process.fell_at);
+        if process.failed_at > 0 && process.node.is_none() {
+            self.counts.takeover_delays.push(self.now - process.failed_at);
         }
     }
 
-    /// What a takeover does with an attempt that may have run.
-    fn resume_attempt(&mut self, gateway: usize, record: &Record, attempt: &Out) {
+    /// Handles an attempt that may have run when its statement was taken over.
+    fn resume_attempt(&mut self, gateway: usize, record: &Record, attempt: &InFlightAttempt) {
         let key = &record.key;
-        if attempt.next.is_some() {
+        if attempt.next_uri.is_some() {
             return self.poll_engine_again(gateway, record, attempt.number);
         }
-        if record.repeat == Repeat::Unsafe {
-            return self.decide_ending(gateway, key, Ending::Failed(format!("lost, says g{gateway}")));
+        if record.repeat == RepeatSafety::Unsafe {
+            return self.decide_ending(gateway, key, Ending::Failed(format!("lost, node g{gateway}")));
         }
         self.set_stage(gateway, key, Stage::Ready);
         self.schedule_step(gateway, key, 10 * MILLISECOND);
     }
 
-    /// The engine's address of the next page is known: polling goes on there.
+    /// Continues to poll an engine whose URI of the next page is known.
     fn poll_engine_again(&mut self, gateway: usize, record: &Record, attempt: u32) {
         let key = &record.key;
         let statement = self.statements.get(key);
         let Some(finished_at) = statement.and_then(|statement| statement.attempt_finishes_at(attempt)) else {
-            return self.violate(format!("{key:?}: an attempt that was never written has a next page"));
+            return self.violate(format!("{key:?}: an attempt that was never sent has a next page"));
         };
-        let life = self.processes[gateway].life;
+        let incarnation_number = self.processes[gateway].incarnation_number;
         let at = finished_at.max(self.now) + 10 * MILLISECOND;
-        let answer = Event::EngineAnswers { life, key: key.clone(), attempt, finished: true };
+        let answer = Event::EngineAnswers { incarnation_number, key: key.clone(), attempt, finished: true };
         self.schedule(at, gateway, answer);
-        let deadline = self.now + record.left;
+        let deadline = self.now + record.remaining_wait;
         self.schedule_step(gateway, key, deadline.saturating_sub(self.now + CHECK_BEFORE));
     }
 
-    /// A gateway goes on with a statement.
+    /// Does the next step of a statement at its gateway.
     pub(super) fn proceed(&mut self, gateway: usize, key: &StatementKey) {
         let Some(statement) = self.processes[gateway].statements.get(key).cloned() else { return };
         let is_late = self.now + GIVE_UP_BEFORE >= statement.deadline;
-        let failed = |why: &str| Ending::Failed(format!("{why}, says g{gateway}"));
+        let failed = |reason: &str| Ending::Failed(format!("{reason}, node g{gateway}"));
         match statement.stage {
             Stage::Ready | Stage::InFlight | Stage::AwaitingPermission(_) if is_late => {
                 self.decide_ending(gateway, key, failed("too late"));
             }
             Stage::Ready if statement.attempts >= MAX_ATTEMPTS => {
-                self.decide_ending(gateway, key, failed("in vain"));
+                self.decide_ending(gateway, key, failed("gave up"));
             }
             Stage::Ready => self.request_attempt(gateway, key, &statement),
             Stage::AwaitingEnding(ending) => self.decide_ending(gateway, key, ending),
@@ -219,7 +223,7 @@
         }
     }
 
-    /// An attempt may be written to its engine.
+    /// Starts an attempt that is permitted.
     pub(super) fn start_attempt(&mut self, gateway: usize, key: &StatementKey, attempts: u32) {
         let clock = self.clock(gateway);
         let may_act = self.processes[gateway].node.as_ref().is_some_and(|node| node.may_act(clock));
@@ -239,28 +243,28 @@
         let deadline = statement.deadline;
         self.check_only_actor(key, gateway);
         self.counts.attempts += 1;
-        self.write_attempt(gateway, key, attempts - 1);
+        self.send_attempt(gateway, key, attempts - 1);
         self.schedule_check_before(gateway, key, deadline);
     }
 
-    /// An attempt is written to its engine, which answers twice: when it has accepted it, and when it is
-    /// finished.
-    fn write_attempt(&mut self, gateway: usize, key: &StatementKey, attempt: u32) {
+    /// Sends an attempt to its engine, which answers twice: when it has accepted the attempt and when the
+    /// attempt is finished.
+    fn send_attempt(&mut self, gateway: usize, key: &StatementKey, attempt: u32) {
         let finished_at = self.random_time(20 * MILLISECOND, 2 * SECOND);
         let succeeds = !self.one_in(8);
         let Some(statement) = self.statements.get_mut(key) else { return };
         if let Some(violation) = statement.add_attempt(attempt, finished_at, succeeds) {
-            self.violate(format!("g{gateway} writes {key:?} {violation}"));
+            self.violate(format!("g{gateway} sends {key:?} to an engine {violation}"));
         }
-        let life = self.processes[gateway].life;
+        let incarnation_number = self.processes[gateway].incarnation_number;
         let accepted_at = self.random_time(5 * MILLISECOND, 20 * MILLISECOND);
         for (at, finished) in [(accepted_at, false), (finished_at, true)] {
-            let answer = Event::EngineAnswers { life, key: key.clone(), attempt, finished };
+            let answer = Event::EngineAnswers { incarnation_number, key: key.clone(), attempt, finished };
             self.schedule(at, gateway, answer);
         }
     }
 
-    /// An engine has accepted an attempt, or has finished it.
+    /// Handles an engine's answer that it has accepted or finished an attempt.
     pub(super) fn engine_answers(&mut self, gateway: usize, key: &StatementKey, number: u32, finished: bool) {
         let process = &self.processes[gateway];
         let Some(statement) = process.statements.get(key).filter(|_| process.node.is_some()) else { return };
@@ -275,8 +279,8 @@
                 self.statements.get(key).is_some_and(|statement| statement.has_result(number, self.now));
             if has_result {
                 self.set_stage(gateway, key, Stage::Ended(None));
-            } else if repeat == Repeat::Unsafe {
-                self.decide_ending(gateway, key, Ending::Failed(format!("broken, says g{gateway}")));
+            } else if repeat == RepeatSafety::Unsafe {
+                self.decide_ending(gateway, key, Ending::Failed(format!("failed, node g{gateway}")));
             } else {
                 self.set_stage(gateway, key, Stage::Ready);
                 self.schedule_step(gateway, key, 10 * MILLISECOND);
--- a/crates/custody/src/wire/codec.rs
+++ b/crates/custody/src/wire/codec.rs
@@ -1,28 +1,29 @@
-//! Encoding and decoding of the fields that messages and stored marks are made of.
+//! Encoding and decoding of the fields of messages and stored marks.
 
 use super::{
     DecodeError, Participant, ProcessTerm, RejectReason, ReplicaEntry, ReplicaRecord, MAX_NAME_BYTES,
     MAX_REPLICAS,
 };
-use crate::{Ending, Incarnation, Out, Record, Repeat, StatementKey};
+use crate::{Ending, InFlightAttempt, Incarnation, Record, RepeatSafety, StatementKey};
 
-/// Bytes of a text, at most: its length is a 16-bit number.
+/// Maximum length of a text, which is encoded with a 16-bit length.
 const MAX_TEXT_BYTES: usize = u16::MAX as usize;
-/// The flags of a record: a repeat of its statement is unsafe; its body follows.
+/// Flag of a record: the statement may not run twice.
 const FLAG_UNSAFE: u8 = 1;
+/// Flag of a record: its body follows.
 const FLAG_BODY: u8 = 2;
-/// The encoded kinds of an ending.
+// Encoded kinds of an ending.
 const NO_ENDING: u8 = 0;
 const ENDING_CANCELLED: u8 = 1;
 const ENDING_REFUSED: u8 = 2;
 const ENDING_FAILED: u8 = 3;
 
-/// Appends fields to bytes.
+/// Appends encoded fields to a buffer.
 pub(super) struct Encoder(Vec<u8>);
 
 impl Encoder {
-    pub fn new(start: Vec<u8>) -> Encoder {
-        Encoder(start)
+    pub fn new(prefix: Vec<u8>) -> Encoder {
+        Encoder(prefix)
     }
 
     pub fn bytes(&self) -> &[u8] {
@@ -57,29 +58,29 @@
         self.u8(u8::from(flag));
     }
 
-    /// Bytes after their 32-bit length.
+    /// Appends a 32-bit length and the bytes.
     pub fn long_bytes(&mut self, bytes: &[u8]) {
         self.u32(bytes.len() as u32);
         self.raw(bytes);
     }
 
-    /// A list after its 16-bit length.
+    /// Appends a 16-bit count and the items.
     pub fn list<T>(&mut self, items: &[T], mut encode: impl FnMut(&mut Encoder, &T)) {
         self.u16(items.len() as u16);
         items.iter().for_each(|item| encode(self, item));
     }
 
-    /// A text after its 16-bit length; truncated at a character's boundary if it is longer.
+    /// Appends a 16-bit length and the text, truncated at a character boundary to [`MAX_TEXT_BYTES`].
     fn text(&mut self, text: &str) {
-        let longest = text.len().min(MAX_TEXT_BYTES);
-        let end = (0..=longest).rev().find(|&n| text.is_char_boundary(n)).unwrap_or(0);
+        let limit = text.len().min(MAX_TEXT_BYTES);
+        let end = (0..=limit).rev().find(|&n| text.is_char_boundary(n)).unwrap_or(0);
         self.u16(end as u16);
         self.raw(&text.as_bytes()[..end]);
     }
 
     pub fn incarnation(&mut self, incarnation: &Incarnation) {
         self.text(&incarnation.name);
-        self.u64(incarnation.life);
+        self.u64(incarnation.number);
     }
 
     pub fn participant(&mut self, participant: &Participant) {
@@ -88,12 +89,12 @@
     }
 
     pub fn process_term(&mut self, process: ProcessTerm) {
-        self.u64(process.life);
+        self.u64(process.incarnation_number);
         self.u32(process.term);
     }
 
     pub fn key(&mut self, key: &StatementKey) {
-        self.incarnation(&key.taken_by);
+        self.incarnation(&key.accepted_by);
         self.u64(key.number);
     }
 
@@ -101,45 +102,46 @@
         let record = &item.record;
         self.key(&record.key);
         self.u64(record.version);
-        let is_unsafe = if record.repeat == Repeat::Unsafe { FLAG_UNSAFE } else { 0 };
+        let is_unsafe = if record.repeat == RepeatSafety::Unsafe { FLAG_UNSAFE } else { 0 };
         let has_body = if item.has_body { FLAG_BODY } else { 0 };
         self.u8(is_unsafe | has_body);
         if item.has_body {
             self.long_bytes(&record.body);
         }
-        self.u64(record.left);
+        self.u64(record.remaining_wait);
         self.u32(record.attempts);
-        self.u64(record.passed);
-        self.flag(record.out.is_some());
-        record.out.iter().for_each(|attempt| self.attempt(attempt));
+        self.u64(record.pages_delivered);
+        self.flag(record.in_flight.is_some());
+        record.in_flight.iter().for_each(|attempt| self.attempt(attempt));
         self.ending(record.ending.as_ref());
         self.u8(item.replicas.len() as u8);
         item.replicas.iter().for_each(|entry| self.replica_entry(entry));
     }
 
-    fn attempt(&mut self, attempt: &Out) {
+    fn attempt(&mut self, attempt: &InFlightAttempt) {
         self.u32(attempt.number);
         self.text(&attempt.engine);
-        // An address that is too long is left out: the statement is then not found again, which is reported.
-        let next = attempt.next.as_ref().filter(|next| next.len() <= MAX_TEXT_BYTES);
-        self.flag(next.is_some());
-        next.into_iter().for_each(|next| self.text(next));
-        self.u64(attempt.page);
-        self.u64(attempt.sent);
-        self.u64(attempt.within);
+        // A URI that is too long is omitted: a gateway that takes over then cannot find the running
+        // statement, which it reports.
+        let next_uri = attempt.next_uri.as_ref().filter(|uri| uri.len() <= MAX_TEXT_BYTES);
+        self.flag(next_uri.is_some());
+        next_uri.into_iter().for_each(|uri| self.text(uri));
+        self.u64(attempt.next_page);
+        self.u64(attempt.elapsed);
+        self.u64(attempt.timeout);
     }
 
     fn ending(&mut self, ending: Option<&Ending>) {
         match ending {
             None => self.u8(NO_ENDING),
             Some(Ending::Cancelled) => self.u8(ENDING_CANCELLED),
-            Some(Ending::Refused(why)) => {
+            Some(Ending::Refused(reason)) => {
                 self.u8(ENDING_REFUSED);
-                self.text(why);
+                self.text(reason);
             }
-            Some(Ending::Failed(why)) => {
+            Some(Ending::Failed(reason)) => {
                 self.u8(ENDING_FAILED);
-                self.text(why);
+                self.text(reason);
             }
         }
     }
@@ -151,7 +153,7 @@
     }
 }
 
-/// Reads fields from the front of bytes.
+/// Decodes fields from the front of a buffer.
 pub(super) struct Decoder<'a>(&'a [u8]);
 
 impl<'a> Decoder<'a> {
@@ -197,13 +199,13 @@
         }
     }
 
-    /// Bytes after their 32-bit length.
+    /// Reads a 32-bit length and that many bytes.
     pub fn long_bytes(&mut self) -> Result<Vec<u8>, DecodeError> {
         let length = self.u32()? as usize;
         self.next_bytes(length).map(<[u8]>::to_vec)
     }
 
-    /// A list after its 16-bit length.
+    /// Reads a 16-bit count and that many items; malformed if there are more than `max`.
     pub fn list<T>(
         &mut self,
         max: usize,
@@ -213,7 +215,7 @@
         self.items(count, max, decode)
     }
 
-    /// So many items; malformed if there are more than allowed.
+    /// Reads `count` items; malformed if that is more than `max`.
     pub fn items<T>(
         &mut self,
         count: usize,
@@ -235,7 +237,7 @@
     }
 
     pub fn incarnation(&mut self) -> Result<Incarnation, DecodeError> {
-        Ok(Incarnation { name: self.text(MAX_NAME_BYTES)?, life: self.u64()? })
+        Ok(Incarnation { name: self.text(MAX_NAME_BYTES)?, number: self.u64()? })
     }
 
     pub fn participant(&mut self) -> Result<Participant, DecodeError> {
@@ -243,11 +245,11 @@
     }
 
     pub fn process_term(&mut self) -> Result<ProcessTerm, DecodeError> {
-        Ok(ProcessTerm { life: self.u64()?, term: self.u32()? })
+        Ok(ProcessTerm { incarnation_number: self.u64()?, term: self.u32()? })
     }
 
     pub fn key(&mut self) -> Result<StatementKey, DecodeError> {
-        Ok(StatementKey { taken_by: self.incarnation()?, number: self.u64()? })
+        Ok(StatementKey { accepted_by: self.incarnation()?, number: self.u64()? })
     }
 
     pub fn reject_reason(&mut self) -> Result<RejectReason, DecodeError> {
@@ -265,21 +267,38 @@
         if flags > FLAG_UNSAFE | FLAG_BODY {
             return Err(DecodeError::Malformed);
         }
-        let repeat = if flags & FLAG_UNSAFE == 0 { Repeat::Harmless } else { Repeat::Unsafe };
+        let repeat = if flags & FLAG_UNSAFE == 0 { RepeatSafety::Safe } else { RepeatSafety::Unsafe };
         let has_body = flags & FLAG_BODY != 0;
         let body = if has_body { self.long_bytes()? } else { Vec::new() };
-        let (left, attempts, passed) = (self.u64()?, self.u32()?, self.u64()?);
-        let out = if self.flag()? { Some(self.attempt()?) } else { None };
+        let (remaining_wait, attempts, pages_delivered) = (self.u64()?, self.u32()?, self.u64()?);
+        let in_flight = if self.flag()? { Some(self.attempt()?) } else { None };
         let ending = self.ending()?;
         let replicas = self.replica_list()?;
-        let record = Record { key, version, body, repeat, left, attempts, out, passed, ending };
+        let record = Record {
+            key,
+            version,
+            body,
+            repeat,
+            remaining_wait,
+            attempts,
+            in_flight,
+            pages_delivered,
+            ending,
+        };
         Ok(ReplicaRecord { record, has_body, replicas })
     }
 
-    fn attempt(&mut self) -> Result<Out, DecodeError> {
+    fn attempt(&mut self) -> Result<InFlightAttempt, DecodeError> {
         let (number, engine) = (self.u32()?, self.text(MAX_TEXT_BYTES)?);
-        let next = if self.flag()? { Some(self.text(MAX_TEXT_BYTES)?) } else { None };
-        Ok(Out { number, engine, next, page: self.u64()?, sent: self.u64()?, within: self.u64()? })
+        let next_uri = if self.flag()? { Some(self.text(MAX_TEXT_BYTES)?) } else { None };
+        Ok(InFlightAttempt {
+            number,
+            engine,
+            next_uri,
+            next_page: self.u64()?,
+            elapsed: self.u64()?,
+            timeout: self.u64()?,
+        })
     }
 
     fn ending(&mut self) -> Result<Option<Ending>, DecodeError> {
@@ -295,10 +314,10 @@
     fn replica_list(&mut self) -> Result<Vec<ReplicaEntry>, DecodeError> {
         let count = usize::from(self.u8()?);
         let replicas = self.items(count, MAX_REPLICAS, Decoder::replica_entry)?;
-        // An entry that waits for more members than stand before it would never be notified.
-        let waits_in_vain =
+        // An entry that waits for more members than precede it would never be notified.
+        let is_unreachable =
             |(position, entry): (usize, &ReplicaEntry)| usize::from(entry.added_after) > position;
-        if replicas.iter().enumerate().any(waits_in_vain) {
+        if replicas.iter().enumerate().any(is_unreachable) {
             return Err(DecodeError::Malformed);
         }
         Ok(replicas)
--- a/crates/gateway/src/custody.rs
+++ b/crates/gateway/src/custody.rs
@@ -15,8 +15,8 @@
 use hmac::Mac;
 use serde::{Deserialize, Serialize};
 use violetward_custody::{
-    Effect, Incarnation, Member, MemberState, Out, Permission, Record, Settings, StatementKey, TakeoverNode,
-    Whereabouts,
+    Effect, InFlightAttempt, Incarnation, Member, MemberState, Permission, Record, Settings, StatementKey,
+    StatementLocation, TakeoverNode,
 };
 use violetward_net::Alarm;
 use violetward_statement::pages::Ending;
@@ -266,7 +266,7 @@
             max_replica_bytes: terms.max_record_bytes,
         };
         let node = TakeoverNode::new(settings, marks.as_deref(), host.now()).map_err(|why| unusable(&why))?;
-        tracing::info!(name = incarnation.name, life = format!("{:016x}", incarnation.life), "custody");
+        tracing::info!(name = incarnation.name, life = format!("{:016x}", incarnation.number), "custody");
         let (marks_to_store, pending_marks) = async_channel::unbounded();
         let custody = Rc::new(Custody {
             node: RefCell::new(node),
@@ -371,7 +371,7 @@
             Ok(id) => {
                 tracing::info!(
                     n = id.0,
-                    from = key.taken_by.name,
+                    from = key.accepted_by.name,
                     number,
                     at = host.now(),
                     "statement taken over"
@@ -383,7 +383,7 @@
             }
             Err(why) => {
                 tracing::error!(
-                    from = key.taken_by.name,
+                    from = key.accepted_by.name,
                     number,
                     "record of a statement taken over is malformed: {why}"
                 );
@@ -406,7 +406,7 @@
     /// Registers a statement that this gateway has accepted, so that it is protected from now on.
     pub(crate) fn register_statement(&self, host: &Rc<Host>, id: StatementId) {
         let Some(statement) = host.read_core(|core| core.statement_record(id)) else { return };
-        let key = StatementKey { taken_by: self.incarnation.clone(), number: id.0 };
+        let key = StatementKey { accepted_by: self.incarnation.clone(), number: id.0 };
         self.statement_ids.borrow_mut().insert(key.clone(), id);
         self.statement_keys.borrow_mut().insert(id, key.clone());
         let record = Record {
@@ -414,10 +414,10 @@
             version: 1,
             body: statement.body,
             repeat: statement.repeat,
-            left: statement.remaining,
+            remaining_wait: statement.remaining,
             attempts: 0,
-            out: None,
-            passed: 0,
+            in_flight: None,
+            pages_delivered: 0,
             ending: None,
         };
         self.update(host, |node, now| node.add_statement(now, record));
@@ -482,13 +482,20 @@
 
     fn request_permission(&self, host: &Rc<Host>, attempt: AttemptId) -> Option<Box<Launch>> {
         let key = self.statement_key(attempt.0)?;
-        let out = {
+        let in_flight = {
             let pending = self.pending_launches.borrow();
             let (_, launch) = pending.get(&attempt)?;
-            let within = launch.deadline.saturating_sub(host.now());
-            Out { number: attempt.1, engine: launch.engine.clone(), next: None, page: 0, sent: 0, within }
+            let timeout = launch.deadline.saturating_sub(host.now());
+            InFlightAttempt {
+                number: attempt.1,
+                engine: launch.engine.clone(),
+                next_uri: None,
+                next_page: 0,
+                elapsed: 0,
+                timeout,
+            }
         };
-        match self.update(host, |node, now| node.request_attempt(now, &key, attempt.1 + 1, out)) {
+        match self.update(host, |node, now| node.request_attempt(now, &key, attempt.1 + 1, in_flight)) {
             Permission::Granted => self.take_pending_launch(host, attempt),
             Permission::Pending => None,
             Permission::Denied => {
@@ -521,8 +528,8 @@
     /// Replicates the changed progress of a statement.
     pub(crate) fn record_progress(&self, host: &Rc<Host>, id: StatementId) {
         let Some(key) = self.statement_key(id) else { return };
-        if let Some((_, out, passed)) = host.read_core(|core| core.progress(id)) {
-            self.update(host, |node, now| node.record_progress(now, &key, out, passed));
+        if let Some((_, in_flight, pages_delivered)) = host.read_core(|core| core.progress(id)) {
+            self.update(host, |node, now| node.record_progress(now, &key, in_flight, pages_delivered));
         }
     }
 
@@ -536,7 +543,7 @@
             Permission::Pending => {}
             // Without a tenure the ending waits. A statement that another gateway has taken over needs none:
             // `Effect::Relinquished` detaches it.
-            Permission::Denied if matches!(self.locate(&key).0, Whereabouts::Here) => {
+            Permission::Denied if matches!(self.locate(&key).0, StatementLocation::Local) => {
                 let (host, ending) = (host.clone(), ending.clone());
                 host.clone().spawn(async move {
                     violetward_net::sleep(PERMISSION_RETRY_DELAY).await;
@@ -586,7 +593,7 @@
         let key = self.statement_key(id)?;
         let mut gateways = self.node.borrow().replica_list_with_terms(&key);
         if gateways.is_empty() {
-            gateways.push((key.taken_by.clone(), 0));
+            gateways.push((key.accepted_by.clone(), 0));
         }
         // Keeps the accepting gateway and the latest replicas; earlier ones may be gone.
         if gateways.len() > MAX_TOKEN_GATEWAYS {
@@ -594,7 +601,7 @@
         }
         let mut gateways: Vec<String> = gateways
             .iter()
-            .map(|(gateway, term)| format!("{}~{:x}~{term:x}", encode_name(&gateway.name), gateway.life))
+            .map(|(gateway, term)| format!("{}~{:x}~{term:x}", encode_name(&gateway.name), gateway.number))
             .collect();
         // The length of a path is limited: long names leave room for the latest replicas only.
         while gateways.len() > 2 && gateways.iter().map(String::len).sum::<usize>() > MAX_TOKEN_GATEWAY_BYTES
@@ -636,17 +643,17 @@
         let after = Some(fields.next()?).filter(|n| *n != "-").map(str::parse).transpose().ok()?;
         let parse_gateway = |field: &str| {
             let mut parts = field.split('~');
-            let (name, life) = (decode(parts.next()?)?, u64::from_str_radix(parts.next()?, 16).ok()?);
-            Some((Incarnation { name, life }, u32::from_str_radix(parts.next()?, 16).ok()?))
+            let (name, number) = (decode(parts.next()?)?, u64::from_str_radix(parts.next()?, 16).ok()?);
+            Some((Incarnation { name, number }, u32::from_str_radix(parts.next()?, 16).ok()?))
         };
         let gateways: Vec<(Incarnation, u32)> = fields.map(parse_gateway).collect::<Option<_>>()?;
         let number = page.id.rsplit('_').nth(1)?.parse().ok()?;
-        let taken_by = gateways.first()?.0.clone();
-        Some(Token { key: StatementKey { taken_by, number }, after, gateways, deadline, page })
+        let accepted_by = gateways.first()?.0.clone();
+        Some(Token { key: StatementKey { accepted_by, number }, after, gateways, deadline, page })
     }
 
     /// Which gateway holds a statement, and its local id if this gateway does.
-    pub fn locate(&self, key: &StatementKey) -> (Whereabouts, Option<StatementId>) {
+    pub fn locate(&self, key: &StatementKey) -> (StatementLocation, Option<StatementId>) {
         (self.node.borrow().locate(key), self.statement_id(key))
     }
 
@@ -662,7 +669,7 @@
     pub fn update_members(&self, host: &Rc<Host>) {
         let Some(peers) = host.peers() else { return };
         let member = |seen: violetward_membership::Seen| Member {
-            incarnation: Incarnation { name: seen.record.name, life: seen.record.life },
+            incarnation: Incarnation { name: seen.record.name, number: seen.record.life },
             site: seen.record.site,
             state: member_state(seen.record.state),
         };
@@ -779,7 +786,7 @@
             let Some(name) = next.pop() else {
                 // None of these gateways holds it. It may have been taken over repeatedly since the token was
                 // made.
-                if asks_others || peers.may_be_alive(&token.key.taken_by) {
+                if asks_others || peers.may_be_alive(&token.key.accepted_by) {
                     break;
                 }
                 asks_others = true;
@@ -832,17 +839,19 @@
         for (gateway, term) in token.gateways.iter().filter(|(gateway, _)| *gateway != self.incarnation) {
             let known = members.iter().find(|s| s.record.name == gateway.name);
             all_ended &= known.is_some_and(|s| {
-                s.record.life != gateway.life || s.record.state == violetward_membership::State::Left
+                s.record.life != gateway.number || s.record.state == violetward_membership::State::Left
             });
-            if !known.is_some_and(|s| s.record.life == gateway.life && is_live(s)) {
+            if !known.is_some_and(|s| s.record.life == gateway.number && is_live(s)) {
                 unfenced.push((gateway.clone(), *term));
             }
         }
         for gone in members.iter().filter(|s| !is_live(s)) {
-            unfenced.push((Incarnation { name: gone.record.name.clone(), life: gone.record.life }, 0));
+            unfenced.push((Incarnation { name: gone.record.name.clone(), number: gone.record.life }, 0));
         }
         let lost_after = micros(self.terms.lease) * LOST_AFTER_LEASES;
-        if token.key.taken_by == self.incarnation || !peers.ended_for(&token.key.taken_by, now, lost_after) {
+        if token.key.accepted_by == self.incarnation
+            || !peers.ended_for(&token.key.accepted_by, now, lost_after)
+        {
             return false;
         }
         unfenced.retain(|(gateway, term)| !self.node.borrow().is_fenced(gateway, *term));
@@ -908,7 +917,7 @@
         let counts = host.read_core(|core| core.counts);
         CustodyStatus {
             name: self.incarnation.name.clone(),
-            life: format!("{:016x}", self.incarnation.life),
+            life: format!("{:016x}", self.incarnation.number),
             tenure: self.may_act(host),
             held: usage.owned,
             guarded: usage.replica_records,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -15,7 +15,7 @@
 use violetward_net::Alarm;
 use violetward_transport::sockets::{self, Datagrams};
 
-use violetward_custody::Life;
+use violetward_custody::Incarnation;
 
 use crate::config::{read_membership_keys, PeerTerms};
 use crate::custody;
@@ -293,10 +293,10 @@
     }
 
     /// Name, incarnation and site of this gateway.
-    pub fn local_member(&self) -> (Life, String) {
+    pub fn local_member(&self) -> (Incarnation, String) {
         let membership = self.membership.borrow();
         (
-            Life { name: membership.me().name.clone(), life: membership.me().life },
+            Incarnation { name: membership.me().name.clone(), number: membership.me().life },
             membership.me().site.clone(),
         )
     }
@@ -336,25 +336,26 @@
     }
 
     /// Whether this process of a gateway is a known member that is alive or suspect.
-    pub fn may_be_alive(&self, life: &Life) -> bool {
-        let known = self.membership.borrow().view().find(|seen| seen.record.name == life.name);
-        known.is_some_and(|seen| seen.record.life == life.life && seen.record.state <= State::Suspect)
+    pub fn may_be_alive(&self, incarnation: &Incarnation) -> bool {
+        let known = self.membership.borrow().view().find(|seen| seen.record.name == incarnation.name);
+        known
+            .is_some_and(|seen| seen.record.life == incarnation.number && seen.record.state <= State::Suspect)
     }
 
     /// Whether this process of a gateway is known to have ended at least `span` microseconds ago, or is not
     /// known at all.
-    pub fn ended_for(&self, life: &Life, now: u64, span: u64) -> bool {
-        let known = self.membership.borrow().view().find(|seen| seen.record.name == life.name);
+    pub fn ended_for(&self, incarnation: &Incarnation, now: u64, span: u64) -> bool {
+        let known = self.membership.borrow().view().find(|seen| seen.record.name == incarnation.name);
         known.is_none_or(|seen| {
-            let ended = seen.record.life != life.life || seen.record.state > State::Suspect;
+            let ended = seen.record.life != incarnation.number || seen.record.state > State::Suspect;
             ended && now >= seen.since + span
         })
     }
 
     /// Whether this process of a gateway is a known member that is alive and not suspect.
-    pub fn is_alive(&self, life: &Life) -> bool {
-        let known = self.membership.borrow().view().find(|seen| seen.record.name == life.name);
-        known.is_some_and(|seen| seen.record.life == life.life && seen.record.state == State::Alive)
+    pub fn is_alive(&self, incarnation: &Incarnation) -> bool {
+        let known = self.membership.borrow().view().find(|seen| seen.record.name == incarnation.name);
+        known.is_some_and(|seen| seen.record.life == incarnation.number && seen.record.state == State::Alive)
     }
 
     /// Listener for streams of records, on the port of the datagrams; only the first call gets it.
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -150,7 +150,7 @@
     let (peers, peer_terms) = host.peers().zip(host.config.peers.as_ref()).ok_or_else(missing)?;
     let keys = peer_terms.keys.clone();
     let (life, _) = peers.local_member();
-    let me = Me { name: life.name, life: life.life };
+    let me = Me { name: life.name, life: life.number };
     let station = Station::new(executor, host.clock, me, keys.clone(), Patience::default());
     let listener = peers.take_stream_listener().ok_or_else(missing)?;
     Custody::start(host, terms, station, keys, listener).map(|_| ())
