--- a/crates/gateway/src/windows.rs
+++ b/crates/gateway/src/windows.rs
@@ -1,5 +1,6 @@
-//! Carries out windows of maintenance: tells `violetward-windows` what versions say and what is known of the fleet, has engines
-//! drain, and keeps profiles of demand. Decides nothing about windows.
+//! Runs windows of maintenance: passes the windows of the agreed rules and the state of the fleet to
+//! `violetward-windows`, has engines drained, and stores profiles of demand. All decisions about windows are
+//! made in `violetward-windows`.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +18,7 @@
 use violetward_windows::find::Outlook;
 use violetward_windows::held::{self, Effect, Evidence, Grant, Held, Phase, Plant, Reason};
 use violetward_windows::profile::{Profile, QUARTER};
-use violetward_windows::{Cell as Needs, Wall};
+use violetward_windows::{Cell as DemandCell, Wall};
 
 use crate::host::Host;
 use crate::record::EngineRecord;
@@ -25,127 +26,131 @@
 use crate::terms::{micros, Names, WindowTerms};
 use crate::timestamp;
 
-/// Where this is told.
+/// Path of the status over HTTP.
 pub const PATH: &str = "/v1/windows";
-/// Between two looks at everything.
-const STEP: Duration = Duration::from_millis(250);
-/// A step that comes so late says that this process stood still: what it knows of the fleet is old.
-const STILL: u64 = 1_000_000;
-/// Voters propose to call a window off in turn, so far apart: mostly the first one's version has come by then.
-const TURN: u64 = 400_000;
-/// The name of the profile in its store.
-const KEPT: &str = "profile";
-
-/// How the fleet and what is asked of it look at a moment: what a cover is made from.
+/// Interval at which the state of all windows is updated.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(250);
+/// An update that follows the previous one after more than this time shows that the process was paused, so
+/// that its knowledge of the fleet is out of date.
+const PAUSE_THRESHOLD_US: u64 = 1_000_000;
+/// Delay between the proposals of successive voters to call off a window. The version that the first voter
+/// proposes has usually arrived by the turn of the second.
+const PROPOSAL_STAGGER_US: u64 = 400_000;
+/// Key of the profile in its store.
+const PROFILE_KEY: &str = "profile";
+
+/// The state of the fleet and its classes from which a [`Cover`] is made.
 #[derive(Debug, Clone, PartialEq)]
 struct Fleet {
     engines: Vec<EngineRecord>,
-    /// Engines that are not to get anything, windows apart.
-    out: BTreeSet<String>,
+    /// Engines that must not be used, for reasons other than windows.
+    unusable: BTreeSet<String>,
     classes: Vec<Class>,
-    /// The sites of engines, where `(site-loss ...)` tells them; else zones stand for sites.
+    /// Sites of engines by name, as configured in `(site-loss ...)`. The zone of any other engine is used as
+    /// its site.
     sites: BTreeMap<String, usize>,
 }
 
-/// Windows at this gateway. See the module's documentation.
+/// The windows of maintenance that this gateway follows.
 pub struct Windows {
     terms: WindowTerms,
     names: Names,
     settings: Settings,
-    /// This gateway's place among those that vote.
-    place: Option<u64>,
+    /// Index of this gateway among the voters; `None` if it does not vote.
+    voter_index: Option<u64>,
     held: RefCell<Held>,
+    /// Profile of demand over the week.
     profile: RefCell<Profile>,
     store: Option<Arc<Mutex<Files<Folder>>>>,
-    /// What is wrong with the profile's store.
+    /// The last error of the profile's store, if it persists.
     trouble: RefCell<Option<String>>,
     fleet: RefCell<Fleet>,
-    /// Made anew whenever the fleet, the quarter hour or the profile is another one.
+    /// Recomputed when the fleet or the quarter hour changes.
     outlook: RefCell<Outlook<'static>>,
-    /// Windows that are to be called off by a version, and from when on that is this gateway's turn.
-    calls: RefCell<BTreeMap<String, u64>>,
-    stepped: Cell<u64>,
-    /// Until then what is known of the fleet is not believed.
-    deaf: Cell<u64>,
-    away: RefCell<BTreeSet<String>>,
+    /// Windows to be called off by a version, each with the time from which on this gateway may propose that.
+    pending_cancellations: RefCell<BTreeMap<String, u64>>,
+    last_update: Cell<u64>,
+    /// Time until which the knowledge of the fleet is not used as evidence.
+    evidence_stale_until: Cell<u64>,
+    drained: RefCell<BTreeSet<String>>,
 }
 
-/// A window as `/v1/windows` tells it.
+/// A window in the answer of `/v1/windows`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WindowStatus {
-    /// Its name and its engines.
+    /// Name of the window.
     pub name: String,
-    /// See `name`.
+    /// The engines under maintenance.
     pub engines: Vec<String>,
-    /// Its start and its end.
+    /// Start of the window.
     pub from: String,
-    /// See `from`.
+    /// End of the window.
     pub until: String,
-    /// Who asked for it.
+    /// The operator who requested it.
     pub by: String,
-    /// A version calls it off.
+    /// Whether a version of the rules calls it off.
     pub off: bool,
     /// `granted`, `draining`, `open`, `returning`, `over` or `off`.
     pub phase: String,
-    /// Why it is off, or what would keep it from beginning now.
+    /// Why it is off, or what would prevent it from beginning now.
     pub reason: Option<String>,
 }
 
-/// What `/v1/windows` tells.
+/// The answer of `/v1/windows`.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct WindowsStatus {
-    /// The time of day as windows go by it.
+    /// The time by which windows begin and end.
     pub now: String,
-    /// The wall clock was set: nothing begins until somebody says that it is right.
+    /// Whether the wall clock was set. No window begins until an operator confirms that the clock is right.
     pub clock_was_set: bool,
-    /// Whether there is a lease: without one nothing is left out.
+    /// Whether this gateway has a lease. Without one, no engine is left out because of a window.
     pub lease: bool,
-    /// Engines that are known here.
+    /// Number of engines that this gateway knows.
     pub engines: usize,
-    /// Engines that nothing new is sent to because of windows.
+    /// Engines that receive no new work because of windows.
     pub away: Vec<String>,
-    /// Engines that are known to have failed, and that are cold.
+    /// Engines that are known to have failed.
     pub down: Vec<String>,
-    /// See `down`.
+    /// Engines that are cold.
     pub cold: Vec<String>,
-    /// The windows that are known here.
+    /// The windows that this gateway knows.
     pub windows: Vec<WindowStatus>,
-    /// Classes of which it is not sure what they need now, and why.
+    /// Classes whose current demand is uncertain, each with the reason.
     pub unsure: Vec<String>,
-    /// What is wrong with the store of profiles.
+    /// The error of the profile's store, if any.
     pub trouble: Option<String>,
 }
 
-fn wall() -> Wall {
+fn wall_clock() -> Wall {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Wall
 }
 
-/// What the requests of a class are asked for as.
-fn cell(class: usize) -> Needs {
-    Needs { class: class as u16, group: None, kind: None, zone: None, site: None }
+/// The cell of demand for all requests of a class.
+fn class_cell(class: usize) -> DemandCell {
+    DemandCell { class: class as u16, group: None, kind: None, zone: None, site: None }
 }
 
-fn short(number: usize) -> u16 {
+fn saturating_u16(number: usize) -> u16 {
     u16::try_from(number).unwrap_or(u16::MAX)
 }
 
 impl Fleet {
-    /// The engines that may get something, as they are judged.
+    /// The engines in the form in which `violetward-windows` evaluates them.
     fn cover(&self, settings: &Settings, terms: &WindowTerms) -> Result<Cover, String> {
         let engine = |r: &EngineRecord| Engine {
             name: r.name.clone(),
-            kind: short(r.entry.kind.0),
-            zone: short(r.entry.zone.0),
-            site: short(self.sites.get(&r.name).copied().unwrap_or(r.entry.zone.0)),
+            kind: saturating_u16(r.entry.kind.0),
+            zone: saturating_u16(r.entry.zone.0),
+            site: saturating_u16(self.sites.get(&r.name).copied().unwrap_or(r.entry.zone.0)),
             groups: None,
             cores: settings.kinds.get(r.entry.kind.0).map_or(0.0, |k| k.cores),
         };
         let placement = |(n, class): (usize, &Class)| {
-            let kinds = class.kinds.as_ref().map(|all| all.iter().map(|k| short(k.0)).collect());
-            let zones = class.zones.as_ref().map(|all| all.iter().map(|z| short(z.0)).collect());
-            (short(n), Placement { kinds, zones, sites: None, bound: false, worth: class.worth })
+            let kinds = class.kinds.as_ref().map(|kinds| kinds.iter().map(|k| saturating_u16(k.0)).collect());
+            let zones = class.zones.as_ref().map(|zones| zones.iter().map(|z| saturating_u16(z.0)).collect());
+            (saturating_u16(n), Placement { kinds, zones, sites: None, bound: false, worth: class.worth })
         };
         let engines = self.engines.iter().map(engine).collect();
         let placements = self.classes.iter().enumerate().map(placement).collect();
@@ -154,95 +159,101 @@
 }
 
 impl Windows {
-    /// Starts the task that looks after windows; it runs as long as the host's executor does.
+    /// Starts the tasks that follow windows and learn the profile; they run as long as the host's executor
+    /// does.
     ///
     /// # Errors
-    /// If another process uses the folder of profiles.
+    /// If the folder of profiles cannot be opened, for instance because another process uses it.
     pub fn start(host: &Rc<Host>, terms: &WindowTerms) -> std::io::Result<Rc<Windows>> {
         let agreement = host.config.agreement.as_ref();
         let drift = agreement.map_or(1_000, |a| a.drift_ppm);
         let mut store = Files::open(&terms.folder)
             .map_err(|e| std::io::Error::other(format!("{}: {e}", terms.folder.display())))?;
-        let (profile, trouble) = kept(&mut store, terms);
-        let fleet = Fleet { engines: vec![], out: BTreeSet::new(), classes: vec![], sites: BTreeMap::new() };
+        let (profile, trouble) = load_profile(&mut store, terms);
+        let fleet =
+            Fleet { engines: vec![], unusable: BTreeSet::new(), classes: vec![], sites: BTreeMap::new() };
         let settings = host.config.settings.clone();
         let cover = fleet.cover(&settings, terms).map_err(std::io::Error::other)?;
-        let outlook = Outlook::owning(cover, &profile, &[], terms.margins, wall());
-        let place = agreement.and_then(|a| a.voters.iter().position(|v| *v == a.name));
-        let fresh = micros(terms.max_fleet_age);
+        let outlook = Outlook::owning(cover, &profile, &[], terms.margins, wall_clock());
+        let voter_index = agreement.and_then(|a| a.voters.iter().position(|v| *v == a.name));
+        let max_fleet_age = micros(terms.max_fleet_age);
         let windows = Rc::new(Windows {
             terms: terms.clone(),
             names: host.config.names.clone(),
             settings,
-            place: place.map(|p| p as u64),
-            held: RefCell::new(Held::new(held::Terms { fresh, drift, plant: Plant::None })),
+            voter_index: voter_index.map(|index| index as u64),
+            held: RefCell::new(Held::new(held::Terms { fresh: max_fleet_age, drift, plant: Plant::None })),
             profile: RefCell::new(profile),
             store: Some(Arc::new(Mutex::new(store))),
             trouble: RefCell::new(trouble),
             fleet: RefCell::new(fleet),
             outlook: RefCell::new(outlook),
-            calls: RefCell::default(),
-            stepped: Cell::new(host.now()),
-            // What a gateway that has just started knows of engines and of demand is no news yet.
-            deaf: Cell::new(host.now() + fresh),
-            away: RefCell::default(),
+            pending_cancellations: RefCell::default(),
+            last_update: Cell::new(host.now()),
+            // A gateway that has just started does not know the state of engines and demand yet.
+            evidence_stale_until: Cell::new(host.now() + max_fleet_age),
+            drained: RefCell::default(),
         });
         *host.windows.borrow_mut() = Some(windows.clone());
         host.spawn(windows.clone().run(host.clone()));
-        host.spawn(windows.clone().learn(host.clone()));
+        host.spawn(windows.clone().learn_profile(host.clone()));
         Ok(windows)
     }
 
-    /// The windows of each version that is acted on from now on; `None`: there is no lease.
+    /// Sets the windows of each version of the rules that is in force; `None` without a lease.
     pub fn set_versions(&self, versions: Option<Vec<Vec<Grant>>>) {
         self.held.borrow_mut().versions(versions);
     }
 
-    /// The wall clock was set on purpose and is right.
+    /// Confirms that the wall clock, which was set, is right.
     pub fn confirm_clock(&self) {
         self.held.borrow_mut().clock_is_right();
     }
 
-    /// The engines that nothing new is sent to because of windows.
+    /// The engines that receive no new work because of windows.
     pub fn drained_engines(&self) -> BTreeSet<String> {
         self.held.borrow().away()
     }
 
-    /// Whether a version with these rules may follow one with those, as things are: see [`held::admissible`].
+    /// Whether a version with the rules `requested` may follow one with the rules `before` in the current
+    /// state of the fleet; see [`held::admissible`].
     ///
     /// # Errors
-    /// Why not.
-    pub fn check_rules(&self, host: &Host, before: &Rules, asked: &Rules) -> Result<bool, String> {
-        let old = |g: &Grant| before.windows().iter().any(|b| b.name == g.name);
+    /// The reason why it may not.
+    pub fn check_rules(&self, host: &Host, before: &Rules, requested: &Rules) -> Result<bool, String> {
+        let is_in_before = |g: &Grant| before.windows().iter().any(|b| b.name == g.name);
         let now = {
             let mut held = self.held.borrow_mut();
-            let now = held.now(host.now(), wall());
-            if held.clock_was_set() && !asked.windows().iter().all(old) {
+            let now = held.now(host.now(), wall_clock());
+            if held.clock_was_set() && !requested.windows().iter().all(is_in_before) {
                 return Err(
                     "this gateway's wall clock was set: it does not know by which time windows go".into()
                 );
             }
             now
         };
-        // As the fleet is under that version.
+        // The fleet as it would be under the requested version.
         let mut fleet = self.fleet.borrow().clone();
-        fleet.classes = asked.restrict(&self.settings, &self.names).0;
-        fleet.engines.retain(|r| !fleet.out.contains(&r.name) && asked.named_state(&r.name) == Listed::Up);
-        let outlook = self.outlook_of(&fleet, now)?;
-        held::admissible(before.windows(), asked.windows(), &outlook, now, Plant::None)
-            .map_err(|e| self.named(&e.to_string()))
+        fleet.classes = requested.restrict(&self.settings, &self.names).0;
+        fleet
+            .engines
+            .retain(|r| !fleet.unusable.contains(&r.name) && requested.named_state(&r.name) == Listed::Up);
+        let outlook = self.compute_outlook(&fleet, now)?;
+        held::admissible(before.windows(), requested.windows(), &outlook, now, Plant::None)
+            .map_err(|e| self.with_class_names(&e.to_string()))
     }
 
-    fn outlook_of(&self, fleet: &Fleet, now: Wall) -> Result<Outlook<'static>, String> {
+    fn compute_outlook(&self, fleet: &Fleet, now: Wall) -> Result<Outlook<'static>, String> {
         let cover = fleet.cover(&self.settings, &self.terms)?;
-        let named: Vec<Needs> = (0..self.names.classes.len()).map(cell).collect();
-        // A gateway with a slower clock asks about what is past by this one's.
+        let class_cells: Vec<DemandCell> = (0..self.names.classes.len()).map(class_cell).collect();
+        // Begins a quarter hour early, since a gateway with a slower clock asks about times that are past
+        // here.
         let from = now.saturating_sub(QUARTER);
-        Ok(Outlook::owning(cover, &self.profile.borrow(), &named, self.terms.margins, from))
+        Ok(Outlook::owning(cover, &self.profile.borrow(), &class_cells, self.terms.margins, from))
     }
 
-    /// A reason with the classes' names in place of their numbers.
-    fn named(&self, reason: &str) -> String {
+    /// Replaces the numbers of classes in a reason by their names.
+    fn with_class_names(&self, reason: &str) -> String {
         let mut text = reason.to_owned();
         for (n, name) in self.names.classes.iter().enumerate().rev() {
             text = text.replace(&format!("class {n} "), &format!("class {name} "));
@@ -250,150 +261,161 @@
         text
     }
 
-    /// Work asked for now in the whole fleet, as far as members tell it: core seconds a second of each class.
-    fn demand(&self, host: &Host) -> Vec<(Needs, f64)> {
-        let told = host.peers().map(|p| p.total_demand()).unwrap_or_default();
-        let work = |class: usize| told.get(class).copied().unwrap_or(0.0) / 1e3;
-        (0..self.names.classes.len()).map(|class| (cell(class), work(class))).collect()
+    /// Work that clients ask for in the whole fleet, as announced by the members, in core seconds per second
+    /// of each class.
+    fn demand(&self, host: &Host) -> Vec<(DemandCell, f64)> {
+        let announced = host.peers().map(|p| p.total_demand()).unwrap_or_default();
+        let work = |class: usize| announced.get(class).copied().unwrap_or(0.0) / 1e3;
+        (0..self.names.classes.len()).map(|class| (class_cell(class), work(class))).collect()
     }
 
     fn evidence(&self, host: &Host, now: u64) -> Evidence {
         let fleet = self.fleet.borrow();
-        let mut down = fleet.out.clone();
+        let mut down = fleet.unusable.clone();
         down.extend(host.read_core(|core| core.unhealthy_engines()));
-        let young = |r: &&EngineRecord| r.entry.came_up.saturating_add(self.terms.cover.warm) > now;
-        let cold = fleet.engines.iter().filter(young).map(|r| r.name.clone()).collect();
+        let is_cold = |r: &&EngineRecord| r.entry.came_up.saturating_add(self.terms.cover.warm) > now;
+        let cold = fleet.engines.iter().filter(is_cold).map(|r| r.name.clone()).collect();
         let doubtful = host.outage().map(|outage| outage.unreachable_sites()).unwrap_or_default();
-        let doubtful = doubtful.into_iter().map(short).collect();
+        let doubtful = doubtful.into_iter().map(saturating_u16).collect();
         Evidence { down, cold, doubtful, demand: self.demand(host) }
     }
 
-    /// Looks at everything again and again. Never ends.
+    /// Updates all windows at a fixed interval. Never returns.
     async fn run(self: Rc<Self>, host: Rc<Host>) {
         loop {
-            self.step(&host);
-            violetward_net::sleep(STEP).await;
+            self.update(&host);
+            violetward_net::sleep(UPDATE_INTERVAL).await;
         }
     }
 
-    fn step(&self, host: &Rc<Host>) {
-        let agreed = host.agreed.borrow().clone();
-        // A lease that has run out meanwhile, first.
-        agreed.iter().for_each(|a| a.refresh_rules(host));
+    fn update(&self, host: &Rc<Host>) {
+        let agreement = host.agreed.borrow().clone();
+        // First takes account of a lease that has expired meanwhile.
+        agreement.iter().for_each(|a| a.refresh_rules(host));
         let now = host.now();
-        if now.saturating_sub(self.stepped.replace(now)) > STILL {
-            self.deaf.set(now + micros(self.terms.max_fleet_age));
+        if now.saturating_sub(self.last_update.replace(now)) > PAUSE_THRESHOLD_US {
+            self.evidence_stale_until.set(now + micros(self.terms.max_fleet_age));
         }
-        let away = self.away.borrow().clone();
-        let (engines, out, classes) = host.read_core(|core| core.fleet(&away));
+        let drained = self.drained.borrow().clone();
+        let (engines, unusable, classes) = host.read_core(|core| core.fleet(&drained));
         let sites = host.outage().map(|outage| outage.engine_sites(host, &engines)).unwrap_or_default();
-        let fleet = Fleet { engines, out, classes, sites };
+        let fleet = Fleet { engines, unusable, classes, sites };
         let (at, changed) = {
-            let at = self.held.borrow_mut().now(now, wall());
+            let at = self.held.borrow_mut().now(now, wall_clock());
             let quarter = self.outlook.borrow().span_of(1).0;
             (at, *self.fleet.borrow() != fleet || at / QUARTER * QUARTER != quarter)
         };
         if changed {
-            match self.outlook_of(&fleet, at) {
+            match self.compute_outlook(&fleet, at) {
                 Ok(outlook) => *self.outlook.borrow_mut() = outlook,
-                Err(why) => tracing::error!("windows cannot be judged: {why}"),
+                Err(why) => tracing::error!("cannot evaluate windows of maintenance: {why}"),
             }
             *self.fleet.borrow_mut() = fleet;
         }
-        let evidence = (self.deaf.get() <= now).then(|| self.evidence(host, now));
+        let evidence = (self.evidence_stale_until.get() <= now).then(|| self.evidence(host, now));
         {
             let mut held = self.held.borrow_mut();
             evidence.into_iter().for_each(|e| held.evidence(now, e));
-            held.step(now, wall(), &self.outlook.borrow());
+            held.step(now, wall_clock(), &self.outlook.borrow());
         }
-        self.carry_out(host, now);
-        // What is left out may be other engines now.
-        agreed.iter().for_each(|a| a.refresh_rules(host));
-        *self.away.borrow_mut() = self.drained_engines();
+        self.apply_effects(host, now);
+        // Other engines may be drained now.
+        agreement.iter().for_each(|a| a.refresh_rules(host));
+        *self.drained.borrow_mut() = self.drained_engines();
     }
 
-    fn carry_out(&self, host: &Rc<Host>, now: u64) {
+    fn apply_effects(&self, host: &Rc<Host>, now: u64) {
         loop {
             let effect = self.held.borrow_mut().effect();
             match effect {
                 None => break,
                 Some(Effect::Phase(window, Phase::Off(reason))) => {
-                    let reason = self.named(&reason.to_string());
-                    tracing::error!(window, reason, at = now, "a window is called off here");
+                    let reason = self.with_class_names(&reason.to_string());
+                    tracing::error!(
+                        window,
+                        reason,
+                        at = now,
+                        "window of maintenance called off by this gateway"
+                    );
                 }
                 Some(Effect::Phase(window, phase)) => {
                     tracing::info!(window, ?phase, at = now, "a window of maintenance");
                 }
                 Some(Effect::CallOff(window, reason)) => {
-                    // What only this gateway cannot tell says nothing to the others; who does not vote cannot propose.
-                    let Some(place) = self.place.filter(|_| reason != Reason::Version) else { continue };
-                    self.calls.borrow_mut().entry(window).or_insert(now + place * TURN);
+                    // A window that a version calls off needs no proposal, and only voters can propose.
+                    let Some(index) = self.voter_index.filter(|_| reason != Reason::Version) else {
+                        continue;
+                    };
+                    let mut pending = self.pending_cancellations.borrow_mut();
+                    pending.entry(window).or_insert(now + index * PROPOSAL_STAGGER_US);
                 }
             }
         }
         let due: Vec<String> = {
-            let mut calls = self.calls.borrow_mut();
-            let due: Vec<String> = calls.iter().filter(|c| *c.1 <= now).map(|c| c.0.clone()).collect();
-            calls.retain(|name, _| !due.contains(name));
+            let mut pending = self.pending_cancellations.borrow_mut();
+            let due: Vec<String> =
+                pending.iter().filter(|(_, at)| **at <= now).map(|(name, _)| name.clone()).collect();
+            pending.retain(|name, _| !due.contains(name));
             due
         };
-        let agreed = host.agreed.borrow().clone();
-        for (agreed, window) in agreed.iter().flat_map(|a| due.iter().map(move |w| (a, w))) {
-            agreed.cancel_window(host, window);
+        let agreement = host.agreed.borrow().clone();
+        for (agreement, window) in agreement.iter().flat_map(|a| due.iter().map(move |w| (a, w))) {
+            agreement.cancel_window(host, window);
         }
     }
 
-    /// Samples demand for the profile, and keeps that once a quarter hour is over. Never ends.
-    async fn learn(self: Rc<Self>, host: Rc<Host>) {
+    /// Samples demand for the profile, and stores the profile after each quarter hour. Never returns.
+    async fn learn_profile(self: Rc<Self>, host: Rc<Host>) {
         let mut quarter = 0;
         loop {
             violetward_net::sleep(self.terms.sample_interval).await;
-            // Without a lease this one may be cut off, and by a clock that was set nobody knows which quarter hour it is.
+            // A gateway without a lease may be cut off from the others and see only part of the demand. With
+            // a clock that was set, the quarter hour is unknown.
             let lease = host.agreed.borrow().as_ref().is_some_and(|a| a.has_lease());
             let at = {
                 let mut held = self.held.borrow_mut();
-                let at = held.now(host.now(), wall());
+                let at = held.now(host.now(), wall_clock());
                 (!held.clock_was_set()).then_some(at)
             };
             let Some(at) = at.filter(|_| lease) else { continue };
             let left_out = self.profile.borrow_mut().sample(at, &self.demand(&host));
             if left_out > 0 {
-                tracing::error!(left_out, "cells found no place in the profile: none of it is sure");
+                tracing::error!(left_out, "the profile of demand is full: all of it is uncertain");
             }
             if std::mem::replace(&mut quarter, at / QUARTER) != at / QUARTER {
-                self.keep().await;
+                self.store_profile().await;
             }
         }
     }
 
-    /// Keeps the profile, on a thread of its own: a disk that stalls must not hold up statements.
-    async fn keep(&self) {
+    /// Stores the profile on a separate thread, so that a slow disk does not delay statements.
+    async fn store_profile(&self) {
         let Some(store) = self.store.clone() else { return };
         let (done, wait) = async_channel::bounded(1);
         let bytes = self.profile.borrow().write();
         let thread = std::thread::Builder::new().name("profile".into());
-        let begun = thread.spawn(move || {
+        let spawned = thread.spawn(move || {
             let mut store = store.lock().unwrap_or_else(PoisonError::into_inner);
-            drop(done.try_send(store.put(KEPT, &bytes).map_err(|e| e.to_string())));
+            drop(done.try_send(store.put(PROFILE_KEY, &bytes).map_err(|e| e.to_string())));
         });
-        let result = match begun {
+        let result = match spawned {
             Ok(_) => wait.recv().await.unwrap_or_else(|_| Err("no end".into())),
             Err(e) => Err(e.to_string()),
         };
-        // Tried again with the next quarter hour.
+        // After an error, the next quarter hour tries again.
         result.iter().for_each(|_| *self.trouble.borrow_mut() = None);
         if let Err(e) = result {
-            tracing::error!("{}: {e}; the profile is not kept", self.terms.folder.display());
+            tracing::error!("{}: {e}; the profile of demand is not stored", self.terms.folder.display());
             *self.trouble.borrow_mut() = Some(e);
         }
     }
 
-    /// What is known.
+    /// The answer of `/v1/windows`.
     pub fn status(&self, host: &Host) -> WindowsStatus {
         let now = host.now();
         let evidence = self.evidence(host, now);
         let mut held = self.held.borrow_mut();
-        let at = held.now(now, wall());
+        let at = held.now(now, wall_clock());
         let outlook = self.outlook.borrow();
         let row = |(g, phase, _): (&Grant, &Phase, Option<&Reason>)| {
             let (phase, reason) = match phase {
@@ -412,12 +434,12 @@
                 by: g.by.clone(),
                 off: g.off,
                 phase: phase.into(),
-                reason: reason.map(|r| self.named(&r.to_string())),
+                reason: reason.map(|r| self.with_class_names(&r.to_string())),
             }
         };
         let profile = self.profile.borrow();
         let unsure = |(n, name): (usize, &String)| {
-            let why = profile.project(&cell(n), at).unsure?;
+            let why = profile.project(&class_cell(n), at).unsure?;
             Some(format!("{name}: {why}"))
         };
         WindowsStatus {
@@ -435,25 +457,27 @@
     }
 }
 
-/// The profile that was kept, or an empty one, which is sure of nothing, with what is wrong with the kept one.
-fn kept(store: &mut Files<Folder>, terms: &WindowTerms) -> (Profile, Option<String>) {
-    let read = match store.get(KEPT) {
+/// Loads the stored profile. If it is unusable, sets it aside and returns an empty one, which is uncertain of
+/// everything, and the error.
+fn load_profile(store: &mut Files<Folder>, terms: &WindowTerms) -> (Profile, Option<String>) {
+    let read = match store.get(PROFILE_KEY) {
         Ok(None) => return (Profile::new(terms.profile), None),
-        Ok(Some(kept)) => Profile::read(&kept.bytes, terms.profile).map_err(|e| e.to_string()),
+        Ok(Some(stored)) => Profile::read(&stored.bytes, terms.profile).map_err(|e| e.to_string()),
         Err(e) => Err(e.to_string()),
     };
     read.map(|profile| (profile, None)).unwrap_or_else(|why| {
-        let aside = store.set_aside(KEPT).map_or_else(|e| format!("; {e}"), |()| ", and put aside".into());
+        let aside =
+            store.set_aside(PROFILE_KEY).map_or_else(|e| format!("; {e}"), |()| ", and put aside".into());
         let why = format!("the profile that was kept cannot be used{aside}: {why}");
         tracing::error!("{}: {why}", terms.folder.display());
         (Profile::new(terms.profile), Some(why))
     })
 }
 
-/// Asks a gateway how windows stand.
+/// Fetches the status of windows of a gateway.
 ///
 /// # Errors
-/// What it answers instead, or why it does not.
+/// If the gateway does not answer, or answers something else.
 pub async fn fetch_status(address: SocketAddr) -> Result<WindowsStatus, String> {
     let body = crate::agreement::http_get(address, PATH).await?;
     serde_json::from_slice(&body).map_err(|e| e.to_string())
@@ -464,7 +488,7 @@
     use super::*;
     use violetward_windows::cover::{Spare, Terms as CoverTerms};
     use violetward_windows::find::Margins;
-    use violetward_windows::profile::{Terms as Learning, Unsure, WEEK};
+    use violetward_windows::profile::{Terms as ProfileTerms, Unsure, WEEK};
 
     fn terms(name: &str) -> WindowTerms {
         let folder = std::env::temp_dir().join(format!("violetward-windows-{name}-{}", std::process::id()));
@@ -475,37 +499,39 @@
             margins: Margins { slack: 1_000_000, lead: 1_000_000 },
             max_fleet_age: Duration::from_secs(2),
             sample_interval: Duration::from_secs(5),
-            profile: Learning { samples: 1, weeks: 1, of: 1, ..Learning::default() },
+            profile: ProfileTerms { samples: 1, weeks: 1, of: 1, ..ProfileTerms::default() },
         }
     }
 
     #[test]
-    fn a_profile_outlasts_its_process_and_one_that_is_spoilt_is_put_aside_and_sure_of_nothing() {
-        let terms = terms("kept");
+    fn a_stored_profile_survives_a_restart_and_a_corrupt_one_is_set_aside() {
+        let terms = terms("stored");
         let at = 3_000 * WEEK;
         let open = || Files::open(&terms.folder).expect("a store");
         {
-            let (mut profile, trouble) = kept(&mut open(), &terms);
+            let (mut profile, trouble) = load_profile(&mut open(), &terms);
             assert_eq!(trouble, None);
-            assert_eq!(profile.project(&cell(0), at).unsure, Some(Unsure::Empty));
-            profile.sample(at, &[(cell(0), 4.0), (cell(1), 0.0)]);
+            assert_eq!(profile.project(&class_cell(0), at).unsure, Some(Unsure::Empty));
+            profile.sample(at, &[(class_cell(0), 4.0), (class_cell(1), 0.0)]);
             profile.sample(at + QUARTER, &[]);
-            open().put(KEPT, &profile.write()).expect("it is kept");
+            open().put(PROFILE_KEY, &profile.write()).expect("the profile is stored");
         }
-        let (profile, trouble) = kept(&mut open(), &terms);
-        let again = profile.project(&cell(0), at + WEEK);
-        assert_eq!((trouble, again.unsure, again.demand), (None, None, 4.0));
-        // A class that is known and that nobody uses is sure as well; one that is new is not.
-        assert_eq!(profile.project(&cell(1), at + WEEK).unsure, None);
-        assert_eq!(profile.project(&cell(2), at + WEEK).unsure, Some(Unsure::New));
-        let file = terms.folder.join(KEPT);
+        let (profile, trouble) = load_profile(&mut open(), &terms);
+        let projection = profile.project(&class_cell(0), at + WEEK);
+        assert_eq!((trouble, projection.unsure, projection.demand), (None, None, 4.0));
+        // The demand of a sampled class is certain even if it is zero; that of a new class is not.
+        assert_eq!(profile.project(&class_cell(1), at + WEEK).unsure, None);
+        assert_eq!(profile.project(&class_cell(2), at + WEEK).unsure, Some(Unsure::New));
+        let file = terms.folder.join(PROFILE_KEY);
         let mut bytes = std::fs::read(&file).expect("the file");
         let middle = bytes.len() / 2;
         bytes[middle] ^= 8;
-        std::fs::write(&file, bytes).expect("a bit turns");
-        let (profile, trouble) = kept(&mut open(), &terms);
-        assert!(trouble.is_some() && profile.project(&cell(0), at + WEEK).unsure == Some(Unsure::Empty));
-        open().put(KEPT, &profile.write()).expect("its place is free");
+        std::fs::write(&file, bytes).expect("a corrupted file is written");
+        let (profile, trouble) = load_profile(&mut open(), &terms);
+        assert!(
+            trouble.is_some() && profile.project(&class_cell(0), at + WEEK).unsure == Some(Unsure::Empty)
+        );
+        open().put(PROFILE_KEY, &profile.write()).expect("a new profile is stored");
         std::fs::remove_dir_all(&terms.folder).ok();
     }
 }
