--- a/crates/gateway/src/host.rs
+++ b/crates/gateway/src/host.rs
@@ -19,7 +19,7 @@
 use crate::custody::Custody;
 use crate::engine;
 use crate::front::Front;
-use crate::outage::Outage;
+use crate::outage::SiteMonitor;
 use crate::peers::Peers;
 use crate::terms::Config;
 use crate::windows::Windows;
@@ -65,7 +65,7 @@
     /// The front that answers requests forwarded by other gateways.
     pub(crate) front: RefCell<std::rc::Weak<Front>>,
     /// Monitoring of sites, if configured.
-    pub(crate) outage: RefCell<Option<Rc<Outage>>>,
+    pub(crate) outage: RefCell<Option<Rc<SiteMonitor>>>,
     core: RefCell<Core>,
     executor: Rc<LocalExecutor<'static>>,
     attempts: RefCell<HashMap<AttemptId, AttemptControl>>,
@@ -199,7 +199,7 @@
     }
 
     /// Monitoring of sites, if configured.
-    pub(crate) fn outage(&self) -> Option<Rc<Outage>> {
+    pub(crate) fn outage(&self) -> Option<Rc<SiteMonitor>> {
         self.outage.borrow().clone()
     }
 
--- a/crates/gateway/src/outage/told.rs
+++ b/crates/gateway/src/outage/status.rs
@@ -1,120 +1,121 @@
-//! What is told of the sites: to operators at `/v1/sites`, and to the log.
+//! Status of the sites for operators at `/v1/sites` and for the log.
 
 use super::*;
 
-/// What it costs.
+/// Costs of monitoring the sites.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Counts {
-    /// Datagrams and octets of summaries and of witnesses' words sent, and taken.
+    /// Datagrams sent to other gateways, and their bytes.
     pub sent: (u64, u64),
-    /// See `sent`.
+    /// Datagrams received from other gateways, and their bytes.
     pub taken: (u64, u64),
-    /// Datagrams that could not be read.
+    /// Malformed datagrams.
     pub unread: u64,
-    /// Engines probed.
+    /// Probes of engines.
     pub probes: u64,
-    /// Microseconds spent on looks and on what was heard.
+    /// Time spent on updates and on received messages, in microseconds.
     pub spent: u64,
 }
 
-/// A site, as `/v1/sites` tells it.
+/// A site in the answer of `/v1/sites`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct SiteStatus {
-    /// Its name.
+    /// Name of the site.
     pub name: String,
     /// `whole`, `doubtful`, `partly-lost`, `cut-off`, `lost` or `returning`.
     pub state: String,
-    /// Since when, microseconds since the Unix epoch.
+    /// Time of the last change of state, in microseconds since the Unix epoch.
     pub since: u64,
-    /// By what evidence.
+    /// The evidence for the state.
     pub why: String,
-    /// For how long it would have to answer after a loss, microseconds.
+    /// How long the site would have to answer after a loss before it counts as returning, in microseconds.
     pub held_back: u64,
-    /// The part of what its engines can do that this gateway may take; `None`: nothing holds it back.
+    /// Part of the capacity of its engines that this gateway may use; `None` without a limit.
     pub turn: Option<f64>,
 }
 
 /// A change of a site's state.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SiteChange {
-    /// When, microseconds since the Unix epoch.
+    /// Time of the change, in microseconds since the Unix epoch.
     pub at: u64,
-    /// The site.
+    /// Name of the site.
     pub site: String,
-    /// The state before.
+    /// The previous state.
     pub was: String,
-    /// The state.
+    /// The new state.
     pub state: String,
-    /// By what evidence.
+    /// The evidence for the state.
     pub why: String,
 }
 
-/// One class of one site's clients in a forecast, requests a second.
+/// Forecast for one class of the clients of one site, in requests per second.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ForecastLine {
-    /// Whose clients.
+    /// Site of the clients.
     pub site: String,
     /// The class.
     pub class: String,
-    /// Asked for.
+    /// Requests received.
     pub asked: f64,
-    /// Served in time.
+    /// Requests served in time.
     pub served: f64,
-    /// The least and the most of it, as demand varies.
+    /// Lower and upper bound of `served` as demand varies.
     pub range: (f64, f64),
-    /// Let in and ended too late.
+    /// Requests admitted but ended too late.
     pub wasted: f64,
-    /// By neighbour: served, and core seconds a second there.
+    /// By site that serves them: requests served, and core seconds per second used there.
     pub at: Vec<(String, f64, f64)>,
 }
 
-/// What a loss would cost, or was thought to cost when it came.
+/// Forecast of the effect of a loss, made for a possible loss or when a loss began.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Forecast {
-    /// When it was made, microseconds since the Unix epoch.
+    /// Time at which it was made, in microseconds since the Unix epoch.
     pub at: u64,
-    /// Sites of which engines are lost.
+    /// Sites that lose engines.
     pub lost: Vec<String>,
-    /// Worth a second asked for, served, and the range of that.
+    /// Worth of the received requests per second.
     pub asked: f64,
-    /// See `asked`.
+    /// Worth of the served requests per second.
     pub served: f64,
-    /// See `asked`.
+    /// Lower and upper bound of `served` as demand varies.
     pub range: (f64, f64),
-    /// Core seconds a second that are left.
+    /// Remaining capacity in core seconds per second.
     pub room: f64,
-    /// Worth a second that each site's own clients lose.
+    /// Worth per second that the clients of each site lose.
     pub displaced: Vec<(String, f64)>,
-    /// The first one is kept first, the last one refused first.
+    /// Classes and sites in the order in which they are kept; the last one is refused first.
     pub lines: Vec<ForecastLine>,
 }
 
-/// What `/v1/sites` tells.
+/// The answer of `/v1/sites`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SitesStatus {
-    /// This gateway and its site.
+    /// Name of this gateway.
     pub name: String,
-    /// See `name`.
+    /// Site of this gateway.
     pub site: String,
-    /// What follows from a loss is done, not only told.
+    /// Whether shares and limits are applied, and not only reported.
     pub acts: bool,
     /// All sites.
     pub sites: Vec<SiteStatus>,
-    /// The least share of the fleet that a loss gives this gateway, and the share in force.
+    /// Minimum share of the fleet that a loss gives this gateway, and the share in force.
     pub share: (Option<f64>, f64),
-    /// Parts of requests that are let in, by class: of own clients and of guests. Empty: all.
+    /// Admitted parts of requests by class: of the site's own clients, and of guests. Empty if all are
+    /// admitted.
     pub keep: BTreeMap<String, (f64, f64)>,
-    /// For the loss of each site, what it would cost.
+    /// Forecasts of the loss of each site.
     pub projected: Vec<Forecast>,
-    /// What the present limits opened with, or the last ones did.
+    /// Forecast with which the current or last limits began.
     pub opening: Option<Forecast>,
-    /// The last changes of states.
+    /// The latest changes of states.
     pub changes: Vec<SiteChange>,
-    /// Gateways of which summaries are known.
+    /// Number of gateways whose summaries are known.
     pub origins: usize,
-    /// What it costs.
+    /// Costs of monitoring the sites.
     pub counts: Counts,
 }
 
@@ -124,29 +125,29 @@
             write!(f, "\nsite {:<12} {:<12} {}", s.name, s.state, s.why)?;
         }
         for (class, (own, guests)) in &self.keep {
-            write!(f, "\nlet in of {class}: {own:.3} of own clients, {guests:.3} of guests")?;
+            write!(f, "\nadmitted of {class}: {own:.3} of own clients, {guests:.3} of guests")?;
         }
         for p in &self.projected {
             let part = if p.asked > 0.0 { p.served / p.asked } else { 1.0 };
-            write!(f, "\nwithout {}: {:.1}% of the worth would be kept", p.lost.join(", "), part * 100.0)?;
+            write!(f, "\nwithout {}: {:.1}% of the worth would be served", p.lost.join(", "), part * 100.0)?;
         }
         Ok(())
     }
 }
 
-impl Outage {
+impl SiteMonitor {
     pub(super) fn forecast(&self, host: &Host, p: &Projection, at: u64) -> Forecast {
         let lost = p.loss.engines.iter().enumerate().filter(|(_, left)| **left < 1.0);
-        let lost = lost.map(|(site, _)| self.name(site)).collect();
+        let lost = lost.map(|(site, _)| self.site_name(site)).collect();
         let class = |n: usize| host.config.names.classes.get(n).cloned().unwrap_or_default();
         let line = |l: &violetward_site::projection::Line| ForecastLine {
-            site: self.name(l.site),
+            site: self.site_name(l.site),
             class: class(l.class),
             asked: l.asked,
             served: l.served,
             range: l.range,
             wasted: l.wasted,
-            at: l.parts.iter().map(|p| (self.name(p.site), p.served, p.work)).collect(),
+            at: l.parts.iter().map(|p| (self.site_name(p.site), p.served, p.work)).collect(),
         };
         Forecast {
             at,
@@ -155,19 +156,19 @@
             served: p.served,
             range: p.range,
             room: p.room,
-            displaced: p.displaced.iter().enumerate().map(|(site, &d)| (self.name(site), d)).collect(),
+            displaced: p.displaced.iter().enumerate().map(|(site, &d)| (self.site_name(site), d)).collect(),
             lines: p.lines.iter().map(line).collect(),
         }
     }
 
-    /// What is known.
+    /// The answer of `/v1/sites`.
     pub fn status(&self, host: &Rc<Host>) -> SitesStatus {
         let (now, inner) = (host.now(), self.inner.borrow());
         let row = |site: usize| {
             let (state, since, why) =
                 inner.watch.state(site).unwrap_or((State::Whole, now, Default::default()));
             SiteStatus {
-                name: self.name(site),
+                name: self.site_name(site),
                 state: state.word().into(),
                 since,
                 why: why.to_string(),
@@ -175,19 +176,21 @@
                 turn: inner.act.turn(now, site),
             }
         };
-        let all = 0..self.terms.sites.len();
+        let sites = 0..self.terms.sites.len();
         let classes = host.config.names.classes.iter().enumerate();
-        let part = |kept: &Vec<f64>, n: usize| kept.get(n).copied().unwrap_or(1.0);
-        let keep = classes.map(|(n, c)| (c.clone(), (part(&inner.keep[0], n), part(&inner.keep[1], n))));
+        let admitted_part = |parts: &Vec<f64>, n: usize| parts.get(n).copied().unwrap_or(1.0);
+        let keep = classes.map(|(n, c)| {
+            (c.clone(), (admitted_part(&inner.admitted[0], n), admitted_part(&inner.admitted[1], n)))
+        });
         let project = |site: usize| Some(self.forecast(host, &inner.act.project(now, &Loss::of(site))?, now));
         SitesStatus {
-            name: inner.own.origin().to_owned(),
-            site: self.name(self.terms.own_site),
+            name: inner.own_pages.origin().to_owned(),
+            site: self.site_name(self.terms.own_site),
             acts: self.terms.enforce,
-            sites: all.clone().map(row).collect(),
-            share: (self.least.get(), self.effective_share(self.peers.standing_and_share().1)),
-            keep: if inner.keep[0].is_empty() { BTreeMap::new() } else { keep.collect() },
-            projected: all.filter_map(project).collect(),
+            sites: sites.clone().map(row).collect(),
+            share: (self.min_share.get(), self.effective_share(self.peers.standing_and_share().1)),
+            keep: if inner.admitted[0].is_empty() { BTreeMap::new() } else { keep.collect() },
+            projected: sites.filter_map(project).collect(),
             opening: inner.opening.clone(),
             changes: inner.changes.iter().cloned().collect(),
             origins: inner.digest.origin_count(),
@@ -196,10 +199,10 @@
     }
 }
 
-/// Asks a gateway how the sites stand.
+/// Fetches the status of the sites from a gateway.
 ///
 /// # Errors
-/// What it answers instead, or why it does not.
+/// If the gateway does not answer, or answers something else.
 pub async fn fetch_status(address: SocketAddr) -> Result<SitesStatus, String> {
     crate::fetch::get_json(address, "/v1/sites").await
 }
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -24,7 +24,7 @@
 use crate::host::Host;
 use crate::membership::EngineRegistry;
 use crate::notebook::Notebook;
-use crate::outage::Outage;
+use crate::outage::SiteMonitor;
 use crate::peers::Peers;
 use crate::watch;
 use crate::windows::Windows;
@@ -114,7 +114,7 @@
         start_custody(&host, &terms, executor.clone())?;
     }
     if let Some(terms) = host.config.sites.clone() {
-        Outage::start(&host, terms)?;
+        SiteMonitor::start(&host, terms)?;
     }
     if let Some((listen, keys)) = host.config.zone_server.clone() {
         ZoneServer::start(host.clone(), registry, ZoneUpdates::new(keys), listen)?;
