--- a/crates/gateway/src/custody.rs
+++ b/crates/gateway/src/custody.rs
@@ -137,7 +137,9 @@
     station: Rc<Station>,
     caller: Caller,
     keys: RefCell<Keys>,
+    /// Local ids of the protected statements that this gateway holds.
     statement_ids: RefCell<HashMap<StatementKey, StatementId>>,
+    /// The reverse of `statement_ids`.
     statement_keys: RefCell<HashMap<StatementId, StatementKey>>,
     /// Attempts that wait for permission, each with the time at which it began to wait.
     pending_launches: RefCell<HashMap<AttemptId, (u64, Box<Launch>)>>,
@@ -152,7 +154,7 @@
     /// Whether this process has had a tenure.
     had_tenure: Cell<bool>,
     unprotected: Cell<u64>,
-    passed_on: Cell<u64>,
+    forwarded: Cell<u64>,
     /// Number of launches that needed permission, and their total waiting time in microseconds.
     launch_waits: Cell<(u64, u64)>,
 }
@@ -192,7 +194,8 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             f,
-            "custody: tenure {}; {} held, {} kept for others ({} bytes), {} attempts waiting; {} taken over, {} left, {} without a replica, {} requests forwarded",
+            "custody: tenure {}; {} held, {} kept for others ({} bytes), {} attempts waiting; {} taken over, \
+             {} left, {} without a replica, {} requests forwarded",
             if self.tenure { "held" } else { "not held" },
             self.held,
             self.guarded,
@@ -285,7 +288,7 @@
             message_received: Event::new(),
             had_tenure: Cell::default(),
             unprotected: Cell::default(),
-            passed_on: Cell::default(),
+            forwarded: Cell::default(),
             launch_waits: Cell::default(),
         });
         *host.custody.borrow_mut() = Some(custody.clone());
@@ -772,7 +775,7 @@
         first_holder: Option<String>,
     ) -> ForwardOutcome {
         let Some(peers) = host.peers() else { return ForwardOutcome::Unreachable };
-        self.passed_on.set(self.passed_on.get() + 1);
+        self.forwarded.set(self.forwarded.get() + 1);
         // Checked before any gateway is asked: a gateway that has ended by now cannot hand the statement on
         // between two answers.
         let mut may_be_lost = self.may_be_lost(host, &peers, token);
@@ -926,7 +929,7 @@
             adopted: counts.adopted,
             left: counts.handed_over,
             unprotected: self.unprotected.get(),
-            passed_on: self.passed_on.get(),
+            passed_on: self.forwarded.get(),
             intents: self.launch_waits.get(),
         }
     }
--- a/crates/gateway/src/outage/summaries.rs
+++ b/crates/gateway/src/outage/summaries.rs
@@ -53,9 +53,9 @@
         });
         let site_id = |n: usize| u16::try_from(n).ok();
         let mut cells: Vec<(DigestCell, Summary)> = Vec::new();
-        for ((class, site), tally) in rates {
+        for ((class, site), rate) in rates {
             let cell = DigestCell { site: site_id(site), ..DigestCell::for_class(class as u16) };
-            cells.push((cell, Summary { demand: tally.work, ..Summary::default() }));
+            cells.push((cell, Summary { demand: rate.work, ..Summary::default() }));
         }
         let mut by_site: BTreeMap<(usize, usize), Cost> = BTreeMap::new();
         for ((class, engine), cost) in costs {
@@ -101,15 +101,19 @@
         let mut mean_work = Vec::new();
         let mut traits = Vec::new();
         for (n, class) in settings.classes.iter().enumerate() {
-            let own = rates
+            let (requests, work_sum, work_squares) = rates
                 .iter()
                 .filter(|r| r.0 .0 == n)
                 .fold((0.0, 0.0, 0.0), |s, (_, t)| (s.0 + t.requests, s.1 + t.work, s.2 + t.squares));
             let threads = f64::from(class.threads.max(1));
-            // For a class that was never requested here, a quarter of its target response time is a guess.
-            let work =
-                if own.1 > 0.0 { own.1 / own.0 / 1e3 } else { class.latency_target as f64 / 4e6 * threads };
-            let spread = if own.1 > 0.0 { (own.2 * own.0 / (own.1 * own.1)).max(1.0) } else { 1.0 };
+            // A class that was never requested here is assumed to take a quarter of its target response time.
+            let work = if work_sum > 0.0 {
+                work_sum / requests / 1e3
+            } else {
+                class.latency_target as f64 / 4e6 * threads
+            };
+            let spread =
+                if work_sum > 0.0 { (work_squares * requests / (work_sum * work_sum)).max(1.0) } else { 1.0 };
             let cost =
                 costs.iter().filter(|c| c.0 .0 == n).fold(Cost::default(), |sum, (_, cost)| sum.plus(*cost));
             // Actual work, so that gateways whose clients estimate differently compute the same.
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -241,7 +241,7 @@
             if self.membership.borrow().next_wake() <= host.now() {
                 self.update(&host, Membership::wake);
             }
-            self.update(&host, |m, now| m.datagram(now, from, bytes));
+            self.update(&host, |membership, now| membership.datagram(now, from, bytes));
         }
     }
 
@@ -272,7 +272,7 @@
 
     /// Sends a message of another protocol to a member.
     pub fn send_message(&self, host: &Rc<Host>, name: &str, bytes: &[u8]) {
-        self.update(host, |m, now| m.say(now, name, bytes));
+        self.update(host, |membership, now| membership.say(now, name, bytes));
     }
 
     /// Sends a message of another protocol to all members that are not dead or gone.
@@ -435,8 +435,16 @@
         let refused: u64 = self.refused.iter().sum();
         write!(
             f,
-            "datagrams: {} sent ({} octets), {} taken, {} refused; pauses {}, suspicions {}, deaths declared {}, refutations {}",
-            self.sent.0, self.sent.1, self.taken.0, refused, self.paused, self.suspected, self.declared, self.refuted
+            "datagrams: {} sent ({} octets), {} taken, {} refused; pauses {}, suspicions {}, \
+             deaths declared {}, refutations {}",
+            self.sent.0,
+            self.sent.1,
+            self.taken.0,
+            refused,
+            self.paused,
+            self.suspected,
+            self.declared,
+            self.refuted
         )
     }
 }
