--- a/crates/gateway/src/agreement.rs
+++ b/crates/gateway/src/agreement.rs
@@ -167,7 +167,7 @@
                 None => break,
                 Some(ListEffect::Tell(claim)) => {
                     let message = Said::Listed(claim).write();
-                    host.peers().iter().for_each(|p| p.say_some(host, &message, CLAIM_FANOUT));
+                    host.peers().iter().for_each(|p| p.send_to_sample(host, &message, CLAIM_FANOUT));
                 }
                 Some(ListEffect::Changed) => {
                     let claims = self.member.borrow().claimed();
@@ -218,10 +218,10 @@
         };
         host.rules_valid_until.set(until.unwrap_or(u64::MAX));
         if self.applied_range.get() != range {
-            windows.iter().for_each(|w| w.versions(range.and_then(|range| self.windows_of(range))));
+            windows.iter().for_each(|w| w.set_versions(range.and_then(|range| self.windows_of(range))));
         }
         // Without a lease, no engine may be left out because of a window.
-        let away = windows.filter(|_| range.is_some()).map(|w| w.away()).unwrap_or_default();
+        let away = windows.filter(|_| range.is_some()).map(|w| w.drained_engines()).unwrap_or_default();
         if self.applied_range.get() == range && *self.engines_in_windows.borrow() == away {
             return;
         }
@@ -313,8 +313,10 @@
             };
             match effect {
                 Effect::Keep(bytes) => self.write_votes(bytes).await,
-                Effect::Say(to, bytes) => host.peers().iter().for_each(|p| p.say(&host, &to, &bytes)),
-                Effect::SayAll(bytes) => host.peers().iter().for_each(|p| p.say_all(&host, &bytes)),
+                Effect::Say(to, bytes) => {
+                    host.peers().iter().for_each(|p| p.send_message(&host, &to, &bytes))
+                }
+                Effect::SayAll(bytes) => host.peers().iter().for_each(|p| p.broadcast(&host, &bytes)),
                 Effect::OldFile => {
                     let why = "its file is an old copy: others have heard of later votes of this gateway";
                     tracing::error!("this gateway does not vote: {why}");
@@ -376,7 +378,7 @@
         if before.windows().is_empty() && proposed.windows().is_empty() {
             return Ok(false);
         }
-        windows.fit(&host, &before, &proposed)
+        windows.check_rules(&host, &before, &proposed)
     })
 }
 
--- a/crates/gateway/src/zone_server.rs
+++ b/crates/gateway/src/zone_server.rs
@@ -11,7 +11,7 @@
 use violetward_net::{sleep, timeout};
 
 use crate::host::Host;
-use crate::membership::Membership;
+use crate::membership::EngineRegistry;
 use crate::zone_responder::ZoneResponder;
 
 /// Pause after a socket error, so that a lasting error does not keep the thread busy.
@@ -22,7 +22,7 @@
 /// The server of one zone, which it shares with the watcher of the zone's file.
 pub struct ZoneServer {
     host: Rc<Host>,
-    membership: Rc<RefCell<Membership>>,
+    registry: Rc<RefCell<EngineRegistry>>,
     responder: RefCell<ZoneResponder>,
 }
 
@@ -33,15 +33,14 @@
     /// If a socket cannot be bound.
     pub fn start(
         host: Rc<Host>,
-        membership: Rc<RefCell<Membership>>,
+        registry: Rc<RefCell<EngineRegistry>>,
         responder: ZoneResponder,
         listen: std::net::SocketAddr,
     ) -> std::io::Result<std::net::SocketAddr> {
         let tcp = Async::<TcpListener>::bind(listen)?;
         let address = tcp.get_ref().local_addr()?;
         let udp = Async::<UdpSocket>::bind(address)?;
-        let server =
-            Rc::new(ZoneServer { host: host.clone(), membership, responder: RefCell::new(responder) });
+        let server = Rc::new(ZoneServer { host: host.clone(), registry, responder: RefCell::new(responder) });
         host.spawn(server.clone().serve_datagrams(udp));
         host.spawn(server.accept_connections(tcp));
         tracing::info!(%address, "serving the zone");
@@ -51,14 +50,14 @@
     fn handle(&self, bytes: &[u8], stream: bool) -> Vec<Vec<u8>> {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
         let names = &self.host.config.names;
-        let mut membership = self.membership.borrow_mut();
-        let outcome = self.responder.borrow_mut().handle_message(now, bytes, stream, &mut membership, names);
+        let mut registry = self.registry.borrow_mut();
+        let outcome = self.responder.borrow_mut().handle_message(now, bytes, stream, &mut registry, names);
         if let Some(line) = &outcome.log_line {
             tracing::info!("{line}");
         }
         if outcome.changed {
-            let list = membership.list().clone();
-            drop(membership);
+            let list = registry.engines().clone();
+            drop(registry);
             self.host.update_engine_list(&list);
         }
         outcome.answers
