--- a/crates/gateway/src/zone_updates.rs
+++ b/crates/gateway/src/zone_responder.rs
@@ -8,7 +8,7 @@
 use violetward_dns::tsig::{self, Key, Seconds};
 use violetward_dns::zone::Zone;
 
-use crate::membership::Membership;
+use crate::membership::EngineRegistry;
 use crate::terms::Names;
 
 /// Maximum number of signatures remembered to recognize replays.
@@ -31,16 +31,16 @@
 
 /// Answers DNS messages for one zone.
 #[derive(Debug, Default)]
-pub struct ZoneUpdates {
+pub struct ZoneResponder {
     keys: Vec<Key>,
     /// Times and signatures of recent updates.
     recent_signatures: VecDeque<(Seconds, Vec<u8>)>,
 }
 
-impl ZoneUpdates {
+impl ZoneResponder {
     /// Accepts updates signed with one of these keys; without keys, no updates.
     pub fn new(keys: Vec<Key>) -> Self {
-        ZoneUpdates { keys, recent_signatures: VecDeque::new() }
+        ZoneResponder { keys, recent_signatures: VecDeque::new() }
     }
 
     /// Handles a message. `stream` tells whether it came over TCP, where transfers are answered.
@@ -49,7 +49,7 @@
         now: Seconds,
         bytes: &[u8],
         stream: bool,
-        membership: &mut Membership,
+        registry: &mut EngineRegistry,
         names: &Names,
     ) -> Outcome {
         let Ok(message) = Message::read(bytes) else {
@@ -68,16 +68,16 @@
         }
         match message.opcode {
             Opcode::QUERY => {
-                Outcome { answers: self.query(&message, stream, membership), ..Outcome::default() }
+                Outcome { answers: self.query(&message, stream, registry), ..Outcome::default() }
             }
-            Opcode::UPDATE => self.update(now, bytes, &message, membership, names),
+            Opcode::UPDATE => self.update(now, bytes, &message, registry, names),
             _ => Outcome { answers: vec![message.answer(Rcode::NOTIMP).write()], ..Outcome::default() },
         }
     }
 
-    fn query(&self, message: &Message, stream: bool, membership: &Membership) -> Vec<Vec<u8>> {
+    fn query(&self, message: &Message, stream: bool, registry: &EngineRegistry) -> Vec<Vec<u8>> {
         let refused = |code: Rcode| vec![message.answer(code).write()];
-        let (Some(zone), [question]) = (membership.served(), message.questions.as_slice()) else {
+        let (Some(zone), [question]) = (registry.zone(), message.questions.as_slice()) else {
             return refused(Rcode::REFUSED);
         };
         if !question.name.is_within(zone.origin()) || question.class != IN {
@@ -95,7 +95,7 @@
         now: Seconds,
         bytes: &[u8],
         message: &Message,
-        membership: &mut Membership,
+        registry: &mut EngineRegistry,
         names: &Names,
     ) -> Outcome {
         let verified = match tsig::verify(bytes, &self.keys, now, None) {
@@ -116,7 +116,7 @@
         let result = match unsigned {
             // A replayed update is not applied again, because it could undo the updates in between.
             Some(_) if replayed => Err(Rcode::REFUSED),
-            Some(update) => membership.update(&update, names),
+            Some(update) => registry.apply_update(&update, names),
             None => Err(Rcode::FORMERR),
         };
         self.recent_signatures.push_back((now, verified.mac.clone()));
