--- a/crates/agreement/src/member.rs
+++ b/crates/agreement/src/member.rs
@@ -138,7 +138,8 @@
     rejected_by: BTreeMap<String, String>,
 }
 
-/// Checks a content before it is voted on. Unlike that of [`Fitness`], the result does not depend on the time.
+/// Checks a content before it is voted on. Unlike that of [`Fitness`], the result does not depend on the
+/// time.
 pub type Check = Box<dyn Fn(&[u8]) -> Result<(), String>>;
 
 /// Checks whether a content may follow a version in the present state of the system. `Ok(true)` means that
--- a/crates/agreement/src/search.rs
+++ b/crates/agreement/src/search.rs
@@ -1,7 +1,8 @@
-//! A search through all interleavings of a small case: every order of deliveries, losses, copies, steps of time, restarts.
+//! A search through all interleavings of a small case: every order of deliveries, losses, duplicates, time
+//! steps and restarts.
 //!
-//! A message that was sent may be delivered at any later time, any number of times, or never; a gateway that stands still
-//! is one to which nothing is delivered for a while. The clocks of the gateways run at rates of their own.
+//! A message may be delivered at any time after it was sent, any number of times, or never. A paused gateway
+//! is one to which nothing is delivered for a while. The clock of each gateway has a rate of its own.
 
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeSet, HashSet};
@@ -10,70 +11,77 @@
 use crate::history::Version;
 use crate::voter::{DurableState, Effect, InjectedFault, Message, Micros, Terms, Voter};
 
-/// A case.
+/// The bounds of a search.
 #[derive(Debug, Clone)]
 pub struct Case {
-    /// How many gateways.
+    /// Number of gateways; all of them vote.
     pub gateways: u16,
-    /// Who proposes a further version, each once, each a content of its own.
+    /// Gateways that propose a further version, each once and with a content of its own.
     pub proposers: Vec<u16>,
-    /// Who knows at the start that a second version is committed; they tell the others.
+    /// Gateways that know at the start that a second version is committed, and have sent this to the others.
     pub informed: Vec<u16>,
-    /// How often each gateway may ask for a lease.
+    /// Number of lease requests that each gateway may make.
     pub lease_requests: Vec<u8>,
-    /// Restarts in all; what is kept stays, all else is lost.
+    /// Number of restarts in total. The durable state survives, all other state is lost.
     pub restarts: u8,
-    /// Steps of time, and how long one is.
+    /// Number of time steps.
     pub time_steps: u8,
-    /// See `steps`.
+    /// Length of a time step.
     pub step_micros: Micros,
-    /// Parts of a million by which each gateway's clock runs too fast.
+    /// Error of the rate of each gateway's clock in parts per million; positive if the clock is fast.
     pub clock_rates_ppm: Vec<i64>,
-    /// Length of a lease.
+    /// See [`Terms::lease`].
     pub lease: Micros,
-    /// Allowed drift in parts of a million.
+    /// See [`Terms::drift_ppm`].
     pub drift_ppm: u64,
-    /// A planted fault.
+    /// See [`Terms::fault`].
     pub fault: InjectedFault,
 }
 
-/// What a search found.
+/// The result of a search.
 #[derive(Debug, Clone)]
 pub struct Outcome {
-    /// Different states visited.
+    /// Number of distinct states visited.
     pub states: usize,
-    /// All reachable states were visited.
+    /// Whether all reachable states were visited.
     pub complete: bool,
-    /// The steps that lead to the first state in which the property does not hold, and what is wrong there.
+    /// The actions that lead to the first state found that violates the property, and the violation.
     pub counterexample: Option<(Vec<String>, String)>,
-    /// States in which some gateway acted on the first version in full, and on a later one: a search that never gets there
-    /// shows nothing.
+    /// Number of states in which a gateway may apply the first version in full, and in which the range of a
+    /// gateway starts after it. A search without such states proves nothing.
     pub states_in_full_use: (usize, usize),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct World {
     now: Micros,
+    /// Number of time steps left.
     time_steps: u8,
     voters: Vec<Voter>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
+    /// Lease requests left for each gateway.
     lease_requests: Vec<u8>,
+    /// Whether each of the proposers has proposed.
     proposed: Vec<bool>,
+    /// Number of restarts left.
     restarts: u8,
+    /// Messages ever sent: sender, recipient, message.
     sent: BTreeSet<(u16, u16, Message)>,
 }
 
 #[derive(Debug, Clone)]
 enum Action {
+    /// Sender, recipient, message.
     Deliver(u16, u16, Message),
     AdvanceTime,
+    /// Index among the proposers of the case.
     Propose(usize),
     RequestLease(u16),
     Restart(u16),
 }
 
 fn clock(case: &Case, of: u16, now: Micros) -> Micros {
-    // Far from zero, so that a span before the start is one.
+    // An offset, so that times before the start of the search are not negative.
     10_000_000 + (now as i128 * (1_000_000 + case.clock_rates_ppm[of as usize] as i128) / 1_000_000) as Micros
 }
 
@@ -92,17 +100,17 @@
 impl World {
     fn start(case: &Case) -> World {
         let first = Version::after(0, 0, b"first");
-        let mut kept = DurableState::default();
-        kept.history.add(&first);
-        // All have run for long: nothing of an earlier life holds any more.
+        let mut state = DurableState::default();
+        state.history.add(&first);
+        // All gateways have run for long, so that no grant of an earlier incarnation is in force.
         let long_ago = |me| clock(case, me, 0) - 2 * terms(case, me).grant_duration();
         let mut world = World {
             now: 0,
             time_steps: case.time_steps,
             voters: (0..case.gateways)
-                .map(|me| Voter::new(terms(case, me), kept.clone(), u64::from(me), long_ago(me), false))
+                .map(|me| Voter::new(terms(case, me), state.clone(), u64::from(me), long_ago(me), false))
                 .collect(),
-            lives: (0..case.gateways).map(u64::from).collect(),
+            incarnations: (0..case.gateways).map(u64::from).collect(),
             lease_requests: case.lease_requests.clone(),
             proposed: vec![false; case.proposers.len()],
             restarts: case.restarts,
@@ -118,26 +126,26 @@
         world
     }
 
-    fn acts(&self, case: &Case) -> Vec<Action> {
-        let mut acts: Vec<Action> =
+    fn actions(&self, case: &Case) -> Vec<Action> {
+        let mut actions: Vec<Action> =
             self.sent.iter().map(|(a, b, m)| Action::Deliver(*a, *b, m.clone())).collect();
         if self.time_steps > 0 {
-            acts.push(Action::AdvanceTime);
+            actions.push(Action::AdvanceTime);
         }
-        acts.extend((0..self.proposed.len()).filter(|&i| !self.proposed[i]).map(Action::Propose));
-        acts.extend(
+        actions.extend((0..self.proposed.len()).filter(|&i| !self.proposed[i]).map(Action::Propose));
+        actions.extend(
             (0..case.gateways).filter(|&g| self.lease_requests[g as usize] > 0).map(Action::RequestLease),
         );
         if self.restarts > 0 {
-            acts.extend((0..case.gateways).map(Action::Restart));
+            actions.extend((0..case.gateways).map(Action::Restart));
         }
-        acts
+        actions
     }
 
-    fn after(&self, case: &Case, act: &Action) -> World {
+    fn after(&self, case: &Case, action: &Action) -> World {
         let mut world = self.clone();
         let at = |g: u16| clock(case, g, self.now);
-        let touched = match act {
+        let changed = match action {
             Action::Deliver(from, to, message) => {
                 world.voters[*to as usize].receive(at(*to), *from, message);
                 *to
@@ -160,18 +168,18 @@
             }
             Action::Restart(of) => {
                 world.restarts -= 1;
-                world.lives[*of as usize] += 1_000;
-                let kept = world.voters[*of as usize].state().clone();
+                world.incarnations[*of as usize] += 1_000;
+                let state = world.voters[*of as usize].state().clone();
                 world.voters[*of as usize] =
-                    Voter::new(terms(case, *of), kept, world.lives[*of as usize], at(*of), false);
+                    Voter::new(terms(case, *of), state, world.incarnations[*of as usize], at(*of), false);
                 return world;
             }
         };
-        world.carry_out(case, touched);
+        world.carry_out(case, changed);
         world
     }
 
-    /// Sends what a voter wants sent; what is for itself it has at once.
+    /// Carries out the effects of a voter. Messages to itself are delivered at once.
     fn carry_out(&mut self, case: &Case, of: u16) {
         let at = clock(case, of, self.now);
         while let Some(effect) = self.voters[of as usize].next_effect() {
@@ -189,20 +197,20 @@
         }
     }
 
-    fn holds(&self, case: &Case) -> Vec<Option<(u64, u64)>> {
+    fn ranges(&self, case: &Case) -> Vec<Option<(u64, u64)>> {
         (0..case.gateways).map(|g| self.voters[g as usize].usable_range(clock(case, g, self.now))).collect()
     }
 
-    fn wrong(&self, case: &Case) -> Option<String> {
-        let holds = self.holds(case);
+    fn violation(&self, case: &Case) -> Option<String> {
+        let ranges = self.ranges(case);
         for a in 0..self.voters.len() {
             for b in 0..a {
-                // Whoever acts has each version that another one acts on in full within its range.
+                // A range contains each version that another gateway applies in full.
                 for (x, y) in [(a, b), (b, a)] {
-                    if let (Some((low, top)), Some((from, to))) = (holds[x], holds[y]) {
+                    if let (Some((low, top)), Some((from, to))) = (ranges[x], ranges[y]) {
                         if low == top && !(from..=to).contains(&low) {
                             return Some(format!(
-                                "{x} acts on version {low} while {y} acts on {from} to {to}"
+                                "gateway {x} applies {low} in full, but the range of {y} is {from} to {to}"
                             ));
                         }
                     }
@@ -210,7 +218,10 @@
                 let (one, other) = (self.voters[a].history(), self.voters[b].history());
                 for v in one.versions() {
                     if other.get(v.number).is_some_and(|w| w != v) {
-                        return Some(format!("{a} and {b} have committed different versions {}", v.number));
+                        return Some(format!(
+                            "gateways {a} and {b} have committed different versions with the number {}",
+                            v.number
+                        ));
                     }
                 }
             }
@@ -225,40 +236,41 @@
     hasher.finish()
 }
 
-/// Searches a case, through `most` states at most.
-pub fn search(case: &Case, most: usize) -> Outcome {
+/// Searches a case and stops after `max_states` states.
+pub fn search(case: &Case, max_states: usize) -> Outcome {
     let mut outcome = Outcome { states: 0, complete: true, counterexample: None, states_in_full_use: (0, 0) };
     let mut seen: HashSet<u64> = HashSet::new();
     let start = World::start(case);
     seen.insert(fingerprint(&start));
-    // Depth first: each entry is a state and the acts that are still to be tried there; the path is the stack itself.
-    let acts = start.acts(case);
-    let mut stack: Vec<(World, Vec<Action>, String)> = vec![(start, acts, "start".into())];
-    while let Some((world, acts, _)) = stack.last_mut() {
-        let Some(act) = acts.pop() else {
+    // Depth first. Each entry of the stack has a state, the actions not yet tried there, and the action that
+    // led to it; the stack is the path.
+    let actions = start.actions(case);
+    let mut stack: Vec<(World, Vec<Action>, String)> = vec![(start, actions, "start".into())];
+    while let Some((world, actions, _)) = stack.last_mut() {
+        let Some(action) = actions.pop() else {
             stack.pop();
             continue;
         };
-        let next = world.after(case, &act);
+        let next = world.after(case, &action);
         if !seen.insert(fingerprint(&next)) {
             continue;
         }
         outcome.states += 1;
-        let holds = next.holds(case);
-        outcome.states_in_full_use.0 += usize::from(holds.contains(&Some((1, 1))));
-        outcome.states_in_full_use.1 += usize::from(holds.iter().flatten().any(|&(low, _)| low > 1));
-        if let Some(wrong) = next.wrong(case) {
+        let ranges = next.ranges(case);
+        outcome.states_in_full_use.0 += usize::from(ranges.contains(&Some((1, 1))));
+        outcome.states_in_full_use.1 += usize::from(ranges.iter().flatten().any(|&(low, _)| low > 1));
+        if let Some(violation) = next.violation(case) {
             let mut path: Vec<String> = stack.iter().skip(1).map(|s| s.2.clone()).collect();
-            path.push(format!("{act:?}"));
-            outcome.counterexample = Some((path, wrong));
+            path.push(format!("{action:?}"));
+            outcome.counterexample = Some((path, violation));
             return outcome;
         }
-        if outcome.states >= most {
+        if outcome.states >= max_states {
             outcome.complete = false;
             return outcome;
         }
-        let acts = next.acts(case);
-        stack.push((next, acts, format!("{act:?}")));
+        let actions = next.actions(case);
+        stack.push((next, actions, format!("{action:?}")));
     }
     outcome
 }
--- a/crates/agreement/src/sim.rs
+++ b/crates/agreement/src/sim.rs
@@ -1,6 +1,7 @@
-//! Whole gateways' parts under a virtual clock: datagrams that get lost, late, twice and out of order, clocks that drift,
-//! gateways that stand still, are killed and come back with what they kept. Checked at each step ([`Fleet::check`]): whoever acts
-//! has each version that another one acts on in full within its range, and no number has two versions.
+//! Simulation of agreement among several gateways under a virtual clock: datagrams that are lost, delayed,
+//! duplicated and reordered, clocks that drift, gateways that pause, crash and restart with their vote files.
+//! Each step checks the safety property ([`Fleet::check`]): the range of each gateway contains every version
+//! that another one applies in full, and no number has two versions.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -12,51 +13,54 @@
 use crate::wire;
 use crate::{DurableState, Effect, Member, MemberTerms, Micros, Outcome, ProposeError, Version};
 
-const MS: Micros = 1_000;
+/// Fingerprint of the terms, which are the same at all simulated gateways.
+const FINGERPRINT: u64 = 7;
+const MILLISECOND_MICROS: Micros = 1_000;
 
-/// What comes to a gateway.
+/// An event at a gateway.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Event {
-    /// A datagram, from whom.
+    /// A datagram: sender and bytes.
     Datagram(String, Vec<u8>),
-    /// It asked to be woken.
+    /// The time of [`Member::next_wake`] has come.
     Timer,
 }
 
-/// What finds contents fit at a gateway, as things are there: see [`crate::Fitness`].
-pub type FitnessAt = Box<dyn Fn(usize, &[u8], Option<&Version>) -> Result<bool, String>>;
+/// The check of [`crate::Fitness`] at the gateway with the index given first.
+pub type NodeFitness = Box<dyn Fn(usize, &[u8], Option<&Version>) -> Result<bool, String>>;
 
-/// A gateway.
+/// A simulated gateway.
 pub struct Node {
-    /// Its part, while its process runs.
+    /// Agreement at this gateway; `None` while its process does not run.
     pub member: Option<Member>,
-    /// What it kept.
+    /// The contents of its vote file.
     pub disk: Vec<u8>,
-    /// Parts of a million by which its clock runs too fast.
-    pub rate: i64,
-    /// It stands still until then; what comes waits.
+    /// Error of the rate of its clock in parts per million; positive if the clock is fast.
+    pub clock_rate_ppm: i64,
+    /// The gateway is paused until this time; its events wait.
     pub paused_until: Micros,
-    /// How its proposals ended.
+    /// Outcomes of its proposals.
     pub outcomes: Vec<Outcome>,
-    woken: Micros,
+    /// Time of the next timer event; `Micros::MAX` if there is none.
+    timer_at: Micros,
 }
 
-/// A fleet.
+/// A simulated fleet of gateways.
 pub struct Fleet {
     /// True time.
     pub now: Micros,
-    /// Its gateways; the first ones vote.
+    /// The gateways; the first ones are the voters.
     pub nodes: Vec<Node>,
-    /// Datagrams of a thousand that get lost.
+    /// Number of lost datagrams per thousand.
     pub loss_per_mille: u64,
-    /// Whether nothing passes from one to the other.
+    /// Whether all datagrams from one gateway to another are lost, by sender and recipient.
     pub blocked: Vec<Vec<bool>>,
-    /// All versions that were ever committed.
+    /// The contents of all committed versions, by number.
     pub committed: BTreeMap<u64, Vec<u8>>,
-    /// Datagrams and octets sent.
+    /// Number of datagrams and bytes sent.
     pub sent: (u64, u64),
-    /// What gateways find fit.
-    pub fitness: Rc<RefCell<FitnessAt>>,
+    /// The fitness check of all gateways.
+    pub fitness: Rc<RefCell<NodeFitness>>,
     voters: usize,
     lease: Micros,
     drift_ppm: u64,
@@ -73,7 +77,8 @@
 }
 
 impl Fleet {
-    /// Gateways that have just started for the first time; clocks run fast and slow by all that is allowed, in turn.
+    /// Gateways that have just started for the first time. Their clocks are alternately fast and slow by the
+    /// allowed drift.
     pub fn new(count: usize, voters: usize, lease: Micros, drift_ppm: u64, seed: u64) -> Fleet {
         let mut fleet = Fleet {
             now: 1_000_000_000,
@@ -91,52 +96,52 @@
         };
         for n in 0..count {
             let rate = if n % 2 == 0 { drift_ppm as i64 } else { -(drift_ppm as i64) };
-            let disk = wire::encode_vote_file(&DurableState::default(), 7, 0);
+            let disk = wire::encode_vote_file(&DurableState::default(), FINGERPRINT, 0);
             fleet.nodes.push(Node {
                 member: None,
                 disk,
-                rate,
+                clock_rate_ppm: rate,
                 paused_until: 0,
                 outcomes: vec![],
-                woken: Micros::MAX,
+                timer_at: Micros::MAX,
             });
             fleet.start(n);
         }
         fleet
     }
 
-    /// What a gateway's clock shows.
+    /// The time of a gateway's clock.
     pub fn clock(&self, n: usize) -> u64 {
-        // Clocks have nothing in common but their rates: hours lie between them.
+        // Only the rates of the clocks are alike; their readings differ by hours.
         let hours = 3_600_000_000 * (n as u64 * 7 % 5);
-        hours + (self.now as i128 * (1_000_000 + self.nodes[n].rate as i128) / 1_000_000) as u64
+        hours + (self.now as i128 * (1_000_000 + self.nodes[n].clock_rate_ppm as i128) / 1_000_000) as u64
     }
 
-    /// Its process starts, with what it kept.
+    /// Starts the process of a gateway with its vote file.
     pub fn start(&mut self, n: usize) {
-        let kept = wire::decode_vote_file(&self.nodes[n].disk, 7);
+        let stored = wire::decode_vote_file(&self.nodes[n].disk, FINGERPRINT);
         let terms = MemberTerms {
             name: name(n),
             voters: (0..self.voters).map(name).collect(),
-            votes: kept.is_ok(),
+            votes: stored.is_ok(),
             lease: self.lease,
             drift_ppm: self.drift_ppm,
             lease_check_margin: 0,
-            fingerprint: 7,
+            fingerprint: FINGERPRINT,
         };
         let check = |content: &[u8]| if content == b"unfit" { Err("unfit".to_owned()) } else { Ok(()) };
-        let life = self.rng.draw();
+        let incarnation = self.rng.draw();
         let now = self.clock(n);
         let fitness = self.fitness.clone();
-        let member = Member::new(terms, kept.unwrap_or_default(), life, now, Box::new(check));
+        let member = Member::new(terms, stored.unwrap_or_default(), incarnation, now, Box::new(check));
         let fitness =
             Box::new(move |content: &[u8], before: Option<&Version>| fitness.borrow()(n, content, before));
         self.nodes[n].member = Some(member.with_fitness(fitness));
         self.carry_out(n);
     }
 
-    /// Its disk is lost, and it comes back with a new one as an operator would make it: if a quorum of the other voters runs.
-    /// Gives whether it did.
+    /// Replaces the lost vote file of a voter as an operator would, and restarts it. This requires that a
+    /// quorum of the other voters runs. Returns whether it was done.
     pub fn replace(&mut self, n: usize) -> bool {
         let others = (0..self.voters).filter(|&o| o != n && self.nodes[o].paused_until <= self.now);
         let newest: Vec<u64> = others
@@ -145,18 +150,18 @@
         if newest.len() <= self.voters / 2 {
             return false;
         }
-        let kept =
+        let state =
             DurableState { abstain_through: crate::abstain_through(&newest), ..DurableState::default() };
         self.nodes[n].member = None;
-        // More writes than its earlier file can have had.
-        self.nodes[n].disk = wire::encode_vote_file(&kept, 7, self.now);
+        // A number of writes that the lost file cannot have reached.
+        self.nodes[n].disk = wire::encode_vote_file(&state, FINGERPRINT, self.now);
         self.start(n);
         true
     }
 
-    /// Something comes to a gateway at a time.
-    pub fn at(&mut self, when: u64, n: usize, what: Event) {
-        self.events.push(when, (n, what));
+    /// Schedules an event at a gateway.
+    pub fn schedule(&mut self, at: u64, n: usize, event: Event) {
+        self.events.push(at, (n, event));
     }
 
     fn carry_out(&mut self, n: usize) {
@@ -171,7 +176,11 @@
                 }
                 Effect::Committed(v) => {
                     let before = self.committed.insert(v.number, v.content.clone());
-                    assert!(before.is_none_or(|b| b == v.content), "two versions {}", v.number);
+                    assert!(
+                        before.is_none_or(|b| b == v.content),
+                        "two versions with the number {}",
+                        v.number
+                    );
                 }
                 Effect::ProposalEnded(outcome) => self.nodes[n].outcomes.push(outcome),
                 Effect::TermsMismatch(_) | Effect::StaleVoteFile => {}
@@ -179,12 +188,12 @@
         }
         let due = self.nodes[n].member.as_ref().map_or(Micros::MAX, Member::next_wake);
         if due < Micros::MAX {
-            // By the true clock, and a little late rather than early.
-            let span = due.saturating_sub(self.clock(n));
-            let at = self.now + span + span / 8 * self.drift_ppm / 100_000 + MS;
-            if at < self.nodes[n].woken {
-                self.nodes[n].woken = at;
-                self.at(at, n, Event::Timer);
+            // In true time, and rather late than early.
+            let delay = due.saturating_sub(self.clock(n));
+            let at = self.now + delay + delay / 8 * self.drift_ppm / 100_000 + MILLISECOND_MICROS;
+            if at < self.nodes[n].timer_at {
+                self.nodes[n].timer_at = at;
+                self.schedule(at, n, Event::Timer);
             }
         }
     }
@@ -196,24 +205,28 @@
             return;
         }
         let copies = if self.loss_per_mille > 0 { 0.05 } else { 0.0 };
-        let weather =
-            Weather { loss: self.loss_per_mille as f64 / 1e3, delay: (MS, 21 * MS), copies, spoilt: 0.0 };
-        for (late, bytes) in weather.carry(&mut self.rng, bytes) {
-            self.at(self.now + late, to, Event::Datagram(name(from), bytes));
+        let weather = Weather {
+            loss: self.loss_per_mille as f64 / 1e3,
+            delay: (MILLISECOND_MICROS, 21 * MILLISECOND_MICROS),
+            copies,
+            spoilt: 0.0,
+        };
+        for (delay, bytes) in weather.carry(&mut self.rng, bytes) {
+            self.schedule(self.now + delay, to, Event::Datagram(name(from), bytes));
         }
     }
 
-    fn step(&mut self, n: usize, what: Event) {
+    fn step(&mut self, n: usize, event: Event) {
         if self.nodes[n].paused_until > self.events.now {
-            return self.at(self.nodes[n].paused_until, n, what);
+            return self.schedule(self.nodes[n].paused_until, n, event);
         }
         self.now = self.events.now;
-        if what == Event::Timer {
-            self.nodes[n].woken = Micros::MAX;
+        if event == Event::Timer {
+            self.nodes[n].timer_at = Micros::MAX;
         }
         let now = self.clock(n);
         let Some(member) = &mut self.nodes[n].member else { return };
-        match what {
+        match event {
             Event::Datagram(from, bytes) => member.receive(now, &from, &bytes),
             Event::Timer if member.next_wake() <= now => member.wake(now),
             Event::Timer => {}
@@ -222,53 +235,57 @@
         self.check();
     }
 
-    /// What each acts on.
+    /// The range of versions that each gateway may act on.
     pub fn usable_ranges(&self) -> Vec<Option<(u64, u64)>> {
         (0..self.nodes.len())
             .map(|n| self.nodes[n].member.as_ref().and_then(|m| m.usable_range(self.clock(n))))
             .collect()
     }
 
-    /// Panics where the promise is broken.
+    /// Checks the safety property.
     ///
     /// # Panics
-    /// Then.
+    /// If the range of a gateway lacks a version that another one applies in full.
     pub fn check(&self) {
-        let acts = self.usable_ranges();
-        let full: Vec<u64> = acts.iter().flatten().filter(|(low, top)| low == top).map(|a| a.0).collect();
-        let (least, most) = (full.iter().min().copied(), full.iter().max().copied());
-        for (n, (low, top)) in acts.iter().enumerate().filter_map(|(n, a)| a.map(|a| (n, a))) {
+        let ranges = self.usable_ranges();
+        let full: Vec<u64> = ranges.iter().flatten().filter(|(low, top)| low == top).map(|a| a.0).collect();
+        let (lowest, highest) = (full.iter().min().copied(), full.iter().max().copied());
+        for (n, (low, top)) in ranges.iter().enumerate().filter_map(|(n, a)| a.map(|a| (n, a))) {
             let within = |v: Option<u64>| v.is_none_or(|v| (low..=top).contains(&v));
-            assert!(within(least) && within(most), "g{n} acts on {low} to {top} at {}: {acts:?}", self.now);
+            assert!(
+                within(lowest) && within(highest),
+                "the range of g{n} is {low} to {top} at {}: {ranges:?}",
+                self.now
+            );
         }
     }
 
-    /// Lets a span pass.
-    pub fn run(&mut self, span: u64) {
-        let until = self.now + span;
-        while let Some((n, what)) = self.events.pop(until) {
-            self.step(n, what);
+    /// Runs the simulation for `duration` microseconds.
+    pub fn run(&mut self, duration: u64) {
+        let until = self.now + duration;
+        while let Some((n, event)) = self.events.pop(until) {
+            self.step(n, event);
         }
         (self.now, self.events.now) = (until, until);
         self.check();
     }
 
-    /// Proposes a content at a gateway that runs.
+    /// Proposes a content at a gateway.
     ///
     /// # Errors
-    /// Why it is not begun.
+    /// The reason why the proposal is not started.
     ///
     /// # Panics
-    /// If it does not run.
+    /// If the gateway does not run.
     pub fn propose(&mut self, n: usize, content: &[u8]) -> Result<(), ProposeError> {
         let now = self.clock(n);
-        let member = self.nodes[n].member.as_mut().expect("it runs");
-        let done = member.propose(now, content, None);
+        let member = self.nodes[n].member.as_mut().expect("the gateway runs");
+        let result = member.propose(now, content, None);
         self.carry_out(n);
-        done
+        result
     }
 
-    /// Whether all act on one version in full.
+    /// Whether all gateways apply this version in full.
     pub fn all_use(&self, version: u64) -> bool {
         self.usable_ranges().iter().all(|a| *a == Some((version, version)))
     }
--- a/crates/agreement/tests/members.rs
+++ b/crates/agreement/tests/members.rs
@@ -1,4 +1,4 @@
-//! Histories of whole gateways' parts: see [`violetward_agreement::sim`].
+//! Simulated histories of agreement among several gateways: see [`violetward_agreement::sim`].
 
 use violetward_agreement::sim::{draw, Event, Fleet};
 use violetward_agreement::wire::PeerMessage;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_version_is_acted_on_by_all_soon_after_it_is_proposed() {
+fn version_is_in_use_everywhere_soon_after_its_proposal() {
     let mut fleet = fleet(5, 3, 1);
     fleet.run(LEASE);
     assert!(fleet.all_use(0), "{:?}", fleet.usable_ranges());
@@ -20,20 +20,20 @@
     assert_eq!(fleet.propose(1, b"two"), Err(ProposeError::Busy));
     assert!(matches!(fleet.propose(4, b"two"), Err(ProposeError::NotVoter(v)) if v.len() == 3));
     assert!(matches!(fleet.propose(0, b"unfit"), Err(ProposeError::Unfit(_))));
-    // A few ways there and back, no lease's time.
+    // A few round trips suffice; no lease has to expire.
     fleet.run(300 * MS);
     assert!(fleet.all_use(1), "{:?}", fleet.usable_ranges());
     assert_eq!(fleet.nodes[1].outcomes, [Outcome::Committed(1)]);
 }
 
 #[test]
-fn one_that_stands_still_delays_the_next_version_by_its_lease_and_no_longer() {
+fn paused_gateway_delays_the_next_version_no_longer_than_its_lease() {
     let mut fleet = fleet(4, 3, 2);
     fleet.run(LEASE);
     fleet.nodes[3].paused_until = fleet.now + 20_000 * MS;
     fleet.propose(0, b"one").unwrap();
     fleet.run(300 * MS);
-    // It may act on the old version alone, or wake and do so: the others do only what both allow.
+    // The paused gateway may still apply the old version alone, so the others do only what both allow.
     assert_eq!(fleet.usable_ranges()[..3], [Some((0, 1)); 3]);
     let bound = 2 * LEASE;
     fleet.run(bound);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_minority_commits_nothing_and_acts_on_nothing_after_its_lease() {
+fn minority_commits_nothing_and_stops_acting_after_its_lease() {
     let mut fleet = fleet(5, 5, 3);
     fleet.run(LEASE);
     for (a, b) in (0..2).flat_map(|a| (2..5).map(move |b| (a, b))) {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn two_proposals_at_once_become_one_version_and_a_conflict() {
+fn concurrent_proposals_give_one_version_and_one_conflict() {
     for seed in 0..20 {
         let mut fleet = fleet(3, 3, seed);
         fleet.run(LEASE);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_long_content_is_fetched_in_parts_though_many_get_lost() {
+fn long_content_is_fetched_in_chunks_despite_losses() {
     let mut fleet = fleet(4, 3, 4);
     fleet.run(LEASE);
     fleet.loss_per_mille = 200;
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn one_without_its_file_does_not_vote_and_still_follows() {
+fn voter_with_a_corrupt_file_does_not_vote_and_still_learns_versions() {
     let mut fleet = fleet(3, 3, 5);
     fleet.run(LEASE);
     fleet.propose(0, b"one").unwrap();
@@ -101,44 +101,47 @@
     fleet.nodes[1].member = None;
     fleet.propose(0, b"two").unwrap();
     fleet.run(6_000 * MS);
-    assert_eq!(fleet.nodes[0].outcomes.last(), Some(&Outcome::Unknown), "one voter is no quorum of three");
+    assert_eq!(fleet.nodes[0].outcomes.last(), Some(&Outcome::Unknown), "one voter is not a quorum of three");
     assert_eq!(fleet.usable_ranges()[0], None);
     fleet.start(1);
     fleet.run(3 * LEASE);
     let newest = fleet.committed.len() as u64;
     assert!(fleet.all_use(newest), "{:?}", fleet.usable_ranges());
-    let trouble = fleet.nodes[2].member.as_mut().map(|m| m.propose(0, b"three", None));
-    assert!(matches!(trouble, Some(Err(ProposeError::NotVoter(_)))));
+    let result = fleet.nodes[2].member.as_mut().map(|m| m.propose(0, b"three", None));
+    assert!(matches!(result, Some(Err(ProposeError::NotVoter(_)))));
 }
 
 #[test]
-fn one_whose_file_is_an_old_copy_is_told_so_and_does_not_vote() {
+fn voter_with_an_old_copy_of_its_file_stops_voting() {
     let mut fleet = fleet(3, 3, 7);
     fleet.run(LEASE);
     let old = fleet.nodes[2].disk.clone();
     fleet.propose(0, b"one").unwrap();
     fleet.run(LEASE);
-    let told = |fleet: &mut Fleet| fleet.nodes[2].member.as_mut().map(|m| m.propose(0, b"x", None));
+    let try_propose = |fleet: &mut Fleet| fleet.nodes[2].member.as_mut().map(|m| m.propose(0, b"x", None));
     fleet.nodes[2].member = None;
     fleet.start(2);
     fleet.run(3 * LEASE);
-    assert!(!matches!(told(&mut fleet), Some(Err(ProposeError::NotVoter(_)))), "its own file is good");
+    assert!(
+        !matches!(try_propose(&mut fleet), Some(Err(ProposeError::NotVoter(_)))),
+        "its current file is valid"
+    );
     fleet.run(3 * LEASE);
     fleet.nodes[2].member = None;
     fleet.nodes[2].disk = old;
     fleet.start(2);
     fleet.run(3 * LEASE);
-    assert!(matches!(told(&mut fleet), Some(Err(ProposeError::NotVoter(_)))));
+    assert!(matches!(try_propose(&mut fleet), Some(Err(ProposeError::NotVoter(_)))));
     let newest = fleet.committed.len() as u64;
-    assert!(fleet.all_use(newest), "it follows all the same: {:?}", fleet.usable_ranges());
+    assert!(fleet.all_use(newest), "it still learns versions: {:?}", fleet.usable_ranges());
 }
 
 #[test]
-fn one_with_an_old_copy_is_told_before_it_votes() {
+fn voter_with_an_old_copy_of_its_file_stops_before_it_votes() {
     let mut fleet = fleet(3, 3, 9);
     fleet.run(LEASE);
     let old = fleet.nodes[2].disk.clone();
-    // The first and the third commit a version of which the second hears nothing, then and later.
+    // Voters 0 and 2 commit a version that voter 1 does not learn.
     for other in [0, 2] {
         (fleet.blocked[1][other], fleet.blocked[other][1]) = (true, true);
     }
@@ -149,8 +152,8 @@
     fleet.nodes[2].member = None;
     fleet.nodes[2].disk = old;
     fleet.start(2);
-    // With the third one's vote this would become another version with the same number. What the first one remembers of it
-    // comes late.
+    // With the vote of voter 2 this would become another version with the same number. Voter 0, which knows
+    // of its later vote, reports that late, since messages from voter 2 to voter 0 are lost at first.
     fleet.blocked[2][0] = true;
     fleet.propose(1, b"other").unwrap();
     fleet.run(200 * MS);
@@ -161,14 +164,14 @@
 }
 
 #[test]
-fn one_that_lost_its_file_votes_again_on_what_it_cannot_have_voted_on() {
+fn voter_that_lost_its_file_votes_again_on_later_versions() {
     let mut fleet = fleet(3, 3, 8);
     fleet.run(LEASE);
     fleet.propose(0, b"one").unwrap();
     fleet.run(LEASE);
     assert!(fleet.replace(2));
     fleet.run(2 * LEASE);
-    // Two versions go through without it, the third needs it.
+    // Two versions are committed without its vote; the next one needs it.
     for content in [b"2", b"3"] {
         fleet.propose(0, content).unwrap();
         fleet.run(LEASE);
@@ -177,26 +180,26 @@
     fleet.propose(0, b"4").unwrap();
     fleet.run(2 * LEASE);
     assert_eq!(fleet.committed.len(), 4, "{:?}", fleet.nodes[0].outcomes);
-    assert!(!fleet.replace(2), "one other is no quorum");
+    assert!(!fleet.replace(2), "one other voter is not a quorum");
 }
 
 #[test]
-fn an_echo_of_an_old_question_keeps_no_version_from_being_acted_on() {
+fn replayed_lease_requests_do_not_delay_a_version() {
     let mut fleet = fleet(2, 1, 6);
     fleet.run(LEASE);
-    let asked = PeerMessage::Protocol(7, 1, Message::LeaseRequest(0, 1, 99)).encode();
+    let request = PeerMessage::Protocol(7, 1, Message::LeaseRequest(0, 1, 99)).encode();
     fleet.propose(0, b"one").unwrap();
     for _ in 0..200 {
-        fleet.at(fleet.now, 0, Event::Datagram("g1".into(), asked.clone()));
+        fleet.schedule(fleet.now, 0, Event::Datagram("g1".into(), request.clone()));
         fleet.run(20 * MS);
     }
     assert!(fleet.all_use(1), "{:?}", fleet.usable_ranges());
 }
 
-/// All at once: cuts, pauses, kills and loss drawn from seeds, with proposals all the while.
+/// Random partitions, pauses, crashes and losses at the same time, with proposals throughout.
 #[test]
-fn nothing_contradicts_in_drawn_histories() {
-    let (mut full, mut versions) = (0, 0);
+fn no_contradiction_in_random_histories() {
+    let (mut histories, mut versions) = (0, 0);
     for seed in 0..60 {
         let mut fleet = fleet(5, 3, 1000 + seed);
         let mut rng = seed;
@@ -235,18 +238,18 @@
         fleet.run(8 * LEASE);
         let newest = *fleet.committed.keys().last().expect("some version is committed");
         assert!(fleet.all_use(newest), "seed {seed}: {newest}, {:?}", fleet.usable_ranges());
-        full += 1;
+        histories += 1;
         versions += fleet.committed.len();
     }
-    println!("{full} histories, {versions} versions");
-    assert!(versions > 600, "too few versions to show anything: {versions}");
+    println!("{histories} histories, {versions} versions");
+    assert!(versions > 600, "too few versions for a meaningful check: {versions}");
 }
 
 #[test]
-fn what_depends_on_the_moment_is_voted_on_once_a_quorum_finds_it_fit_and_leaves_no_number_stuck() {
+fn time_dependent_content_needs_a_quorum_before_the_vote_and_blocks_no_number() {
     let mut fleet = fleet(4, 3, 9);
     fleet.run(LEASE);
-    // Fit at the first voter alone.
+    // Accepted by voter 0 alone.
     *fleet.fitness.borrow_mut() = Box::new(|n, content, before| match content {
         b"mine" if n > 0 => Err("not by my books".to_owned()),
         b"next" if before.is_none_or(|b| b.content != b"plain") => Err("follows another one".to_owned()),
@@ -256,7 +259,7 @@
     fleet.propose(0, b"mine").unwrap();
     fleet.run(2_000 * MS);
     assert!(matches!(&fleet.nodes[0].outcomes[..], [Outcome::Unfit(why)] if why.contains("not by my books")));
-    // Nobody has voted for it: with the third one gone the other two go on.
+    // It got no votes, so the other two voters can commit the next one without voter 2.
     fleet.nodes[2].member = None;
     fleet.propose(0, b"plain").unwrap();
     fleet.run(2_000 * MS);
--- a/crates/agreement/tests/search.rs
+++ b/crates/agreement/tests/search.rs
@@ -1,10 +1,10 @@
-//! Small cases searched through, and planted faults found.
+//! Exhaustive searches of small cases, and of the same protocol with injected faults.
 
 use violetward_agreement::search::{search, Case, Outcome};
 use violetward_agreement::InjectedFault;
 
-/// The first version is in force, and one gateway has just learned that the second is committed: leases on both are asked
-/// for while that goes round.
+/// The first version is in use, and one gateway has just learned that the second is committed. Leases on both
+/// are requested while this spreads.
 fn leases(fault: InjectedFault) -> Case {
     Case {
         gateways: 3,
@@ -21,7 +21,7 @@
     }
 }
 
-/// Two gateways propose different contents at once; time does not matter.
+/// Two gateways propose different contents concurrently; time does not advance.
 fn votes(fault: InjectedFault) -> Case {
     Case {
         proposers: vec![1, 2],
@@ -32,10 +32,10 @@
     }
 }
 
-const MOST: usize = 4_000_000;
+const MAX_STATES: usize = 4_000_000;
 
-fn holds(case: &Case, what: &str) -> Outcome {
-    let outcome = search(case, MOST);
+fn assert_holds(case: &Case, what: &str) -> Outcome {
+    let outcome = search(case, MAX_STATES);
     println!(
         "{what}: {} states, complete {}, states_in_full_use {:?}",
         outcome.states, outcome.complete, outcome.states_in_full_use
@@ -45,51 +45,53 @@
 }
 
 #[test]
-fn whoever_acts_has_what_others_act_on_in_full_within_its_range() {
-    // Slow and fast by all that is allowed: the holder's clock runs slow, those of its voters fast. What clocks that run
-    // alike lead to is among it (546,681 states on their own, visited whole as well).
+fn each_range_contains_versions_that_others_apply_in_full() {
+    // The extremes of the allowed drift: the holder's clock is slow, those of its voters are fast. This
+    // includes the states that clocks of equal rates lead to; searched alone, those are 546,681 and are all
+    // visited as well.
     let case = Case {
         clock_rates_ppm: vec![-100_000, 100_000, 100_000],
         drift_ppm: 100_000,
         ..leases(InjectedFault::None)
     };
-    let outcome = holds(&case, "drift");
+    let outcome = assert_holds(&case, "drift");
     assert!(outcome.complete, "not all states were visited");
     assert!(
         outcome.states_in_full_use.0 > 0 && outcome.states_in_full_use.1 > 0,
-        "both versions have to be acted on in full"
+        "no state applies version 1, or none a later one, in full"
     );
 }
 
 #[test]
-fn nor_does_what_a_voter_tells_once_the_last_one_has_asked_again() {
+fn property_holds_when_the_last_holder_renews_its_lease() {
     let case = Case {
         lease_requests: vec![2, 1, 0],
         time_steps: 1,
         step_micros: 120,
         ..leases(InjectedFault::None)
     };
-    let outcome = holds(&case, "asked again");
+    let outcome = assert_holds(&case, "renewal");
     assert!(outcome.complete && outcome.states_in_full_use.0 > 0 && outcome.states_in_full_use.1 > 0);
 }
 
 #[test]
-fn nor_does_a_restart_break_that() {
-    let outcome = holds(&Case { restarts: 1, time_steps: 2, ..leases(InjectedFault::None) }, "a restart");
+fn property_holds_after_a_restart() {
+    let outcome =
+        assert_holds(&Case { restarts: 1, time_steps: 2, ..leases(InjectedFault::None) }, "restart");
     assert!(outcome.complete && outcome.states_in_full_use.0 > 0 && outcome.states_in_full_use.1 > 0);
 }
 
 #[test]
-fn a_number_has_one_version_whoever_proposes() {
-    holds(&votes(InjectedFault::None), "two proposers");
-    // One that has started again votes after its silence only.
+fn each_number_has_one_version_with_two_proposers() {
+    assert_holds(&votes(InjectedFault::None), "two proposers");
+    // A restarted voter does not vote before its wait is over.
     let restart = Case { restarts: 1, time_steps: 1, step_micros: 120, ..votes(InjectedFault::None) };
-    let outcome = holds(&restart, "two proposers and a restart");
+    let outcome = assert_holds(&restart, "two proposers and a restart");
     assert!(outcome.complete);
 }
 
 #[test]
-fn planted_faults_are_found() {
+fn injected_faults_are_found() {
     let restart = |case: Case| Case { restarts: 1, ..case };
     let cases = [
         leases(InjectedFault::LeaseFromReceipt),
@@ -100,7 +102,7 @@
         Case { time_steps: 1, step_micros: 120, ..restart(votes(InjectedFault::VoteNotPersisted)) },
     ];
     for case in cases {
-        let outcome = search(&case, MOST);
+        let outcome = search(&case, MAX_STATES);
         println!(
             "{:?}: {} states, {:?}",
             case.fault,
@@ -109,11 +111,11 @@
         );
         assert!(outcome.counterexample.is_some(), "{:?} was not found", case.fault);
     }
-    // A clock that drifts by more than is allowed is outside the promise, and the search shows it.
-    let out = Case {
+    // Clocks that drift by more than the allowed rate break the property, and the search finds it.
+    let excessive_drift = Case {
         clock_rates_ppm: vec![-300_000, 300_000, 300_000],
         drift_ppm: 10_000,
         ..leases(InjectedFault::None)
     };
-    assert!(search(&out, MOST).counterexample.is_some());
+    assert!(search(&excessive_drift, MAX_STATES).counterexample.is_some());
 }
