--- a/crates/gateway/tests/platform.rs
+++ b/crates/gateway/tests/platform.rs
@@ -1,4 +1,5 @@
-//! The program itself on a platform: its start, SIGHUP, SIGTERM with requests still coming, and a wrong configuration.
+//! Tests the program `violetward platform`: its start, SIGHUP, SIGTERM while requests arrive, and an invalid
+//! configuration.
 
 mod program;
 
@@ -7,7 +8,10 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use program::{file, logged, resolver, signal, start, start_with_log, SOON};
+use program::{
+    config_path, send_signal, start_gateway, start_gateway_with_log, start_resolver, wait_for_log,
+    EVENT_TIMEOUT,
+};
 use rustix::process::Signal;
 use violetward_standin::platform::{Fault, ListFault, Listed, PlatformEngine, PlatformResolver};
 use violetward_thrift::{Cursor, FrameDecoder, MessageType, Writer};
@@ -17,13 +21,13 @@
  "Contract":{"ColdFrom":0.31,"ColdUs":5000000},"FamilyInfo":{"SizeCores":[8]},"Report":{"How":"answers"},
  "Limits":{"AttemptsCap":3,"MayCancel":true,"Probes":true,"StreamsPerConn":32}}"#;
 
-fn config(resolver: &PlatformResolver, engine: &PlatformEngine) -> String {
-    program::config(resolver, engine, SETTINGS)
+fn gateway_config(resolver: &PlatformResolver, engine: &PlatformEngine) -> String {
+    program::gateway_config(resolver, engine, SETTINGS)
 }
 
-fn send(socket: &mut TcpStream, n: i32) {
-    let id = format!("{n:016x}");
-    let mut writer = Writer::message("dispatch", MessageType::Call, n);
+fn send_request(socket: &mut TcpStream, seqid: i32) {
+    let id = format!("{seqid:016x}");
+    let mut writer = Writer::message("dispatch", MessageType::Call, seqid);
     let fields =
         [("id", id.as_str()), ("class", "look"), ("wait", "2500"), ("cost", "20"), ("heap_mb", "64")];
     writer.string_map(1, fields.into_iter());
@@ -32,44 +36,44 @@
     socket.write_all(&writer.into_frame()).unwrap();
 }
 
-/// Whether a request is served.
-fn ask(socket: &mut TcpStream, n: i32) -> bool {
-    send(socket, n);
+/// Sends a request and returns whether its answer is a success.
+fn is_served(socket: &mut TcpStream, seqid: i32) -> bool {
+    send_request(socket, seqid);
     let (mut frames, mut bytes) = (FrameDecoder::new(1 << 20), [0; 4096]);
     loop {
         if let Some(frame) = frames.next_frame().unwrap() {
             let mut cursor = Cursor::new(&frame);
-            assert_eq!(cursor.message_header().unwrap().seqid, n);
+            assert_eq!(cursor.message_header().unwrap().seqid, seqid);
             return cursor.field_header().unwrap() == Some((Cursor::STRUCT, 0));
         }
         let read = socket.read(&mut bytes).unwrap();
-        assert!(read > 0, "closed under a request");
+        assert!(read > 0, "the connection was closed before the answer");
         frames.feed(&bytes[..read]);
     }
 }
 
 #[test]
-fn it_reloads_and_stops_without_losing_a_request() {
+fn reload_and_shutdown_lose_no_request() {
     let engine = PlatformEngine::start().unwrap();
-    let (first, second) = (resolver(&engine), resolver(&engine));
-    let path = file("service");
-    std::fs::write(&path, config(&first, &engine)).unwrap();
-    let (mut child, port) = start(&path);
+    let (first, second) = (start_resolver(&engine), start_resolver(&engine));
+    let path = config_path("service");
+    std::fs::write(&path, gateway_config(&first, &engine)).unwrap();
+    let (mut child, port) = start_gateway(&path);
     let mut socket = TcpStream::connect(("127.0.0.1", port)).unwrap();
-    assert!(ask(&mut socket, 1));
-    std::fs::write(&path, config(&second, &engine)).unwrap();
-    signal(&child, Signal::HUP);
+    assert!(is_served(&mut socket, 1));
+    std::fs::write(&path, gateway_config(&second, &engine)).unwrap();
+    send_signal(&child, Signal::HUP);
     let since = Instant::now();
     while second.asked() == 0 {
-        assert!(since.elapsed() < Duration::from_secs(20), "the new resolver is not asked");
+        assert!(since.elapsed() < Duration::from_secs(20), "the new resolver gets no query");
         std::thread::sleep(Duration::from_millis(5));
     }
-    assert!(ask(&mut socket, 2));
-    signal(&child, Signal::TERM);
-    // Requests go on coming, on the open connection and on a new one.
+    assert!(is_served(&mut socket, 2));
+    send_signal(&child, Signal::TERM);
+    // Requests still arrive, on the open connection and on a new one.
     std::thread::sleep(Duration::from_millis(150));
-    assert!(ask(&mut socket, 3));
-    assert!(ask(&mut TcpStream::connect(("127.0.0.1", port)).unwrap(), 4));
+    assert!(is_served(&mut socket, 3));
+    assert!(is_served(&mut TcpStream::connect(("127.0.0.1", port)).unwrap(), 4));
     let ended = child.wait().unwrap();
     assert!(ended.success(), "{ended}");
     std::fs::remove_file(path).ok();
@@ -78,73 +82,74 @@
 #[test]
 fn further_signals_during_shutdown_change_nothing() {
     let engine = PlatformEngine::start().unwrap();
-    let resolver = resolver(&engine);
-    let path = file("signals");
-    std::fs::write(&path, config(&resolver, &engine)).unwrap();
-    let (mut child, port, log) = start_with_log(&path);
-    // This client rests until the gateway ends the connection.
-    let mut resting = TcpStream::connect(("127.0.0.1", port)).unwrap();
-    resting.set_read_timeout(Some(SOON)).unwrap();
-    assert!(ask(&mut resting, 1));
-    signal(&child, Signal::TERM);
-    logged(&log, "stopping");
-    signal(&child, Signal::TERM);
-    signal(&child, Signal::HUP);
-    signal(&child, Signal::INT);
-    assert!(ask(&mut resting, 2));
-    assert_eq!(resting.read(&mut [0; 16]).expect("the end of the stream, not a reset"), 0);
+    let resolver = start_resolver(&engine);
+    let path = config_path("signals");
+    std::fs::write(&path, gateway_config(&resolver, &engine)).unwrap();
+    let (mut child, port, log) = start_gateway_with_log(&path);
+    // This client stays connected until the gateway closes the connection.
+    let mut idle_client = TcpStream::connect(("127.0.0.1", port)).unwrap();
+    idle_client.set_read_timeout(Some(EVENT_TIMEOUT)).unwrap();
+    assert!(is_served(&mut idle_client, 1));
+    send_signal(&child, Signal::TERM);
+    wait_for_log(&log, "stopping");
+    send_signal(&child, Signal::TERM);
+    send_signal(&child, Signal::HUP);
+    send_signal(&child, Signal::INT);
+    assert!(is_served(&mut idle_client, 2));
+    assert_eq!(idle_client.read(&mut [0; 16]).expect("the end of the stream, not a reset"), 0);
     let ended = child.wait().unwrap();
     assert!(ended.success(), "{ended}");
     std::fs::remove_file(path).ok();
 }
 
-/// Seen: a gateway that had been told to end read no signal any more, and the reload that it was at was dropped. Clients'
-/// requests wait there for up to their longest deadline, and the list's old address answers nobody after a move: engines
-/// that began to drain were sent requests after their grace.
+/// Guards against a gateway that handles no signal after SIGTERM and drops a reload in progress. Requests stay
+/// open there for up to the longest deadline, and the old address of the engine list does not answer after a
+/// move, so engines that had begun to drain got requests after their grace period.
 #[test]
-fn a_list_that_moves_during_shutdown_is_followed() {
+fn an_engine_list_that_moves_during_shutdown_is_followed() {
     let engine = PlatformEngine::start().unwrap();
     engine.order(Fault::Hang);
-    let (first, second) = (resolver(&engine), resolver(&engine));
+    let (first, second) = (start_resolver(&engine), start_resolver(&engine));
     second.tell(2, vec![Listed { id: "e-0".into(), address: engine.address, draining: true, started_ms: 0 }]);
-    let path = file("moved");
-    std::fs::write(&path, config(&first, &engine)).unwrap();
-    let (mut child, port, log) = start_with_log(&path);
-    // What is open keeps the gateway from ending.
+    let path = config_path("moved");
+    std::fs::write(&path, gateway_config(&first, &engine)).unwrap();
+    let (mut child, port, log) = start_gateway_with_log(&path);
+    // An open request keeps the gateway from exiting.
     let mut socket = TcpStream::connect(("127.0.0.1", port)).unwrap();
-    send(&mut socket, 1);
+    send_request(&mut socket, 1);
     while engine.ordered() > 0 {
         std::thread::sleep(Duration::from_millis(1));
     }
-    std::fs::write(&path, config(&second, &engine)).unwrap();
-    signal(&child, Signal::TERM);
-    logged(&log, "stopping");
-    signal(&child, Signal::HUP);
+    std::fs::write(&path, gateway_config(&second, &engine)).unwrap();
+    send_signal(&child, Signal::TERM);
+    wait_for_log(&log, "stopping");
+    send_signal(&child, Signal::HUP);
     while second.asked() < 2 {
-        assert_eq!(child.try_wait().unwrap(), None, "it has ended and never asked the new resolver");
+        assert_eq!(child.try_wait().unwrap(), None, "the gateway exited without a query to the new resolver");
         std::thread::sleep(Duration::from_millis(5));
     }
-    send(&mut socket, 2);
+    send_request(&mut socket, 2);
     let ended = child.wait().unwrap();
     assert!(ended.success(), "{ended}");
     let fetched = engine.journal().iter().filter(|words| words[0] == "fetch").count();
-    assert_eq!(fetched, 1, "a request went to an engine that drains");
+    assert_eq!(fetched, 1, "a request went to a draining engine");
     std::fs::remove_file(path).ok();
 }
 
-/// Seen in a soak: a gateway whose SIGHUP got lost never heard of its list again, and sent requests to engines that drain.
+/// Guards against a gateway that misses its SIGHUP, never reads its engine list again and sends requests to
+/// draining engines.
 #[test]
-fn a_list_that_moves_without_a_signal_is_found_once_the_old_address_is_silent() {
+fn a_list_that_moves_without_a_signal_is_found_when_the_old_address_stops_answering() {
     let engine = PlatformEngine::start().unwrap();
-    let (first, second) = (resolver(&engine), resolver(&engine));
-    let path = file("silent");
-    std::fs::write(&path, config(&first, &engine)).unwrap();
-    let (mut child, _) = start(&path);
+    let (first, second) = (start_resolver(&engine), start_resolver(&engine));
+    let path = config_path("silent");
+    std::fs::write(&path, gateway_config(&first, &engine)).unwrap();
+    let (mut child, _) = start_gateway(&path);
     (0..500).for_each(|_| first.order(ListFault::Lost));
-    std::fs::write(&path, config(&second, &engine)).unwrap();
+    std::fs::write(&path, gateway_config(&second, &engine)).unwrap();
     let since = Instant::now();
     while second.asked() == 0 {
-        assert!(since.elapsed() < SOON, "the new resolver is not asked");
+        assert!(since.elapsed() < EVENT_TIMEOUT, "the new resolver gets no query");
         std::thread::sleep(Duration::from_millis(5));
     }
     child.kill().unwrap();
@@ -155,17 +160,17 @@
 #[test]
 fn a_shutdown_during_a_reload_does_not_wait_for_it() {
     let engine = PlatformEngine::start().unwrap();
-    let resolver = resolver(&engine);
-    let path = file("reload");
-    std::fs::write(&path, config(&resolver, &engine)).unwrap();
-    let (mut child, _, log) = start_with_log(&path);
+    let resolver = start_resolver(&engine);
+    let path = config_path("reload");
+    std::fs::write(&path, gateway_config(&resolver, &engine)).unwrap();
+    let (mut child, _, log) = start_gateway_with_log(&path);
     std::fs::write(&path, "{\"name\":").unwrap();
-    signal(&child, Signal::HUP);
-    logged(&log, "configuration is invalid; keeping the old one and retrying");
-    signal(&child, Signal::TERM);
-    // The reload would go on for ten seconds.
+    send_signal(&child, Signal::HUP);
+    wait_for_log(&log, "configuration is invalid; keeping the old one and retrying");
+    send_signal(&child, Signal::TERM);
+    // The reload alone would retry for ten seconds.
     let since = Instant::now();
-    logged(&log, "stopped");
+    wait_for_log(&log, "stopped");
     assert!(since.elapsed() < Duration::from_secs(8), "after {:?}", since.elapsed());
     let ended = child.wait().unwrap();
     assert!(ended.success(), "{ended}");
@@ -173,15 +178,15 @@
 }
 
 #[test]
-fn a_wrong_configuration_is_one_line_and_exit_2() {
-    let path = file("wrong");
+fn an_invalid_configuration_gives_one_line_of_error_and_exit_code_2() {
+    let path = config_path("invalid");
     std::fs::write(&path, "{\"name\":\"n0\",").unwrap();
-    for wrong in [path.clone(), file("missing")] {
+    for invalid in [path.clone(), config_path("missing")] {
         let mut command = Command::new(env!("CARGO_BIN_EXE_violetward"));
-        let output = command.arg("platform").env("PROXY_CONFIG", &wrong).output().unwrap();
-        let told = String::from_utf8(output.stderr).unwrap();
-        assert_eq!(output.status.code(), Some(2), "{told}");
-        assert!(told.lines().count() == 1 && told.contains(&*wrong.to_string_lossy()), "{told}");
+        let output = command.arg("platform").env("PROXY_CONFIG", &invalid).output().unwrap();
+        let stderr = String::from_utf8(output.stderr).unwrap();
+        assert_eq!(output.status.code(), Some(2), "{stderr}");
+        assert!(stderr.lines().count() == 1 && stderr.contains(&*invalid.to_string_lossy()), "{stderr}");
     }
     std::fs::remove_file(path).ok();
 }
--- a/crates/gateway/tests/platform_waits.rs
+++ b/crates/gateway/tests/platform_waits.rs
@@ -1,11 +1,12 @@
-//! Requests that their clients held back before they wrote them.
+//! Tests requests that the client delays before it writes them.
 //!
-//! Seen: in a rolling release with gateways that had died, three requests of some 70,000 got no final answer in their time.
-//! All three had an order key. Other requests on the same connections were read within 2 ms of being handed in, these
-//! 0.79 to 1.37 s after it: clients write the requests of one key at least 60 ms apart, 250 ms behind one on a new
-//! connection, and the requests of the dead gateways had made queues of them. `wait` runs from when the client has the
-//! request. The gateway counted it from when it had read the request, and gave the engine that much patience.
-//! Proved by the records of both sides, joined by request: each late one waited at its client, none in the gateway.
+//! Clients write the requests of one order key at least 60 ms apart, 250 ms after one on a new connection. When
+//! gateways fail during a rolling release, their requests queue up at the clients: 3 of about 70,000 requests, all
+//! with an order key, got no final answer in time. The gateway had read them 0.79 to 1.37 s after the client had
+//! them, and other requests on the same connections within 2 ms. `wait` runs from when the client has the request,
+//! but the gateway counted it from when it had read the request and granted the engine that much patience. The
+//! records of both sides, joined by request, show that each late request waited at its client and none in the
+//! gateway.
 
 mod program;
 
@@ -13,7 +14,7 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use program::{file, resolver, start};
+use program::{config_path, start_gateway, start_resolver};
 use violetward_standin::platform::{Fault, PlatformEngine};
 use violetward_thrift::{FrameDecoder, MessageType, Writer};
 
@@ -22,22 +23,22 @@
  "FifoByKey":true}],"Contract":{"ColdFrom":0.31,"ColdUs":5000000},"FamilyInfo":{"SizeCores":[8]},
  "Report":{"How":"answers"},"Limits":{"AttemptsCap":3,"MayCancel":true,"Probes":true,"StreamsPerConn":32}}"#;
 
-/// How long each request is held back.
-const HELD_BACK: Duration = Duration::from_millis(1_200);
-/// How late a final answer may be.
-const TOLERANCE: Duration = Duration::from_millis(500);
-/// By how much the patience told to an engine may exceed what its client has left.
+/// How long the client delays each request before it writes it.
+const CLIENT_DELAY: Duration = Duration::from_millis(1_200);
+/// How long after its deadline a final answer still counts.
+const ANSWER_TOLERANCE: Duration = Duration::from_millis(500);
+/// The margin by which the patience sent to an engine may exceed the client's remaining time.
 const PATIENCE_SLACK: Duration = Duration::from_millis(150);
 
-/// A request with an order key, and how long its client waits for the answer.
-struct Held {
+/// A request with an order key that its client delays, and how long the client waits for the answer.
+struct DelayedRequest {
     id: &'static str,
     wait: Duration,
     is_retry: bool,
 }
 
-impl Held {
-    fn frame(&self) -> Vec<u8> {
+impl DelayedRequest {
+    fn to_frame(&self) -> Vec<u8> {
         let wait = self.wait.as_millis().to_string();
         let mut fields = vec![("id", self.id), ("class", "load"), ("wait", &wait), ("cost", "20")];
         fields.extend([("key", self.id), ("once", self.id), ("heap_mb", "64")]);
@@ -51,17 +52,17 @@
         writer.into_frame()
     }
 
-    /// Holds the request back, then writes it; whether its final answer comes before it is lost.
+    /// Writes the request after the delay and returns whether its final answer arrives in time.
     fn is_answered(&self, port: u16) -> bool {
-        let worded = Instant::now();
-        let frame = self.frame();
-        std::thread::sleep(HELD_BACK);
+        let created_at = Instant::now();
+        let frame = self.to_frame();
+        std::thread::sleep(CLIENT_DELAY);
         let mut socket = TcpStream::connect(("127.0.0.1", port)).unwrap();
         socket.write_all(&frame).unwrap();
         let (mut frames, mut bytes) = (FrameDecoder::new(1 << 20), [0; 4096]);
-        let lost_at = worded + self.wait + TOLERANCE;
+        let answer_deadline = created_at + self.wait + ANSWER_TOLERANCE;
         while frames.next_frame().unwrap().is_none() {
-            let left = lost_at.saturating_duration_since(Instant::now());
+            let left = answer_deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
                 return false;
             }
@@ -75,38 +76,43 @@
     }
 }
 
-/// The patience that the engine was told with each attempt of a request.
-fn patience(engine: &PlatformEngine, id: &str) -> Vec<Duration> {
+/// The patience that the engine received with each attempt of a request.
+fn received_patience(engine: &PlatformEngine, id: &str) -> Vec<Duration> {
     let journal = engine.journal();
     let fetches = journal.iter().filter(|words| words[0] == "fetch" && words[1] == id);
-    let told =
+    let patience_values =
         fetches.flat_map(|words| words[2].split(',')).filter_map(|field| field.strip_prefix("patience="));
-    told.map(|ms| Duration::from_millis(ms.parse().unwrap())).collect()
+    patience_values.map(|ms| Duration::from_millis(ms.parse().unwrap())).collect()
 }
 
 #[test]
-fn a_request_that_its_client_held_back_is_answered_in_its_clients_time() {
+fn a_request_delayed_by_its_client_is_answered_within_the_clients_deadline() {
     let engine = PlatformEngine::start().unwrap();
-    // It never answers: only the request's time ends it.
+    // The engine never answers, so only the deadline ends a request.
     (0..20).for_each(|_| engine.order(Fault::Hang));
-    let list = resolver(&engine);
-    let path = file("held");
-    std::fs::write(&path, program::config(&list, &engine, SETTINGS)).unwrap();
-    let (mut child, port) = start(&path);
-    let first = Held { id: "00000000000000a1", wait: Duration::from_millis(6_000), is_retry: false };
-    let further = Held { id: "00000000000000a2", wait: Duration::from_millis(1_900), is_retry: true };
+    let list = start_resolver(&engine);
+    let path = config_path("delayed");
+    std::fs::write(&path, program::gateway_config(&list, &engine, SETTINGS)).unwrap();
+    let (mut child, port) = start_gateway(&path);
+    let first =
+        DelayedRequest { id: "00000000000000a1", wait: Duration::from_millis(6_000), is_retry: false };
+    let retry = DelayedRequest { id: "00000000000000a2", wait: Duration::from_millis(1_900), is_retry: true };
     let answered = std::thread::scope(|scope| {
-        let waiting = [&first, &further].map(|held| scope.spawn(move || held.is_answered(port)));
+        let waiting = [&first, &retry].map(|request| scope.spawn(move || request.is_answered(port)));
         waiting.map(|answer| answer.join().unwrap())
     });
     child.kill().unwrap();
     child.wait().unwrap();
     std::fs::remove_file(path).ok();
-    assert_eq!(answered, [true, true], "the first try, a further try");
-    assert!(!patience(&engine, first.id).is_empty(), "the engine was never asked");
-    for held in [first, further] {
-        let left = held.wait - HELD_BACK + PATIENCE_SLACK;
-        let told = patience(&engine, held.id);
-        assert!(told.iter().all(|&patience| patience <= left), "{}: {told:?} of {left:?}", held.id);
+    assert_eq!(answered, [true, true], "the first attempt, the retry");
+    assert!(!received_patience(&engine, first.id).is_empty(), "the engine got no request");
+    for request in [first, retry] {
+        let left = request.wait - CLIENT_DELAY + PATIENCE_SLACK;
+        let patience_values = received_patience(&engine, request.id);
+        assert!(
+            patience_values.iter().all(|&patience| patience <= left),
+            "{}: {patience_values:?} of {left:?}",
+            request.id
+        );
     }
 }
