--- a/crates/gateway/tests/config.rs
+++ b/crates/gateway/tests/config.rs
@@ -1,11 +1,12 @@
-//! Configuration: every mistake with its place, and settings that break the rules' own figures.
+//! Tests the configuration reader: each error is reported with its position, and contradictory settings are
+//! refused.
 
 use std::path::Path;
 
 use violetward::{Effect, KeyScope};
 use violetward_gateway::config::{cross_checks, parse, Config};
 
-const GOOD: &str = r#"(gateway (number 1) (of 3) (zone a) (listen "127.0.0.1:0") (engines "list"))
+const VALID: &str = r#"(gateway (number 1) (of 3) (zone a) (listen "127.0.0.1:0") (engines "list"))
 (kinds (kind m8 (cores 8) (memory "16GB")))
 (classes
   (class lookup (aim "1s") (give-up "4s") (effect repeatable))
@@ -14,18 +15,19 @@
 (select lookup)
 "#;
 
-fn read(text: &str) -> Result<Config, Vec<String>> {
-    parse(text, Path::new("/etc/v")).map_err(|all| all.iter().map(|m| m.to_string()).collect())
+fn parse_config(text: &str) -> Result<Config, Vec<String>> {
+    parse(text, Path::new("/etc/v")).map_err(|errors| errors.iter().map(|e| e.to_string()).collect())
 }
 
-fn mistakes(from: &str, to: &str) -> Vec<String> {
-    assert!(GOOD.contains(from), "{from}");
-    read(&GOOD.replacen(from, to, 1)).unwrap_err()
+/// The errors of the valid configuration with `from` replaced by `to`.
+fn errors_after_replacing(from: &str, to: &str) -> Vec<String> {
+    assert!(VALID.contains(from), "{from}");
+    parse_config(&VALID.replacen(from, to, 1)).unwrap_err()
 }
 
 #[test]
-fn a_good_file_is_read() {
-    let config = read(GOOD).unwrap();
+fn a_valid_file_is_read() {
+    let config = parse_config(VALID).unwrap();
     assert_eq!((config.settings.own_id.0, config.settings.gateways), (1, 3));
     assert_eq!(config.engines, Path::new("/etc/v/list"));
     let window = 25_000_000;
@@ -35,7 +37,7 @@
 }
 
 #[test]
-fn each_mistake_is_told_with_line_column_and_what_was_expected() {
+fn each_error_names_line_column_and_what_was_expected() {
     let cases = [
         ("(cores 8)", "(cores many)", "2:24: cores: expected a number from 0.1 to 4096, found many"),
         ("(cores 8)", "(cors 8)", "2:17: cors is not known in kind; known: cores, memory"),
@@ -59,45 +61,47 @@
         ("(select lookup)", "select", "expected a form like (name value), found select"),
     ];
     for (from, to, expected) in cases {
-        let found = mistakes(from, to);
-        assert!(found.iter().any(|m| m.contains(expected)), "{to}: {found:?}");
+        let errors = errors_after_replacing(from, to);
+        assert!(errors.iter().any(|m| m.contains(expected)), "{to}: {errors:?}");
     }
-    // All of them at once, in the order of their places.
-    let two = GOOD.replace("(cores 8)", "(cores 0)").replace("(tag load)", "(tags load)");
-    let found = read(&two).unwrap_err();
-    assert_eq!(found.len(), 2);
-    assert!(found[0].starts_with("2:") && found[1].starts_with("6:"));
+    // All errors are reported at once, ordered by position.
+    let two_errors = VALID.replace("(cores 8)", "(cores 0)").replace("(tag load)", "(tags load)");
+    let errors = parse_config(&two_errors).unwrap_err();
+    assert_eq!(errors.len(), 2);
+    assert!(errors[0].starts_with("2:") && errors[1].starts_with("6:"));
 }
 
 #[test]
-fn settings_that_break_the_rules_are_refused() {
-    let crossed = |more: &str| cross_checks(&read(&format!("{GOOD}{more}")).unwrap());
-    assert!(crossed("(limits (list-every \"200ms\"))")[0]
+fn contradictory_settings_are_refused() {
+    let cross_check_errors = |more: &str| cross_checks(&parse_config(&format!("{VALID}{more}")).unwrap());
+    assert!(cross_check_errors("(limits (list-every \"200ms\"))")[0]
         .contains("a drain that is seen too late is not honoured in time"));
-    assert!(crossed("(engine-properties (repeat \"\"))")[0].contains("engines could not recognize repeats"));
-    let found = read(&format!("{GOOD}(policy (key-rest \"0ms\"))")).unwrap_err();
-    assert!(found[0].contains("in-order needs policy/key-rest over 0"));
-    let found = read(&format!("{GOOD}(limits (long-poll \"60s\"))")).unwrap_err();
-    assert!(found[0].contains("long-poll must be under abandon-after"));
-    let found = read(&format!("{GOOD}(policy (budget (free 5) (share 2) (window \"5s\")))")).unwrap_err();
-    assert!(found[0].contains("share: expected a number from 0 to 1"));
+    assert!(cross_check_errors("(engine-properties (repeat \"\"))")[0]
+        .contains("engines could not recognize repeats"));
+    let errors = parse_config(&format!("{VALID}(policy (key-rest \"0ms\"))")).unwrap_err();
+    assert!(errors[0].contains("in-order needs policy/key-rest over 0"));
+    let errors = parse_config(&format!("{VALID}(limits (long-poll \"60s\"))")).unwrap_err();
+    assert!(errors[0].contains("long-poll must be under abandon-after"));
+    let errors =
+        parse_config(&format!("{VALID}(policy (budget (free 5) (share 2) (window \"5s\")))")).unwrap_err();
+    assert!(errors[0].contains("share: expected a number from 0 to 1"));
 }
 
-const PEERS: &str = r#"
+const MEMBERSHIP: &str = r#"
 (membership (listen "127.0.0.1:0") (name g1) (site south) (seeds "127.0.0.1:1" "127.0.0.1:2") (via g0 "127.0.0.1:3")
   (key k1 "sixteen octets or more") (key k0 "the one that was before") (period "250ms"))
 "#;
 
 #[test]
-fn membership_is_read_and_its_mistakes_are_told_with_their_places() {
-    let whole = format!("{GOOD}{PEERS}");
-    let peers = read(&whole).unwrap().peers.expect("a section");
+fn membership_is_read_and_its_errors_name_their_positions() {
+    let text = format!("{VALID}{MEMBERSHIP}");
+    let peers = parse_config(&text).unwrap().peers.expect("a configured section");
     assert_eq!(
         (peers.name.as_str(), peers.site.as_str(), peers.seeds.len(), peers.address_overrides.len()),
         ("g1", "south", 2, 1)
     );
     assert_eq!((peers.probe_interval.as_millis(), peers.max_total_share), (250, 2.0));
-    assert_eq!(read(GOOD).unwrap().peers, None, "off without the section");
+    assert_eq!(parse_config(VALID).unwrap().peers, None, "the feature is off without its section");
     let cases = [
         ("(name g1)", "", "9:1: membership needs (name ...)"),
         ("\"127.0.0.1:0\"", "here", "listen: expected an address and port"),
@@ -108,10 +112,10 @@
         ("(listen \"127.0.0.1:0\")", "(listen \"0.0.0.0:0\")", "(advertise ADDRESS) must name one address"),
         ("(period \"250ms\")", "(key-file \"none\")", "key-file and key: expected one of them"),
     ];
-    for (from, to, told) in cases {
-        assert!(PEERS.contains(from), "{from}");
-        let found = read(&format!("{GOOD}{}", PEERS.replacen(from, to, 1))).unwrap_err();
-        assert!(found.iter().any(|m| m.contains(told)), "{to}: {found:?}");
+    for (from, to, expected) in cases {
+        assert!(MEMBERSHIP.contains(from), "{from}");
+        let errors = parse_config(&format!("{VALID}{}", MEMBERSHIP.replacen(from, to, 1))).unwrap_err();
+        assert!(errors.iter().any(|m| m.contains(expected)), "{to}: {errors:?}");
     }
 }
 
@@ -121,9 +125,9 @@
 "#;
 
 #[test]
-fn sites_are_read_and_their_mistakes_are_told_with_their_places() {
-    let whole = format!("{GOOD}{PEERS}{SITES}");
-    let sites = read(&whole).unwrap().sites.expect("a section");
+fn sites_are_read_and_their_errors_name_their_positions() {
+    let text = format!("{VALID}{MEMBERSHIP}{SITES}");
+    let sites = parse_config(&text).unwrap().sites.expect("a configured section");
     assert_eq!(
         (sites.own_site, sites.sites.len(), sites.enforce, sites.site_tag.as_str()),
         (1, 3, false, "at=")
@@ -131,7 +135,7 @@
     assert_eq!(
         sites.sites[0].zones,
         ["north"],
-        "of itself a site's engines are those of the zone of its name"
+        "by default a site has the engines of the zone of the same name"
     );
     assert_eq!(
         (sites.sites[2].zones.len(), sites.sites[2].engines.as_slice()),
@@ -141,9 +145,13 @@
         (sites.detection.back, sites.gossip.round_interval, sites.gossip.bytes_per_second),
         (4_000_000, 1_000_000, 8_000.0)
     );
-    assert_eq!(read(&format!("{GOOD}{PEERS}")).unwrap().sites, None, "off without the section");
-    let alone = read(&format!("{GOOD}{SITES}")).unwrap_err();
-    assert!(alone.iter().any(|m| m.contains("site-loss needs (membership ...)")), "{alone:?}");
+    assert_eq!(
+        parse_config(&format!("{VALID}{MEMBERSHIP}")).unwrap().sites,
+        None,
+        "the feature is off without its section"
+    );
+    let errors = parse_config(&format!("{VALID}{SITES}")).unwrap_err();
+    assert!(errors.iter().any(|m| m.contains("site-loss needs (membership ...)")), "{errors:?}");
     let cases = [
         ("(site south ", "(site east ", "membership's site south is not one of the sites"),
         ("(site west ", "(site north ", "site north is given twice"),
@@ -151,9 +159,10 @@
         ("(back \"4s\")", "(back \"4m\")", "back-most >= back"),
         ("(acts no)", "(acts no) (low 2)", "low must be under high"),
     ];
-    for (from, to, told) in cases {
+    for (from, to, expected) in cases {
         assert!(SITES.contains(from), "{from}");
-        let found = read(&format!("{GOOD}{PEERS}{}", SITES.replacen(from, to, 1))).unwrap_err();
-        assert!(found.iter().any(|m| m.contains(told)), "{to}: {found:?}");
+        let errors =
+            parse_config(&format!("{VALID}{MEMBERSHIP}{}", SITES.replacen(from, to, 1))).unwrap_err();
+        assert!(errors.iter().any(|m| m.contains(expected)), "{to}: {errors:?}");
     }
 }
--- a/crates/gateway/tests/guarded.rs
+++ b/crates/gateway/tests/guarded.rs
@@ -1,4 +1,5 @@
-//! The core with statements that outlive their gateway: a clock by hand, engines and custody played by the test.
+//! Tests the core with statements that outlive their gateway. The test drives the clock and plays the
+//! engines and the custody service.
 
 use std::cell::RefCell;
 use std::path::Path;
@@ -14,7 +15,7 @@
 use violetward_statement::results::Stats;
 use violetward_statement::session::Context;
 
-const S: Micros = 1_000_000;
+const SECOND: Micros = 1_000_000;
 
 const SETUP: &str = r#"
 (gateway (number 0) (of 1) (listen "127.0.0.1:0") (engines "none"))
@@ -28,27 +29,27 @@
 (policy (attempts 2) (budget (free 20) (share 1.0) (window "5s")))
 "#;
 
-struct Bed {
+struct Harness {
     core: Core,
     now: Micros,
     effects: Vec<Effect>,
 }
 
-impl Bed {
-    fn new() -> Bed {
-        let config = config::parse(SETUP, Path::new(".")).expect("good");
+impl Harness {
+    fn new() -> Harness {
+        let config = config::parse(SETUP, Path::new(".")).expect("valid configuration");
         let engines = "(engine e0 (address \"127.0.0.1:1\"))\n(engine e1 (address \"127.0.0.1:2\"))";
         let engines = list::parse(engines, &config.names).unwrap().records;
         let mut core = Core::new(&config, "life", 7);
         core.protect_classes(vec![true, true]);
-        core.update_engines(1_000 * S, &engines);
-        let mut bed = Bed { core, now: 1_000 * S, effects: Vec::new() };
-        bed.collect();
-        bed.effects.clear();
-        bed
+        core.update_engines(1_000 * SECOND, &engines);
+        let mut harness = Harness { core, now: 1_000 * SECOND, effects: Vec::new() };
+        harness.collect_effects();
+        harness.effects.clear();
+        harness
     }
 
-    fn collect(&mut self) {
+    fn collect_effects(&mut self) {
         while let Some(effect) = self.core.pop_effect() {
             match effect {
                 Effect::Probe(engine, _) => self.core.engine_status(self.now, engine, Some(Load::default())),
@@ -57,27 +58,27 @@
         }
     }
 
-    fn found<T>(&self, pick: impl Fn(&Effect) -> Option<T>) -> Vec<T> {
+    fn filter_effects<T>(&self, pick: impl Fn(&Effect) -> Option<T>) -> Vec<T> {
         self.effects.iter().filter_map(pick).collect()
     }
 
-    fn launched(&self) -> Vec<AttemptId> {
-        self.found(|e| if let Effect::Launch(launch) = e { Some(launch.attempt) } else { None })
+    fn launched_attempts(&self) -> Vec<AttemptId> {
+        self.filter_effects(|e| if let Effect::Launch(launch) = e { Some(launch.attempt) } else { None })
     }
 
-    fn followed(&self) -> Vec<String> {
-        self.found(|e| if let Effect::Resume(follow) = e { Some(follow.uri.clone()) } else { None })
+    fn resumed_uris(&self) -> Vec<String> {
+        self.filter_effects(|e| if let Effect::Resume(resume) = e { Some(resume.uri.clone()) } else { None })
     }
 
     fn submit(&mut self, tag: &str) -> StatementId {
         let context = Context { user: "u".into(), tags: vec![tag.into()], ..Context::default() };
         let submission = Submission { public_id: "q".into(), text: "SELECT 1".into(), context };
         let id = self.core.submit(self.now, submission);
-        self.collect();
+        self.collect_effects();
         id
     }
 
-    fn arrive(&mut self, id: AttemptId, page: u64, rows: Option<&str>, last: bool) {
+    fn receive_page(&mut self, id: AttemptId, page: u64, rows: Option<&str>, last: bool) {
         let raw = |text: &str| Rc::<RawValue>::from(RawValue::from_string(text.to_owned()).unwrap());
         let part = Part { bytes: rows.map_or(0, str::len), data: rows.map(raw), ..Part::default() };
         let next = (!last).then(|| format!("http://e/v1/statement/executing/s/x/{}", page + 1));
@@ -87,107 +88,110 @@
             id,
             EnginePage { part, stats, last, next_uri: next, ..EnginePage::default() },
         );
-        self.collect();
+        self.collect_effects();
     }
 
-    fn page(&mut self, id: StatementId, token: u64, after: Option<u64>) -> Option<Rc<Page>> {
+    fn poll_page(&mut self, id: StatementId, token: u64, after: Option<u64>) -> Option<Rc<Page>> {
         let turn = self.core.page_after(self.now, id, token, after, true);
-        self.collect();
+        self.collect_effects();
         match turn {
             Turn::Page(page) => Some(page),
             _ => None,
         }
     }
 
-    fn pass(&mut self, span: Micros) {
-        let end = self.now + span;
+    fn advance(&mut self, duration: Micros) {
+        let end = self.now + duration;
         while let Some(at) = self.core.next_wake().filter(|&at| at <= end) {
             self.now = self.now.max(at);
             self.core.wake(self.now);
-            self.collect();
+            self.collect_effects();
         }
         self.now = end;
     }
 
-    /// What a guardian of a statement knows of it after an attempt was out.
-    fn recorded(&self, id: StatementId) -> custody::Record {
-        let taken = self.core.statement_record(id).expect("it is protected");
-        let (attempts, out, passed) = self.core.progress(id).expect("it is protected");
+    /// The record that a statement's guardian holds after an attempt was launched.
+    fn guardian_record(&self, id: StatementId) -> custody::Record {
+        let statement = self.core.statement_record(id).expect("a protected statement");
+        let (attempts, in_flight, pages_delivered) = self.core.progress(id).expect("a protected statement");
         let key = StatementKey { accepted_by: Incarnation { name: "g".into(), number: 1 }, number: id.0 };
-        let (body, repeat, left) = (taken.body, taken.repeat, taken.remaining);
+        let (body, repeat, remaining_wait) = (statement.body, statement.repeat, statement.remaining);
         custody::Record {
             key,
             version: 2,
             body,
             repeat,
-            remaining_wait: left,
+            remaining_wait,
             attempts,
-            in_flight: out,
-            pages_delivered: passed,
+            in_flight,
+            pages_delivered,
             ending: None,
         }
     }
 }
 
-/// The statement of one gateway in another one.
-fn moved(record: &custody::Record) -> (Bed, StatementId) {
-    let mut bed = Bed::new();
-    let id = bed.core.adopt(bed.now, record).expect("readable");
-    bed.collect();
-    (bed, id)
+/// Another gateway that has adopted the recorded statement, and the statement's id adopted_id.
+fn adopt_elsewhere(record: &custody::Record) -> (Harness, StatementId) {
+    let mut harness = Harness::new();
+    let id = harness.core.adopt(harness.now, record).expect("a readable record");
+    harness.collect_effects();
+    (harness, id)
 }
 
-fn running(tag: &str) -> (Bed, StatementId, AttemptId) {
-    let mut bed = Bed::new();
-    let id = bed.submit(tag);
-    bed.page(id, 0, None);
-    let attempt = *bed.launched().last().expect("launched");
-    (bed, id, attempt)
+fn start_statement(tag: &str) -> (Harness, StatementId, AttemptId) {
+    let mut harness = Harness::new();
+    let id = harness.submit(tag);
+    harness.poll_page(id, 0, None);
+    let attempt = *harness.launched_attempts().last().expect("an attempt was launched");
+    (harness, id, attempt)
 }
 
 #[test]
-fn an_end_that_is_decided_here_after_an_attempt_waits_for_its_record() {
-    let (mut bed, id, _) = running("notice");
-    bed.core.cancel(bed.now, id);
-    bed.collect();
-    let decides = |e: &Effect| matches!(e, Effect::RecordEnding(..)).then_some(());
-    assert_eq!(bed.found(decides).len(), 1);
-    assert!(!bed.core.has_ended(id), "it is told before anybody else knows of it");
-    // What comes of the attempt meanwhile takes nothing back.
-    bed.arrive(AttemptId(id, 0), 0, Some("[[1]]"), true);
-    assert!(!bed.core.has_ended(id));
-    bed.core.ending_recorded(bed.now, id);
-    assert!(matches!(bed.page(id, 0, None).unwrap().end, Some(Ending::Cancelled(_))));
+fn an_ending_decided_by_the_gateway_after_an_attempt_waits_until_it_is_recorded() {
+    let (mut harness, id, _) = start_statement("notice");
+    harness.core.cancel(harness.now, id);
+    harness.collect_effects();
+    let record_ending = |e: &Effect| matches!(e, Effect::RecordEnding(..)).then_some(());
+    assert_eq!(harness.filter_effects(record_ending).len(), 1);
+    assert!(
+        !harness.core.has_ended(id),
+        "the ending is visible to the client before a guardian has recorded it"
+    );
+    // Pages that the attempt delivers in the meantime do not change the ending.
+    harness.receive_page(AttemptId(id, 0), 0, Some("[[1]]"), true);
+    assert!(!harness.core.has_ended(id));
+    harness.core.ending_recorded(harness.now, id);
+    assert!(matches!(harness.poll_page(id, 0, None).unwrap().end, Some(Ending::Cancelled(_))));
 }
 
 #[test]
-fn what_was_never_sent_and_what_the_engine_decided_is_told_at_once() {
-    let mut bed = Bed::new();
-    let id = bed.submit("notice");
-    bed.core.cancel(bed.now, id);
-    assert!(bed.core.has_ended(id));
-    let (mut bed, id, attempt) = running("notice");
-    bed.arrive(attempt, 0, None, true);
-    assert!(bed.core.has_ended(id));
+fn endings_of_unsent_statements_and_endings_by_the_engine_need_no_record() {
+    let mut harness = Harness::new();
+    let id = harness.submit("notice");
+    harness.core.cancel(harness.now, id);
+    assert!(harness.core.has_ended(id));
+    let (mut harness, id, attempt) = start_statement("notice");
+    harness.receive_page(attempt, 0, None, true);
+    assert!(harness.core.has_ended(id));
 }
 
 #[test]
-fn the_taker_asks_the_engine_for_the_page_that_the_client_has_not_got_and_posts_nothing() {
-    let (mut bed, id, attempt) = running("lookup");
-    bed.arrive(attempt, 0, None, false);
-    bed.arrive(attempt, 1, Some("[[1]]"), false);
-    let first = bed.page(id, 0, None).unwrap();
+fn the_adopting_gateway_fetches_the_first_undelivered_page_and_posts_no_statement() {
+    let (mut harness, id, attempt) = start_statement("lookup");
+    harness.receive_page(attempt, 0, None, false);
+    harness.receive_page(attempt, 1, Some("[[1]]"), false);
+    let first = harness.poll_page(id, 0, None).unwrap();
     assert_eq!(first.after, Some(2));
-    // The guardian's record is older than what the client has got.
-    let mut record = bed.recorded(id);
+    // The guardian's record is older than the last page that the client received.
+    let mut record = harness.guardian_record(id);
     record.in_flight.as_mut().unwrap().next_uri = Some("http://e/v1/statement/executing/s/x/1".into());
-    let (mut taker, there) = moved(&record);
-    assert!(taker.followed().is_empty(), "only the client knows which rows it has");
-    taker.page(there, 1, first.after);
-    assert_eq!(taker.followed(), ["http://e/v1/statement/executing/s/x/2"]);
-    assert!(taker.launched().is_empty());
-    taker.arrive(AttemptId(there, 0), 2, Some("[[2]]"), true);
-    let next = taker.page(there, 1, first.after).unwrap();
+    let (mut adopter, adopted_id) = adopt_elsewhere(&record);
+    assert!(adopter.resumed_uris().is_empty(), "the next page is known only from the client's poll");
+    adopter.poll_page(adopted_id, 1, first.after);
+    assert_eq!(adopter.resumed_uris(), ["http://e/v1/statement/executing/s/x/2"]);
+    assert!(adopter.launched_attempts().is_empty());
+    adopter.receive_page(AttemptId(adopted_id, 0), 2, Some("[[2]]"), true);
+    let next = adopter.poll_page(adopted_id, 1, first.after).unwrap();
     assert_eq!(
         (next.token, next.data.as_ref().unwrap().get(), &next.end),
         (1, "[[2]]", &Some(Ending::Served))
@@ -195,101 +199,120 @@
 }
 
 #[test]
-fn an_engine_is_not_asked_on_before_its_rows_have_come() {
-    let (mut bed, id, attempt) = running("lookup");
-    let pulls = |bed: &Bed| bed.found(|e| matches!(e, Effect::FetchPage(_)).then_some(())).len();
-    bed.arrive(attempt, 0, Some("[[1]]"), false);
-    bed.page(id, 0, None);
-    assert_eq!(pulls(&bed), 0, "the engine would let go of rows that may be lost on their way");
-    bed.page(id, 1, Some(1));
-    assert_eq!(pulls(&bed), 1);
+fn the_next_engine_page_is_not_fetched_before_the_client_confirms_the_rows() {
+    let (mut harness, id, attempt) = start_statement("lookup");
+    let page_fetches =
+        |harness: &Harness| harness.filter_effects(|e| matches!(e, Effect::FetchPage(_)).then_some(())).len();
+    harness.receive_page(attempt, 0, Some("[[1]]"), false);
+    harness.poll_page(id, 0, None);
+    assert_eq!(
+        page_fetches(&harness),
+        0,
+        "the engine would drop rows that may be lost on their way to the client"
+    );
+    harness.poll_page(id, 1, Some(1));
+    assert_eq!(page_fetches(&harness), 1);
 }
 
 #[test]
-fn what_may_have_run_and_cannot_be_found_fails_if_it_is_unsafe_and_begins_anew_if_it_is_harmless() {
-    let out = InFlightAttempt {
+fn a_statement_that_may_have_run_and_has_no_uri_fails_if_unsafe_and_restarts_if_repeatable() {
+    let in_flight = InFlightAttempt {
         number: 0,
         engine: "e0".into(),
         next_uri: None,
         next_page: 0,
-        elapsed: S,
-        timeout: 5 * S,
+        elapsed: SECOND,
+        timeout: 5 * SECOND,
     };
     for (tag, fails) in [("notice", true), ("lookup", false)] {
-        let (bed, id, _) = running(tag);
-        let record = custody::Record { in_flight: Some(out.clone()), ..bed.recorded(id) };
-        let (mut taker, there) = moved(&record);
+        let (harness, id, _) = start_statement(tag);
+        let record = custody::Record { in_flight: Some(in_flight.clone()), ..harness.guardian_record(id) };
+        let (mut adopter, adopted_id) = adopt_elsewhere(&record);
         if fails {
-            assert!(taker.launched().is_empty(), "it is sent a second time");
-            assert_eq!(taker.found(|e| matches!(e, Effect::RecordEnding(..)).then_some(())).len(), 1);
-            taker.core.ending_recorded(taker.now, there);
-            assert!(matches!(taker.page(there, 0, None).unwrap().end, Some(Ending::Failed(_))));
+            assert!(adopter.launched_attempts().is_empty(), "an unsafe statement is sent a second time");
+            assert_eq!(
+                adopter.filter_effects(|e| matches!(e, Effect::RecordEnding(..)).then_some(())).len(),
+                1
+            );
+            adopter.core.ending_recorded(adopter.now, adopted_id);
+            assert!(matches!(adopter.poll_page(adopted_id, 0, None).unwrap().end, Some(Ending::Failed(_))));
         } else {
-            assert!(taker.launched().is_empty(), "its client may have its end already");
-            taker.page(there, 0, None);
-            assert_eq!(taker.launched(), [AttemptId(there, 1)], "the attempts of all gateways count");
+            assert!(
+                adopter.launched_attempts().is_empty(),
+                "the client may have received the ending already"
+            );
+            adopter.poll_page(adopted_id, 0, None);
+            assert_eq!(
+                adopter.launched_attempts(),
+                [AttemptId(adopted_id, 1)],
+                "attempt numbers continue across gateways"
+            );
         }
     }
 }
 
 #[test]
-fn rows_that_were_passed_on_are_never_followed_by_those_of_another_attempt() {
-    let (mut bed, id, attempt) = running("lookup");
-    bed.arrive(attempt, 0, Some("[[1]]"), false);
-    let first = bed.page(id, 0, None).unwrap();
-    let mut record = bed.recorded(id);
+fn delivered_rows_are_never_followed_by_rows_of_another_attempt() {
+    let (mut harness, id, attempt) = start_statement("lookup");
+    harness.receive_page(attempt, 0, Some("[[1]]"), false);
+    let first = harness.poll_page(id, 0, None).unwrap();
+    let mut record = harness.guardian_record(id);
     record.in_flight.as_mut().unwrap().next_uri = None;
-    let (mut taker, there) = moved(&record);
-    taker.page(there, 1, first.after);
-    taker.core.ending_recorded(taker.now, there);
-    assert!(matches!(taker.page(there, 1, first.after).unwrap().end, Some(Ending::Failed(_))));
+    let (mut adopter, adopted_id) = adopt_elsewhere(&record);
+    adopter.poll_page(adopted_id, 1, first.after);
+    adopter.core.ending_recorded(adopter.now, adopted_id);
+    assert!(matches!(adopter.poll_page(adopted_id, 1, first.after).unwrap().end, Some(Ending::Failed(_))));
 }
 
 #[test]
-fn what_goes_to_another_gateway_is_let_go_of_without_a_word_to_its_engine() {
-    let (mut bed, id, attempt) = running("lookup");
-    bed.arrive(attempt, 0, None, false);
-    bed.core.detach(bed.now, id);
-    bed.collect();
-    assert_eq!(bed.found(|e| if let Effect::Detach(id) = e { Some(*id) } else { None }), [attempt]);
-    assert!(bed.found(|e| matches!(e, Effect::Cancel(_)).then_some(())).is_empty());
-    assert_eq!((bed.core.open(), bed.core.held()), (0, 0));
-    bed.arrive(attempt, 1, Some("[[1]]"), true);
-    bed.pass(20 * S);
-    assert!(bed.found(|e| matches!(e, Effect::Ended { .. }).then_some(())).is_empty());
+fn a_statement_handed_to_another_gateway_is_detached_without_cancelling_its_attempt() {
+    let (mut harness, id, attempt) = start_statement("lookup");
+    harness.receive_page(attempt, 0, None, false);
+    harness.core.detach(harness.now, id);
+    harness.collect_effects();
+    assert_eq!(
+        harness.filter_effects(|e| if let Effect::Detach(id) = e { Some(*id) } else { None }),
+        [attempt]
+    );
+    assert!(harness.filter_effects(|e| matches!(e, Effect::Cancel(_)).then_some(())).is_empty());
+    assert_eq!((harness.core.open(), harness.core.held()), (0, 0));
+    harness.receive_page(attempt, 1, Some("[[1]]"), true);
+    harness.advance(20 * SECOND);
+    assert!(harness.filter_effects(|e| matches!(e, Effect::Ended { .. }).then_some(())).is_empty());
 }
 
 #[test]
-fn a_recorded_end_is_the_end_wherever_it_is_asked_for() {
-    let (bed, id, _) = running("lookup");
+fn a_recorded_ending_is_served_by_every_gateway() {
+    let (harness, id, _) = start_statement("lookup");
     let ending = Some(custody::Ending::Refused("for the test".into()));
-    let (mut taker, there) = moved(&custody::Record { ending, ..bed.recorded(id) });
-    let page = taker.page(there, 0, None).unwrap();
+    let (mut adopter, adopted_id) =
+        adopt_elsewhere(&custody::Record { ending, ..harness.guardian_record(id) });
+    let page = adopter.poll_page(adopted_id, 0, None).unwrap();
     assert!(matches!(&page.end, Some(Ending::Refused(e)) if e.message.contains("for the test")));
-    assert!(taker.launched().is_empty());
+    assert!(adopter.launched_attempts().is_empty());
 }
 
-/// A module that keeps what it is told, and decides nothing.
-struct Ear(Rc<RefCell<Vec<Event>>>);
+/// A decision module that records its events and takes no action.
+struct EventRecorder(Rc<RefCell<Vec<Event>>>);
 
-impl Decide for Ear {
+impl Decide for EventRecorder {
     fn handle(&mut self, _: Micros, event: Event, _: &mut Vec<Action>) {
         self.0.borrow_mut().push(event);
     }
 }
 
 #[test]
-fn what_was_never_sent_is_adopted_too_so_that_its_tenant_is_not_charged_again() {
-    let (bed, id, _) = running("lookup");
-    let record = custody::Record { attempts: 0, in_flight: None, ..bed.recorded(id) };
-    let heard = Rc::<RefCell<Vec<Event>>>::default();
-    let config = config::parse(SETUP, Path::new(".")).expect("good");
-    let mut core = Core::with(&config, "other", Box::new(Ear(heard.clone())));
+fn an_unsent_statement_is_adopted_and_its_tenant_is_not_charged_again() {
+    let (harness, id, _) = start_statement("lookup");
+    let record = custody::Record { attempts: 0, in_flight: None, ..harness.guardian_record(id) };
+    let events = Rc::<RefCell<Vec<Event>>>::default();
+    let config = config::parse(SETUP, Path::new(".")).expect("valid configuration");
+    let mut core = Core::with(&config, "other", Box::new(EventRecorder(events.clone())));
     core.protect_classes(vec![true, true]);
-    let mut taker = Bed { core, now: 1_001 * S, effects: Vec::new() };
-    let there = taker.core.adopt(taker.now, &record).expect("readable");
-    taker.page(there, 0, None);
-    let heard = heard.borrow();
-    assert!(heard.iter().any(|e| matches!(e, Event::Adopted { attempts: 0, out: None, .. })), "{heard:?}");
-    assert!(!heard.iter().any(|e| matches!(e, Event::Request(_))));
+    let mut adopter = Harness { core, now: 1_001 * SECOND, effects: Vec::new() };
+    let adopted_id = adopter.core.adopt(adopter.now, &record).expect("a readable record");
+    adopter.poll_page(adopted_id, 0, None);
+    let events = events.borrow();
+    assert!(events.iter().any(|e| matches!(e, Event::Adopted { attempts: 0, out: None, .. })), "{events:?}");
+    assert!(!events.iter().any(|e| matches!(e, Event::Request(_))));
 }
