--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -1,4 +1,5 @@
-//! An operator's way through versions of the settings, by the program's own commands against a gateway that votes alone.
+//! Tests the operator's commands for versions of the settings against a running gateway that is the only
+//! voter.
 
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
@@ -11,49 +12,56 @@
 use violetward_windows::profile::{Profile, QUARTER, WEEK};
 use violetward_windows::Cell;
 
+/// The longest time that a test waits for the gateway to start or to apply a change.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+
 const PROGRAM: &str = env!("CARGO_BIN_EXE_violetward");
 
+/// A maintenance window. It is refused if the configuration has no section `windows`.
 const WINDOW: &str =
     r#"(window w (engines e2) (from "2126-12-02T03:00:00Z") (until "2126-12-02T04:00:00Z"))"#;
 
-/// A folder of its own, gone with the test.
-struct Folder(PathBuf);
+/// A temporary folder that is removed when the test ends.
+struct TempFolder(PathBuf);
 
-impl Folder {
-    fn new(name: &str) -> Folder {
+impl TempFolder {
+    fn new(name: &str) -> TempFolder {
         let folder = std::env::temp_dir().join(format!("violetward-settings-{name}-{}", std::process::id()));
         std::fs::remove_dir_all(&folder).ok();
-        std::fs::create_dir_all(&folder).expect("a folder");
-        Folder(folder)
+        std::fs::create_dir_all(&folder).expect("the folder is created");
+        TempFolder(folder)
     }
 
-    fn file(&self, name: &str, text: &str) -> String {
+    /// Writes a file in the folder and returns its path.
+    fn write_file(&self, name: &str, text: &str) -> String {
         let file = self.0.join(name);
-        std::fs::write(&file, text).expect("a file");
+        std::fs::write(&file, text).expect("the file is written");
         file.display().to_string()
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         std::fs::remove_dir_all(&self.0).ok();
     }
 }
 
-struct Running(Child);
+/// A gateway process that is killed when the value is dropped.
+struct GatewayProcess(Child);
 
-impl Drop for Running {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         self.0.kill().ok();
         self.0.wait().ok();
     }
 }
 
-fn configuration(folder: &Folder) -> String {
-    folder.file("keys.lisp", "(key all \"a key for datagrams, not secret\")");
-    folder.file("operators.lisp", "(key ann \"a key of operators, not secret\")");
-    folder.file("engines.lisp", "(engine e1 (address \"127.0.0.1:9\") (kind m8))\n");
-    folder.file(
+/// Writes the files of a gateway that is the only voter and returns the path of its configuration.
+fn write_configuration(folder: &TempFolder) -> String {
+    folder.write_file("keys.lisp", "(key all \"a key for datagrams, not secret\")");
+    folder.write_file("operators.lisp", "(key ann \"a key of operators, not secret\")");
+    folder.write_file("engines.lisp", "(engine e1 (address \"127.0.0.1:9\") (kind m8))\n");
+    folder.write_file(
         "gateway.lisp",
         r#"(gateway (number 0) (of 1) (listen "127.0.0.1:0") (engines "engines.lisp"))
         (membership (listen "127.0.0.1:0") (name g0) (key-file "keys.lisp"))
@@ -68,138 +76,152 @@
     )
 }
 
-fn run(arguments: &[&str]) -> (bool, String) {
+/// Runs the program; returns whether it succeeded, and its output and errors.
+fn run_program(arguments: &[&str]) -> (bool, String) {
     let Output { status, stdout, stderr } =
         Command::new(PROGRAM).args(arguments).output().expect("the program runs");
     (status.success(), String::from_utf8_lossy(&[stdout, stderr].concat()).into_owned())
 }
 
-fn serve(folder: &Folder, configuration: &str) -> (Running, String) {
-    let ready = folder.0.join("address");
-    std::fs::remove_file(&ready).ok();
+/// Starts a gateway and returns its process and address.
+fn start_gateway(folder: &TempFolder, configuration: &str) -> (GatewayProcess, String) {
+    let address_file = folder.0.join("address");
+    std::fs::remove_file(&address_file).ok();
     let child = Command::new(PROGRAM)
         .args(["serve", configuration, "--address-file"])
-        .arg(&ready)
+        .arg(&address_file)
         .stderr(Stdio::null())
         .spawn()
         .expect("the program starts");
-    (Running(child), address(&ready))
+    (GatewayProcess(child), wait_for_address(&address_file))
 }
 
-fn address(file: &Path) -> String {
+/// Waits until the gateway has written its address to the file.
+fn wait_for_address(file: &Path) -> String {
     let start = Instant::now();
     loop {
         match std::fs::read_to_string(file) {
             Ok(address) => return address,
-            Err(_) => assert!(start.elapsed() < Duration::from_secs(20), "it does not start"),
+            Err(_) => assert!(start.elapsed() < START_TIMEOUT, "the gateway does not start"),
         }
         std::thread::sleep(Duration::from_millis(10));
     }
 }
 
 #[test]
-fn from_a_proposal_to_its_undoing() {
-    let folder = Folder::new("course");
-    let configuration = configuration(&folder);
-    let (good, told) = run(&["check", &configuration]);
-    // 2 s by a clock that runs slow, held by one that runs fast, and the look.
-    assert!(good && told.contains("T: 2.1s"), "{told}");
-    let (good, told) = run(&["settings", "init", &configuration]);
-    assert!(good, "{told}");
-    let terms = config::load(configuration.as_ref()).ok().and_then(|c| c.agreement).expect("terms");
-    let kept = || std::fs::read(folder.0.join("votes/agreement.kept")).expect("what is kept");
-    assert_eq!(kept(), wire::keep(&Kept::default(), terms.fingerprint(), 0));
-    assert!(!run(&["settings", "init", &configuration]).0, "votes would be forgotten");
-
-    let (gateway, at) = serve(&folder, &configuration);
+fn settings_are_proposed_committed_and_undone() {
+    let folder = TempFolder::new("versions");
+    let configuration = write_configuration(&folder);
+    let (succeeded, output) = run_program(&["check", &configuration]);
+    // The lease of 2 s, corrected for the drift of both clocks, plus the check interval.
+    assert!(succeeded && output.contains("T: 2.1s"), "{output}");
+    let (succeeded, output) = run_program(&["settings", "init", &configuration]);
+    assert!(succeeded, "{output}");
+    let terms =
+        config::load(configuration.as_ref()).ok().and_then(|c| c.agreement).expect("the terms of agreement");
+    let stored_votes = || std::fs::read(folder.0.join("votes/agreement.kept")).expect("the file of votes");
+    assert_eq!(stored_votes(), wire::keep(&Kept::default(), terms.fingerprint(), 0));
+    assert!(!run_program(&["settings", "init", &configuration]).0, "a second init would discard the votes");
+
+    let (gateway, gateway_address) = start_gateway(&folder, &configuration);
     let key = folder.0.join("operators.lisp").display().to_string();
-    let rules = folder.file("rules.lisp", "(class heavy (kinds m4))\n(attempts (cap 2))\n");
-    let propose = |file: &str, key: &str| run(&["settings", "propose", &at, file, "--key-file", key]);
-    let (good, told) = run(&["settings", "propose", &at, &rules, "--key-file", &key, "--dry-run"]);
-    assert!(good && told.contains("- class heavy: kinds as configured -> m4"), "{told}");
-    assert!(run(&["settings", "show", &at]).1.contains("newest version 0"));
-    let (good, told) = propose(&rules, &key);
-    assert!(good && told.contains("committed as version 1"), "{told}");
-
-    let wrong = folder.file("wrong.lisp", "(key ann \"another key of operators, unknown\")");
-    let (good, told) = propose(&rules, &wrong);
-    assert!(!good && told.contains("no operator's key"), "{told}");
-    for (bad, why) in [
+    let rules = folder.write_file("rules.lisp", "(class heavy (kinds m4))\n(attempts (cap 2))\n");
+    let propose = |file: &str, key: &str| {
+        run_program(&["settings", "propose", &gateway_address, file, "--key-file", key])
+    };
+    let (succeeded, output) =
+        run_program(&["settings", "propose", &gateway_address, &rules, "--key-file", &key, "--dry-run"]);
+    assert!(succeeded && output.contains("- class heavy: kinds as configured -> m4"), "{output}");
+    assert!(run_program(&["settings", "show", &gateway_address]).1.contains("newest version 0"));
+    let (succeeded, output) = propose(&rules, &key);
+    assert!(succeeded && output.contains("committed as version 1"), "{output}");
+
+    let wrong_key = folder.write_file("wrong.lisp", "(key ann \"another key of operators, unknown\")");
+    let (succeeded, output) = propose(&rules, &wrong_key);
+    assert!(!succeeded && output.contains("no operator's key"), "{output}");
+    for (invalid, reason) in [
         ("(class light (admit no))", "(agreement (floor"),
         ("(class huge (admit no))", "1:1: there is no class huge"),
         ("(class heavy", "not an S-expression"),
         (WINDOW, "has no (windows ...)"),
     ] {
-        let (good, told) = propose(&folder.file("bad.lisp", bad), &key);
-        assert!(!good && told.contains("unfit") && told.contains(why), "{told}");
+        let (succeeded, output) = propose(&folder.write_file("bad.lisp", invalid), &key);
+        assert!(!succeeded && output.contains("unfit") && output.contains(reason), "{output}");
     }
-    let second = folder.file("second.lisp", "(class heavy (admit no))\n(attempts (cap 2))\n");
+    let second = folder.write_file("second.lisp", "(class heavy (admit no))\n(attempts (cap 2))\n");
     assert!(propose(&second, &key).0);
-    let (_, told) = run(&["settings", "diff", &at, "1", "2"]);
-    assert_eq!(told, "- (class heavy (kinds m4))\n+ (class heavy (admit no))\n");
-    let (good, told) = run(&["settings", "undo", &at, "--key-file", &key]);
+    let (_, output) = run_program(&["settings", "diff", &gateway_address, "1", "2"]);
+    assert_eq!(output, "- (class heavy (kinds m4))\n+ (class heavy (admit no))\n");
+    let (succeeded, output) = run_program(&["settings", "undo", &gateway_address, "--key-file", &key]);
     assert!(
-        good && told.contains("+ class heavy: refused -> admitted") && told.contains("version 3"),
-        "{told}"
+        succeeded && output.contains("+ class heavy: refused -> admitted") && output.contains("version 3"),
+        "{output}"
     );
-    let (_, told) = run(&["settings", "history", &at]);
+    let (_, output) = run_program(&["settings", "history", &gateway_address]);
     let numbers: Vec<&str> =
-        told.lines().filter(|l| !l.starts_with(' ')).filter_map(|l| l.split(' ').next()).collect();
+        output.lines().filter(|l| !l.starts_with(' ')).filter_map(|l| l.split(' ').next()).collect();
     assert_eq!(numbers, ["1", "2", "3"]);
 
-    // A second process on the same votes does not start; the same one finds them after it was killed.
-    let (good, told) = run(&["serve", &configuration]);
-    assert!(!good && told.contains("used by another process"), "{told}");
+    // A second process on the same folder of votes does not start. A restart after a kill reads them again.
+    let (succeeded, output) = run_program(&["serve", &configuration]);
+    assert!(!succeeded && output.contains("used by another process"), "{output}");
     drop(gateway);
-    // Octet for octet what agreement's own format says: files of earlier programs are read, and theirs read ours.
-    let (read, writes) = wire::kept(&kept(), terms.fingerprint()).expect("a good file");
-    assert_eq!((wire::keep(&read, terms.fingerprint(), writes), read.history.newest().0), (kept(), 3));
-    let (_gateway, at) = serve(&folder, &configuration);
-    let (_, told) = run(&["settings", "show", &at]);
-    assert!(told.contains("newest version 3") && told.contains("(class heavy (kinds m4))"), "{told}");
+    // The file is byte for byte in the format of the agreement package, so that earlier versions can read it
+    // and their files can be read.
+    let (votes, writes) = wire::kept(&stored_votes(), terms.fingerprint()).expect("a valid file of votes");
+    assert_eq!(
+        (wire::keep(&votes, terms.fingerprint(), writes), votes.history.newest().0),
+        (stored_votes(), 3)
+    );
+    let (_gateway, gateway_address) = start_gateway(&folder, &configuration);
+    let (_, output) = run_program(&["settings", "show", &gateway_address]);
+    assert!(output.contains("newest version 3") && output.contains("(class heavy (kinds m4))"), "{output}");
 }
 
 #[test]
-fn a_voter_without_its_file_serves_and_says_that_it_does_not_vote() {
-    let folder = Folder::new("lost");
-    let configuration = configuration(&folder);
-    let (_gateway, at) = serve(&folder, &configuration);
-    let (_, told) = run(&["settings", "show", &at]);
-    assert!(told.contains("does not vote: ") && told.contains("has no lease"), "{told}");
+fn a_voter_without_its_file_serves_and_reports_that_it_does_not_vote() {
+    let folder = TempFolder::new("lost");
+    let configuration = write_configuration(&folder);
+    let (_gateway, gateway_address) = start_gateway(&folder, &configuration);
+    let (_, output) = run_program(&["settings", "show", &gateway_address]);
+    assert!(output.contains("does not vote: ") && output.contains("has no lease"), "{output}");
 }
 
 #[test]
-fn from_a_window_that_is_asked_for_to_its_calling_off() {
-    let folder = Folder::new("windows");
-    let configuration = configuration(&folder);
-    let text = std::fs::read_to_string(&configuration).expect("it is there");
-    folder.file("gateway.lisp", &format!("{text}\n(windows (folder \"profiles\") (weeks 1))"));
+fn a_maintenance_window_is_proposed_granted_and_called_off() {
+    let folder = TempFolder::new("windows");
+    let configuration = write_configuration(&folder);
+    let text = std::fs::read_to_string(&configuration).expect("the configuration is readable");
+    folder.write_file("gateway.lisp", &format!("{text}\n(windows (folder \"profiles\") (weeks 1))"));
     let engine = |n: u16| format!("(engine e{n} (address \"127.0.0.1:9\") (kind m8))\n");
-    folder.file("engines.lisp", &(1..4).map(engine).collect::<String>());
-    assert!(run(&["settings", "init", &configuration]).0);
-    let bad = folder.file("bad.lisp", &format!("{text}\n(windows (folder \"profiles\") (lead \"1s\"))"));
-    let (good, told) = run(&["check", &bad]);
-    assert!(!good && told.contains("expected lead >="), "{told}");
+    folder.write_file("engines.lisp", &(1..4).map(engine).collect::<String>());
+    assert!(run_program(&["settings", "init", &configuration]).0);
+    let invalid =
+        folder.write_file("bad.lisp", &format!("{text}\n(windows (folder \"profiles\") (lead \"1s\"))"));
+    let (succeeded, output) = run_program(&["check", &invalid]);
+    assert!(!succeeded && output.contains("expected lead >="), "{output}");
     let key = folder.0.join("operators.lisp").display().to_string();
-    let now =
-        std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("now").as_micros() as u64;
+    let now = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .expect("a time after 1970")
+        .as_micros() as u64;
     let window = |engines: &str, more: &str| {
         let time = |hours: u64| timestamp::format(now + hours * 3_600_000_000);
         let (from, until) = (time(1), time(2));
         let text = format!("(window w (engines {engines}) (from \"{from}\") (until \"{until}\"){more})\n");
-        folder.file("window.lisp", &text)
+        folder.write_file("window.lisp", &text)
     };
-    let propose = |at: &str, file: &str, more: &[&str]| {
-        let all = [&["settings", "propose", at, file, "--key-file", &key], more].concat();
-        run(&all)
+    let propose = |gateway_address: &str, file: &str, more: &[&str]| {
+        let arguments = [&["settings", "propose", gateway_address, file, "--key-file", &key], more].concat();
+        run_program(&arguments)
     };
-    // Nothing has been learned: nothing is sure, and it says of what.
+    // Without a learned profile the demand is unknown, and the refusal names the class.
     {
-        let (_gateway, at) = serve(&folder, &configuration);
-        listed(&at);
-        let (good, told) = propose(&at, &window("e2", ""), &["--dry-run"]);
-        let why = "what class heavy needs is not sure: nothing has been learned yet";
-        assert!(!good && told.contains("- window w: e2") && told.contains(why), "{told}");
+        let (_gateway, gateway_address) = start_gateway(&folder, &configuration);
+        wait_for_engine_list(&gateway_address);
+        let (succeeded, output) = propose(&gateway_address, &window("e2", ""), &["--dry-run"]);
+        let reason = "what class heavy needs is not sure: nothing has been learned yet";
+        assert!(!succeeded && output.contains("- window w: e2") && output.contains(reason), "{output}");
     }
     let mut profile = Profile::new(Default::default());
     let cell = |class| Cell { class, group: None, kind: None, zone: None, site: None };
@@ -209,43 +231,45 @@
         }
     }
     let store = Files::open(&folder.0.join("profiles"));
-    store.and_then(|mut store| store.put("profile", &profile.write())).expect("it is kept");
-    let (_gateway, at) = serve(&folder, &configuration);
-    listed(&at);
-    let (good, told) = propose(&at, &window("e2 e3", ""), &[]);
-    assert!(!good && told.contains("would not be covered if e1 failed as well"), "{told}");
-    let (good, told) = propose(&at, &window("e2", ""), &[]);
-    assert!(good && told.contains("- window w: e2 from"), "{told}");
-    let (good, told) = propose(&at, &folder.file("none.lisp", ""), &[]);
-    assert!(!good && told.contains("window w is not over"), "{told}");
-    let standing = || {
-        futures_lite::future::block_on(windows::fetch_status(at.parse().expect("an address"))).expect("told")
+    store.and_then(|mut store| store.put("profile", &profile.write())).expect("the profile is stored");
+    let (_gateway, gateway_address) = start_gateway(&folder, &configuration);
+    wait_for_engine_list(&gateway_address);
+    let (succeeded, output) = propose(&gateway_address, &window("e2 e3", ""), &[]);
+    assert!(!succeeded && output.contains("would not be covered if e1 failed as well"), "{output}");
+    let (succeeded, output) = propose(&gateway_address, &window("e2", ""), &[]);
+    assert!(succeeded && output.contains("- window w: e2 from"), "{output}");
+    let (succeeded, output) = propose(&gateway_address, &folder.write_file("none.lisp", ""), &[]);
+    assert!(!succeeded && output.contains("window w is not over"), "{output}");
+    let status = || {
+        futures_lite::future::block_on(windows::fetch_status(gateway_address.parse().expect("an address")))
+            .expect("the status of windows")
     };
     let start = Instant::now();
-    while standing().windows.is_empty() {
-        assert!(start.elapsed() < Duration::from_secs(20), "{:?}", standing());
+    while status().windows.is_empty() {
+        assert!(start.elapsed() < START_TIMEOUT, "{:?}", status());
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert_eq!((standing().windows[0].phase.as_str(), standing().away.len()), ("granted", 0));
-    let (good, told) = propose(&at, &window("e2", " (off yes)"), &[]);
-    assert!(good && told.contains("+ window w: called off"), "{told}");
-    assert!(run(&["settings", "show", &at]).1.contains("(off yes)"));
-
-    let clock = |key: &str| run(&["settings", "clock", &at, "--key-file", key]);
-    assert!(clock(&key).1.contains("windows go by the wall clock again"));
-    let (good, told) = clock(&folder.file("wrong.lisp", "(key ann \"another key of operators, unknown\")"));
-    assert!(!good && told.contains("no operator's key"), "{told}");
+    assert_eq!((status().windows[0].phase.as_str(), status().away.len()), ("granted", 0));
+    let (succeeded, output) = propose(&gateway_address, &window("e2", " (off yes)"), &[]);
+    assert!(succeeded && output.contains("+ window w: called off"), "{output}");
+    assert!(run_program(&["settings", "show", &gateway_address]).1.contains("(off yes)"));
+
+    let accept_clock = |key: &str| run_program(&["settings", "clock", &gateway_address, "--key-file", key]);
+    assert!(accept_clock(&key).1.contains("windows go by the wall clock again"));
+    let (succeeded, output) =
+        accept_clock(&folder.write_file("wrong.lisp", "(key ann \"another key of operators, unknown\")"));
+    assert!(!succeeded && output.contains("no operator's key"), "{output}");
 }
 
-/// Waits until the gateway has read its list.
-fn listed(at: &str) {
-    let (address, start) = (at.parse().expect("an address"), Instant::now());
-    let lease = || {
+/// Waits until the gateway has its lease and has read its engine list.
+fn wait_for_engine_list(gateway_address: &str) {
+    let (address, start) = (gateway_address.parse().expect("an address"), Instant::now());
+    let is_ready = || {
         futures_lite::future::block_on(windows::fetch_status(address))
             .is_ok_and(|w| w.lease && w.engines == 3)
     };
-    while !lease() {
-        assert!(start.elapsed() < Duration::from_secs(20), "no lease, or no list");
+    while !is_ready() {
+        assert!(start.elapsed() < START_TIMEOUT, "no lease or no engine list");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
--- a/crates/gateway/tests/zone.rs
+++ b/crates/gateway/tests/zone.rs
@@ -1,4 +1,4 @@
-//! The zone of the engines by DNS messages, without sockets.
+//! Tests the responder of the engines' zone with DNS messages, without sockets.
 
 use violetward_dns::message::{Entry, Message, Opcode, Question, Rcode};
 use violetward_dns::name::Name;
@@ -8,7 +8,8 @@
 use violetward_gateway::membership::EngineRegistry;
 use violetward_gateway::zone_responder::ZoneResponder;
 
-const NOW: u64 = 1_796_000_000;
+/// The time of every message, in seconds since 1970.
+const NOW_S: u64 = 1_796_000_000;
 
 fn name(text: &str) -> Name {
     Name::parse(text, &Name::root()).unwrap()
@@ -22,7 +23,8 @@
     Key { name: name("ops."), secret: b"sixteen bytes and more".to_vec() }
 }
 
-fn bed() -> (ZoneResponder, EngineRegistry) {
+/// A responder, and a membership whose zone lists 150 engines.
+fn responder_with_zone() -> (ZoneResponder, EngineRegistry) {
     let mut registry = EngineRegistry::default();
     let mut text = "$TTL 5\n@ SOA ns h 5 1 1 1 1\nhost A 127.0.0.1\n".to_owned();
     for n in 0..150 {
@@ -33,9 +35,9 @@
     (ZoneResponder::new(vec![key()]), registry)
 }
 
-fn removal(id: u16, engines: &[&str]) -> Vec<u8> {
+fn removal_message(id: u16, engines: &[&str]) -> Vec<u8> {
     let origin = name("fleet.example.");
-    let gone = |e: &&str| Entry {
+    let removed = |e: &&str| Entry {
         name: name(&format!("{e}.fleet.example.")),
         kind: Type::ANY,
         class: ANY,
@@ -45,7 +47,7 @@
     let message = Message {
         opcode: Opcode::UPDATE,
         questions: vec![Question { name: origin.clone(), kind: Type::SOA, class: IN }],
-        authorities: engines.iter().map(gone).collect(),
+        authorities: engines.iter().map(removed).collect(),
         ..Message::query(id, origin, Type::SOA)
     };
     message.write()
@@ -56,71 +58,73 @@
 }
 
 #[test]
-fn a_signed_update_removes_an_engine_once_and_nothing_else_does() {
-    let (mut updates, mut m) = bed();
-    let plain = removal(1, &["e0", "e1"]);
-    let stranger = Key { secret: b"another secret, as long".to_vec(), ..key() };
+fn only_a_signed_update_removes_engines_and_only_once() {
+    let (mut responder, mut membership) = responder_with_zone();
+    let unsigned = removal_message(1, &["e0", "e1"]);
+    let unknown_key = Key { secret: b"another secret, as long".to_vec(), ..key() };
     for (bytes, code) in [
-        (plain.clone(), Rcode::REFUSED),
-        (sign(&plain, &stranger, NOW, None).0, Rcode::NOTAUTH),
-        (sign(&plain, &key(), NOW - 301, None).0, Rcode::NOTAUTH),
-        (sign(&plain, &Key { name: name("else."), ..key() }, NOW, None).0, Rcode::NOTAUTH),
+        (unsigned.clone(), Rcode::REFUSED),
+        (sign(&unsigned, &unknown_key, NOW_S, None).0, Rcode::NOTAUTH),
+        (sign(&unsigned, &key(), NOW_S - 301, None).0, Rcode::NOTAUTH),
+        (sign(&unsigned, &Key { name: name("else."), ..key() }, NOW_S, None).0, Rcode::NOTAUTH),
     ] {
-        let outcome = updates.handle_message(NOW, &bytes, false, &mut m, &names());
-        assert!(!outcome.changed && outcome.log_line.is_some() && m.engines().len() == 150);
+        let outcome = responder.handle_message(NOW_S, &bytes, false, &mut membership, &names());
+        assert!(!outcome.changed && outcome.log_line.is_some() && membership.engines().len() == 150);
         assert_eq!(rcode(&outcome.answers), code);
     }
-    let (signed, mac) = sign(&plain, &key(), NOW, None);
-    let outcome = updates.handle_message(NOW, &signed, false, &mut m, &names());
-    assert!(outcome.changed && m.engines().len() == 148);
+    let (signed, mac) = sign(&unsigned, &key(), NOW_S, None);
+    let outcome = responder.handle_message(NOW_S, &signed, false, &mut membership, &names());
+    assert!(outcome.changed && membership.engines().len() == 148);
     assert!(
-        verify(&outcome.answers[0], &[key()], NOW, Some(&mac)).is_ok(),
-        "the answer is signed over the question"
+        verify(&outcome.answers[0], &[key()], NOW_S, Some(&mac)).is_ok(),
+        "the signature of the answer covers the one of the query"
     );
-    assert_eq!(m.zone().unwrap().serial(), Some(6));
-    // An engine that is added again is not removed again by the same message, whatever its id says now.
+    assert_eq!(membership.zone().unwrap().serial(), Some(6));
+    // A replay of the message, also under another id, is refused: it would remove engines that were added
+    // again.
     let mut replayed = signed.clone();
     replayed[1] ^= 1;
     for bytes in [&signed, &replayed] {
-        let outcome = updates.handle_message(NOW + 5, bytes, false, &mut m, &names());
+        let outcome = responder.handle_message(NOW_S + 5, bytes, false, &mut membership, &names());
         assert!(!outcome.changed && rcode(&outcome.answers) == Rcode::REFUSED);
     }
-    // The file that the zone was read from is older now.
+    // The update made the zone newer than its file, so reading the file again changes nothing.
     let text = "$TTL 5\n@ SOA ns h 5 1 1 1 1\nhost A 127.0.0.1\ne0 SRV 0 0 1 host\n";
-    m.read_zone_file(text, &name("fleet.example."), &names(), &mut |_| Err("none".into()));
-    assert_eq!(m.engines().len(), 148);
+    membership.read_zone_file(text, &name("fleet.example."), &names(), &mut |_| Err("none".into()));
+    assert_eq!(membership.engines().len(), 148);
 }
 
 #[test]
-fn the_zone_is_asked_for_and_transferred_whole_over_streams_alone() {
-    let (mut updates, mut m) = bed();
-    let mut ask = |kind: Type, owner: &str, stream: bool| {
+fn queries_are_answered_and_transfers_are_served_over_streams_only() {
+    let (mut responder, mut membership) = responder_with_zone();
+    let mut query = |kind: Type, owner: &str, stream: bool| {
         let bytes = Message::query(3, name(owner), kind).write();
-        updates.handle_message(NOW, &bytes, stream, &mut m, &names()).answers
+        responder.handle_message(NOW_S, &bytes, stream, &mut membership, &names()).answers
     };
-    let found = Message::read(&ask(Type::SRV, "E7.fleet.example.", false)[0]).unwrap();
+    let found = Message::read(&query(Type::SRV, "E7.fleet.example.", false)[0]).unwrap();
     assert!(found.authoritative && found.answers.len() == 1);
-    assert_eq!(rcode(&ask(Type::A, "nowhere.fleet.example.", false)), Rcode::NXDOMAIN);
-    assert_eq!(rcode(&ask(Type::A, "e7.fleet.example.", false)), Rcode::NOERROR);
-    assert_eq!(rcode(&ask(Type::A, "else.", false)), Rcode::REFUSED);
-    assert_eq!(rcode(&ask(Type::AXFR, "fleet.example.", false)), Rcode::REFUSED);
-    let parts = ask(Type::AXFR, "fleet.example.", true);
+    assert_eq!(rcode(&query(Type::A, "nowhere.fleet.example.", false)), Rcode::NXDOMAIN);
+    assert_eq!(rcode(&query(Type::A, "e7.fleet.example.", false)), Rcode::NOERROR);
+    assert_eq!(rcode(&query(Type::A, "else.", false)), Rcode::REFUSED);
+    assert_eq!(rcode(&query(Type::AXFR, "fleet.example.", false)), Rcode::REFUSED);
+    let parts = query(Type::AXFR, "fleet.example.", true);
     let all: Vec<Entry> = parts.iter().flat_map(|p| Message::read(p).unwrap().answers).collect();
-    assert_eq!((parts.len(), all.len()), (2, 153), "the start of authority at both ends");
+    assert_eq!((parts.len(), all.len()), (2, 153), "the SOA record is the first and the last");
     assert_eq!((all[0].kind, &all[0]), (Type::SOA, &all[152]));
 }
 
 #[test]
-fn what_is_no_message_gets_an_error_or_nothing() {
-    let (mut updates, mut m) = bed();
-    let mut answers = |bytes: &[u8]| updates.handle_message(NOW, bytes, true, &mut m, &names()).answers;
+fn malformed_and_unsupported_messages_get_an_error_or_no_answer() {
+    let (mut responder, mut membership) = responder_with_zone();
+    let mut answers =
+        |bytes: &[u8]| responder.handle_message(NOW_S, bytes, true, &mut membership, &names()).answers;
     assert!(answers(b"short").is_empty());
     assert_eq!(rcode(&answers(&[0, 1, 0, 0, 0, 9, 0, 0, 0, 0, 0, 0, 1])), Rcode::FORMERR);
     let mut response = Message::query(1, name("fleet.example."), Type::SOA);
     response.response = true;
     assert!(
         answers(&response.write()).is_empty(),
-        "answers are not answered: two servers could go on for ever"
+        "answers get no answer, or two servers could exchange messages without end"
     );
     let mut notify = Message::query(1, name("fleet.example."), Type::SOA);
     notify.opcode = Opcode::NOTIFY;
