--- a/crates/agreement/src/sim.rs
+++ b/crates/agreement/src/sim.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-pub use violetward_transport::sim::draw;
-use violetward_transport::sim::{Dice, Queue, Weather};
+pub use violetward_transport::sim::splitmix64;
+use violetward_transport::sim::{EventQueue, LinkConditions, SeededRng};
 
 use crate::wire;
 use crate::{Declined, Effect, Kept, Member, MemberTerms, Micros, Outcome, Version};
@@ -60,8 +60,8 @@
     voters: usize,
     lease: Micros,
     drift: u64,
-    events: Queue<(usize, What)>,
-    dice: Dice,
+    events: EventQueue<(usize, What)>,
+    dice: SeededRng,
 }
 
 fn name(n: usize) -> String {
@@ -86,8 +86,8 @@
             voters,
             lease,
             drift,
-            events: Queue::new(1_000_000_000),
-            dice: Dice(seed),
+            events: EventQueue::new(1_000_000_000),
+            dice: SeededRng(seed),
         };
         for n in 0..count {
             let rate = if n % 2 == 0 { drift as i64 } else { -(drift as i64) };
@@ -125,7 +125,7 @@
             mark: 7,
         };
         let check = |content: &[u8]| if content == b"unfit" { Err("unfit".to_owned()) } else { Ok(()) };
-        let life = self.dice.draw();
+        let life = self.dice.next_u64();
         let now = self.clock(n);
         let fitness = self.fitness.clone();
         let member = Member::new(terms, kept.unwrap_or_default(), life, now, Box::new(check));
@@ -195,8 +195,13 @@
             return;
         }
         let copies = if self.loss > 0 { 0.05 } else { 0.0 };
-        let weather = Weather { loss: self.loss as f64 / 1e3, delay: (MS, 21 * MS), copies, spoilt: 0.0 };
-        for (late, bytes) in weather.carry(&mut self.dice, bytes) {
+        let weather = LinkConditions {
+            loss: self.loss as f64 / 1e3,
+            delay: (MS, 21 * MS),
+            duplicates: copies,
+            corrupted: 0.0,
+        };
+        for (late, bytes) in weather.transmit(&mut self.dice, bytes) {
             self.at(self.now + late, to, What::Comes(name(from), bytes));
         }
     }
--- a/crates/agreement/tests/members.rs
+++ b/crates/agreement/tests/members.rs
@@ -1,6 +1,6 @@
 //! Histories of whole gateways' parts: see [`violetward_agreement::sim`].
 
-use violetward_agreement::sim::{draw, Fleet, What};
+use violetward_agreement::sim::{splitmix64, Fleet, What};
 use violetward_agreement::wire::Said;
 use violetward_agreement::{Declined, Message, Outcome};
 
@@ -201,28 +201,28 @@
         let mut world = fleet(5, 3, 1000 + seed);
         let mut dice = seed;
         for round in 0..60 {
-            let n = draw(&mut dice) as usize % 5;
-            match draw(&mut dice) % 8 {
-                0 => world.nodes[n].still = world.now + draw(&mut dice) % (4 * LEASE),
+            let n = splitmix64(&mut dice) as usize % 5;
+            match splitmix64(&mut dice) % 8 {
+                0 => world.nodes[n].still = world.now + splitmix64(&mut dice) % (4 * LEASE),
                 1 => world.nodes[n].member = None,
-                2 => world.loss = draw(&mut dice) % 400,
+                2 => world.loss = splitmix64(&mut dice) % 400,
                 3 => {
-                    let m = draw(&mut dice) as usize % 5;
+                    let m = splitmix64(&mut dice) as usize % 5;
                     world.cut[n][m] = true;
                 }
                 5 if n < 3 => drop(world.replace(n)),
                 4 => world.cut.iter_mut().flatten().for_each(|cut| *cut = false),
                 _ => {}
             }
-            if draw(&mut dice) % 3 == 0 {
+            if splitmix64(&mut dice) % 3 == 0 {
                 let dead: Vec<usize> = (0..5).filter(|&g| world.nodes[g].member.is_none()).collect();
                 dead.into_iter().for_each(|g| world.start(g));
             }
-            let by = draw(&mut dice) as usize % 3;
+            let by = splitmix64(&mut dice) as usize % 3;
             if world.nodes[by].member.is_some() && world.nodes[by].still <= world.now {
                 world.propose(by, format!("{seed} {round}").as_bytes()).ok();
             }
-            world.run(draw(&mut dice) % 800 * MS);
+            world.run(splitmix64(&mut dice) % 800 * MS);
         }
         world.loss = 0;
         world.cut.iter_mut().flatten().for_each(|cut| *cut = false);
--- a/crates/contracts/src/transport.rs
+++ b/crates/contracts/src/transport.rs
@@ -10,8 +10,10 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use violetward_transport::sim::{Dice, Meddler};
-use violetward_transport::{Messages, Records, Unsent, MESSAGE, RECORD, WAITING};
+use violetward_transport::sim::{Interceptor, SeededRng};
+use violetward_transport::{
+    Messages, Records, SendError, MAX_MESSAGE_BYTES, MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, MAX_RECORD_BYTES,
+};
 
 /// Times that a contract lets time pass for something that has to come.
 const PATIENCE: usize = 400;
@@ -32,13 +34,13 @@
     ///
     /// # Errors
     /// If there is none; only where somebody meddles.
-    fn connect(&mut self, from: usize, to: usize) -> Result<(Self::Stream, Self::Stream), Unsent>;
+    fn connect(&mut self, from: usize, to: usize) -> Result<(Self::Stream, Self::Stream), SendError>;
 
     /// Lets a little time pass.
     fn pass(&mut self);
 
     /// Somebody stands in between from now on, or nobody any more. False where nobody can.
-    fn meddle(&mut self, _: Option<Meddler>) -> bool {
+    fn meddle(&mut self, _: Option<Interceptor>) -> bool {
         false
     }
 
@@ -49,7 +51,7 @@
 
     /// Octets of its longest message.
     fn longest(&self) -> usize {
-        MESSAGE
+        MAX_MESSAGE_BYTES
     }
 
     /// Messages get lost here although every way is clear.
@@ -82,10 +84,10 @@
 
 /// Octets that no other number has, from eight on.
 fn content(number: usize, length: usize) -> Vec<u8> {
-    let mut dice = Dice(number as u64);
+    let mut dice = SeededRng(number as u64);
     let mut out = Vec::with_capacity(length + 8);
     while out.len() < length {
-        out.extend_from_slice(&dice.draw().to_be_bytes());
+        out.extend_from_slice(&dice.next_u64().to_be_bytes());
     }
     out.truncate(length);
     out
@@ -101,7 +103,7 @@
 }
 
 fn message_ops() -> impl Strategy<Value = Vec<Op>> {
-    let length = prop_oneof![6 => 8..60_usize, 2 => 900..=MESSAGE, 1 => Just(MESSAGE + 1), 1 => Just(0)];
+    let length = prop_oneof![6 => 8..60_usize, 2 => 900..=MAX_MESSAGE_BYTES, 1 => Just(MAX_MESSAGE_BYTES + 1), 1 => Just(0)];
     let send = (0..3_usize, 1..4_usize, length).prop_map(|(from, by, length)| {
         // To one of the two others, or to nobody.
         Op::Send(from, if by == 3 { 3 } else { (from + by) % 3 }, length)
@@ -144,8 +146,8 @@
                     let bytes = content(number, length);
                     let done = ground.post(from).send(&name(to), &bytes);
                     let due = match (to, length) {
-                        (_, length) if length > ground.longest() => Err(Unsent::TooLong),
-                        (3, _) => Err(Unsent::Unknown),
+                        (_, length) if length > ground.longest() => Err(SendError::TooLong),
+                        (3, _) => Err(SendError::UnknownGateway),
                         _ => Ok(()),
                     };
                     ensure(done == due, || format!("sending {length} octets to g{to} gave {done:?}"))?;
@@ -178,7 +180,7 @@
 pub fn messages_to_a_slow_reader<G: Ground>(make: impl Fn(u64) -> G) -> Result<(), String> {
     check(2, (any::<u64>(), 100..1_000_usize), |(seed, more)| {
         let mut ground = make(seed);
-        let all = WAITING.0 + more;
+        let all = MAX_QUEUED_MESSAGES + more;
         for number in 0..all {
             let done = ground.post(0).send("g1", &content(number, 100));
             ensure(done.is_ok(), || format!("message {number} to one that takes none gave {done:?}"))?;
@@ -202,7 +204,7 @@
             ground.pass();
         }
         let kept: Vec<_> = std::iter::from_fn(|| ground.post(1).next()).map(|(_, bytes)| bytes).collect();
-        ensure(kept.len() <= WAITING.0, || format!("{} messages were kept", kept.len()))?;
+        ensure(kept.len() <= MAX_QUEUED_MESSAGES, || format!("{} messages were kept", kept.len()))?;
         ensure(kept.contains(&newest), || "the newest message was let go for older ones".to_owned())
     })
 }
@@ -290,7 +292,7 @@
 }
 
 impl<S: Records> Line<S> {
-    fn open<G: Ground<Stream = S>>(ground: &mut G, from: usize, to: usize) -> Result<Self, Unsent> {
+    fn open<G: Ground<Stream = S>>(ground: &mut G, from: usize, to: usize) -> Result<Self, SendError> {
         let (near, far) = ground.connect(from, to)?;
         let sent = [VecDeque::new(), VecDeque::new()];
         Ok(Line { ends: [Some(near), Some(far)], names: [name(from), name(to)], sent })
@@ -307,13 +309,15 @@
         let closed = stream.is_closed();
         match stream.send(&bytes) {
             Ok(()) => {
-                ensure(bytes.len() <= RECORD && !closed, || format!("took {} octets", bytes.len()))?;
+                ensure(bytes.len() <= MAX_RECORD_BYTES && !closed, || {
+                    format!("took {} octets", bytes.len())
+                })?;
                 self.sent[end].push_back(bytes);
                 Ok(true)
             }
-            Err(Unsent::Full) => Ok(false),
-            Err(Unsent::TooLong) if bytes.len() > RECORD => Ok(false),
-            Err(Unsent::Closed) if closed => Ok(false),
+            Err(SendError::QueueFull) => Ok(false),
+            Err(SendError::TooLong) if bytes.len() > MAX_RECORD_BYTES => Ok(false),
+            Err(SendError::Closed) if closed => Ok(false),
             Err(why) => Err(format!("{} octets were not taken: {why}", bytes.len())),
         }
     }
@@ -357,7 +361,7 @@
 /// # Errors
 /// The least sequence that breaks it, and how.
 pub fn records<G: Ground>(cases: u32, make: impl Fn(u64) -> G) -> Result<(), String> {
-    let length = prop_oneof![9 => 0..200_usize, 2 => 20_000..200_000_usize, 1 => RECORD..RECORD + 2];
+    let length = prop_oneof![9 => 0..200_usize, 2 => 20_000..200_000_usize, 1 => MAX_RECORD_BYTES..MAX_RECORD_BYTES + 2];
     let op = prop_oneof![
         5 => (0..2_usize, 0..2_usize, length).prop_map(|(line, end, length)| Op::Send(line, end, length)),
         3 => (0..4_usize).prop_map(Op::Next),
@@ -386,7 +390,7 @@
             let left = first.ends[1 - goes].as_mut().ok_or("both ends are gone")?;
             if left.is_closed() {
                 let done = left.send(b"more");
-                ensure(done == Err(Unsent::Closed), || format!("sending after the end gave {done:?}"))?;
+                ensure(done == Err(SendError::Closed), || format!("sending after the end gave {done:?}"))?;
                 second.send(0, content(7, 70))?;
                 return second.comes(&mut ground);
             }
@@ -402,7 +406,7 @@
 /// What breaks it.
 pub fn records_to_a_slow_reader<G: Ground>(make: impl Fn(u64) -> G) -> Result<(), String> {
     // Both sides' queues, a record more than fits on each, and what a system keeps for a socket.
-    let most = 2 * (WAITING.1 + RECORD) + (40 << 20);
+    let most = 2 * (MAX_QUEUED_BYTES + MAX_RECORD_BYTES) + (40 << 20);
     check(2, (any::<u64>(), 10_000..400_000_usize), |(seed, length)| {
         let mut ground = make(seed);
         let mut open = |to| Line::open(&mut ground, 0, to).map_err(|why| format!("no stream: {why}"));
--- a/crates/contracts/tests/broken/mod.rs
+++ b/crates/contracts/tests/broken/mod.rs
@@ -5,8 +5,10 @@
 use std::rc::Rc;
 
 use violetward_contracts::transport::Ground;
-use violetward_transport::sim::Meddler;
-use violetward_transport::{Messages, Records, Unsent, MESSAGE, RECORD, WAITING};
+use violetward_transport::sim::Interceptor;
+use violetward_transport::{
+    Messages, Records, SendError, MAX_MESSAGE_BYTES, MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, MAX_RECORD_BYTES,
+};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
@@ -30,7 +32,7 @@
 #[derive(Default)]
 struct Air {
     boxes: [VecDeque<(String, Vec<u8>)>; 3],
-    meddler: Option<Meddler>,
+    meddler: Option<Interceptor>,
     /// Octets under way on each stream, by direction, not read yet; and streams of which one end is gone.
     pipes: Vec<[VecDeque<u8>; 2]>,
     closed: Vec<bool>,
@@ -59,7 +61,7 @@
         &mut self.posts[n]
     }
 
-    fn connect(&mut self, from: usize, to: usize) -> Result<(PlainStream, PlainStream), Unsent> {
+    fn connect(&mut self, from: usize, to: usize) -> Result<(PlainStream, PlainStream), SendError> {
         let mut air = self.air.borrow_mut();
         air.pipes.push(Default::default());
         air.closed.push(false);
@@ -77,7 +79,7 @@
 
     fn pass(&mut self) {}
 
-    fn meddle(&mut self, meddler: Option<Meddler>) -> bool {
+    fn meddle(&mut self, meddler: Option<Interceptor>) -> bool {
         self.air.borrow_mut().meddler = meddler;
         true
     }
@@ -104,14 +106,14 @@
 }
 
 impl Messages for PlainPost {
-    fn send(&mut self, to: &str, bytes: &[u8]) -> Result<(), Unsent> {
-        if bytes.len() > MESSAGE && self.fault != Fault::TakesTooLong {
-            return Err(Unsent::TooLong);
+    fn send(&mut self, to: &str, bytes: &[u8]) -> Result<(), SendError> {
+        if bytes.len() > MAX_MESSAGE_BYTES && self.fault != Fault::TakesTooLong {
+            return Err(SendError::TooLong);
         }
         let air = &mut *self.air.borrow_mut();
-        let to = to[1..].parse::<usize>().ok().filter(|&to| to < 3).ok_or(Unsent::Unknown)?;
-        if self.fault == Fault::Blocks && air.boxes.iter().any(|b| b.len() >= WAITING.0) {
-            return Err(Unsent::Full);
+        let to = to[1..].parse::<usize>().ok().filter(|&to| to < 3).ok_or(SendError::UnknownGateway)?;
+        if self.fault == Fault::Blocks && air.boxes.iter().any(|b| b.len() >= MAX_QUEUED_MESSAGES) {
+            return Err(SendError::QueueFull);
         }
         air.count += 1;
         let third = air.count % 3 == 0;
@@ -129,7 +131,7 @@
             return Ok(());
         }
         air.boxes[to].push_back((sender, says));
-        if air.boxes[to].len() > WAITING.0 && self.fault != Fault::Unbounded {
+        if air.boxes[to].len() > MAX_QUEUED_MESSAGES && self.fault != Fault::Unbounded {
             if self.fault == Fault::LetsGoNewest {
                 air.boxes[to].pop_back();
             } else {
@@ -160,22 +162,23 @@
 }
 
 impl Records for PlainStream {
-    fn send(&mut self, record: &[u8]) -> Result<(), Unsent> {
-        if record.len() > RECORD && self.fault != Fault::TakesTooLong {
-            return Err(Unsent::TooLong);
+    fn send(&mut self, record: &[u8]) -> Result<(), SendError> {
+        if record.len() > MAX_RECORD_BYTES && self.fault != Fault::TakesTooLong {
+            return Err(SendError::TooLong);
         }
         if self.is_closed() {
-            return Err(Unsent::Closed);
+            return Err(SendError::Closed);
         }
         let air = &mut *self.air.borrow_mut();
-        let full = |pipes: &[VecDeque<u8>; 2]| pipes.iter().any(|p| p.len() + record.len() > WAITING.1);
+        let full =
+            |pipes: &[VecDeque<u8>; 2]| pipes.iter().any(|p| p.len() + record.len() > MAX_QUEUED_BYTES);
         let is_full = match self.fault {
             Fault::Unbounded => false,
-            Fault::Blocks => air.pipes.iter().flatten().any(|p| p.len() > WAITING.1 / 2),
+            Fault::Blocks => air.pipes.iter().flatten().any(|p| p.len() > MAX_QUEUED_BYTES / 2),
             _ => full(&air.pipes[self.id]),
         };
         if is_full {
-            return Err(Unsent::Full);
+            return Err(SendError::QueueFull);
         }
         air.count += 1;
         let third = air.count % 3 == 0;
--- a/crates/contracts/tests/members.rs
+++ b/crates/contracts/tests/members.rs
@@ -9,18 +9,18 @@
 use violetward_membership::sim::terms;
 use violetward_membership::wire::SAID;
 use violetward_membership::{Effect, Membership};
-use violetward_transport::sim::{Dice, Meddler, Queue, Weather};
-use violetward_transport::{local, Messages, Unsent};
+use violetward_transport::sim::{EventQueue, Interceptor, LinkConditions, SeededRng};
+use violetward_transport::{local, Messages, SendError};
 
 const SECOND: u64 = 1_000_000;
 
 struct Fleet {
     members: Vec<Membership>,
     come: Vec<VecDeque<(String, Vec<u8>)>>,
-    queue: Queue<(usize, SocketAddr, Vec<u8>)>,
-    dice: Dice,
-    weather: Weather,
-    meddler: Option<Meddler>,
+    queue: EventQueue<(usize, SocketAddr, Vec<u8>)>,
+    dice: SeededRng,
+    weather: LinkConditions,
+    meddler: Option<Interceptor>,
 }
 
 impl Fleet {
@@ -35,7 +35,7 @@
                         meddle(&format!("g{n}"), &format!("g{other}"), &mut bytes);
                     }
                     let from = terms(n, 3, SECOND, false).address;
-                    for (delay, bytes) in self.weather.carry(&mut self.dice, bytes) {
+                    for (delay, bytes) in self.weather.transmit(&mut self.dice, bytes) {
                         self.queue.push(self.queue.now + delay, (other, from, bytes));
                     }
                 }
@@ -68,15 +68,15 @@
 struct Post(usize, Rc<RefCell<Fleet>>);
 
 impl Messages for Post {
-    fn send(&mut self, to: &str, bytes: &[u8]) -> Result<(), Unsent> {
+    fn send(&mut self, to: &str, bytes: &[u8]) -> Result<(), SendError> {
         if bytes.len() > SAID {
-            return Err(Unsent::TooLong);
+            return Err(SendError::TooLong);
         }
         let fleet = &mut *self.1.borrow_mut();
         let now = fleet.queue.now;
         let sent = fleet.members[self.0].say(now, to, bytes);
         fleet.carry_out(self.0);
-        sent.then_some(()).ok_or(Unsent::Unknown)
+        sent.then_some(()).ok_or(SendError::UnknownGateway)
     }
 
     fn next(&mut self) -> Option<(String, Vec<u8>)> {
@@ -93,14 +93,15 @@
                 .map(|n| Membership::new(terms(n, 3, SECOND, false), seed ^ n as u64, SECOND))
                 .collect(),
             come: vec![VecDeque::new(); 3],
-            queue: Queue::new(SECOND),
-            dice: Dice(seed),
-            weather: Weather::default(),
+            queue: EventQueue::new(SECOND),
+            dice: SeededRng(seed),
+            weather: LinkConditions::default(),
             meddler: None,
         }));
         // Until they know each other and have proved their lives.
         fleet.borrow_mut().run(20 * SECOND);
-        fleet.borrow_mut().weather = Weather { loss, copies: 0.2, spoilt: loss, ..Weather::default() };
+        fleet.borrow_mut().weather =
+            LinkConditions { loss, duplicates: 0.2, corrupted: loss, ..LinkConditions::default() };
         let posts = (0..3).map(|n| Post(n, fleet.clone())).collect();
         Members(fleet, posts)
     }
@@ -115,15 +116,15 @@
     }
 
     /// Membership has no streams.
-    fn connect(&mut self, _: usize, _: usize) -> Result<(local::Stream, local::Stream), Unsent> {
-        Err(Unsent::Unknown)
+    fn connect(&mut self, _: usize, _: usize) -> Result<(local::Stream, local::Stream), SendError> {
+        Err(SendError::UnknownGateway)
     }
 
     fn pass(&mut self) {
         self.0.borrow_mut().run(20_000);
     }
 
-    fn meddle(&mut self, meddler: Option<Meddler>) -> bool {
+    fn meddle(&mut self, meddler: Option<Interceptor>) -> bool {
         self.0.borrow_mut().meddler = meddler;
         true
     }
--- a/crates/contracts/tests/transport.rs
+++ b/crates/contracts/tests/transport.rs
@@ -17,10 +17,10 @@
     Ground,
 };
 use violetward_net::{sleep, Clock};
-use violetward_transport::session::{Me, Patience};
-use violetward_transport::sim::{Meddler, Net, Weather};
-use violetward_transport::sockets::{accept, bind, dial, Datagrams, Post, Station, Stream};
-use violetward_transport::{local, sim, Key, Keys, Records, Unsent};
+use violetward_transport::session::{Identity, Timeouts};
+use violetward_transport::sim::{Interceptor, LinkConditions, Network};
+use violetward_transport::sockets::{accept, bind, dial, Datagrams, Endpoint, Mailbox, Stream};
+use violetward_transport::{local, sim, Key, Keys, Records, SendError};
 
 fn ring() -> Keys {
     Keys::new(vec![Key { name: "k".into(), secret: b"a secret of the contracts".to_vec() }]).expect("a ring")
@@ -30,68 +30,70 @@
     [0, 1, 2].map(|n| format!("g{n}"))
 }
 
-struct Local(local::Hub, Vec<local::Post>);
+struct Local(local::Hub, Vec<local::Mailbox>);
 
 fn local(_: u64) -> Local {
     let hub = local::Hub::default();
-    let posts = names().iter().map(|name| hub.post(name)).collect();
+    let posts = names().iter().map(|name| hub.mailbox(name)).collect();
     Local(hub, posts)
 }
 
 impl Ground for Local {
-    type Post = local::Post;
+    type Post = local::Mailbox;
     type Stream = local::Stream;
 
-    fn post(&mut self, n: usize) -> &mut local::Post {
+    fn post(&mut self, n: usize) -> &mut local::Mailbox {
         &mut self.1[n]
     }
 
-    fn connect(&mut self, from: usize, to: usize) -> Result<(local::Stream, local::Stream), Unsent> {
+    fn connect(&mut self, from: usize, to: usize) -> Result<(local::Stream, local::Stream), SendError> {
         self.0.connect(&format!("g{from}"), &format!("g{to}"))
     }
 
     fn pass(&mut self) {}
 }
 
-struct Sim(Net, Vec<sim::Post>, Weather);
+struct Sim(Network, Vec<sim::Mailbox>, LinkConditions);
 
-fn under(weather: Weather) -> impl Fn(u64) -> Sim {
+fn under(weather: LinkConditions) -> impl Fn(u64) -> Sim {
     move |seed| {
-        let net = Net::new(seed, weather);
-        let posts = names().iter().map(|name| net.post(name, &ring())).collect();
+        let net = Network::new(seed, weather);
+        let posts = names().iter().map(|name| net.mailbox(name, &ring())).collect();
         Sim(net, posts, weather)
     }
 }
 
 /// Late, twice and out of order, but never lost.
-const CALM: Weather = Weather { loss: 0.0, delay: (100, 30_000), copies: 0.2, spoilt: 0.0 };
-const ROUGH: Weather = Weather { loss: 0.2, delay: (100, 30_000), copies: 0.2, spoilt: 0.2 };
+const CALM: LinkConditions =
+    LinkConditions { loss: 0.0, delay: (100, 30_000), duplicates: 0.2, corrupted: 0.0 };
+const ROUGH: LinkConditions =
+    LinkConditions { loss: 0.2, delay: (100, 30_000), duplicates: 0.2, corrupted: 0.2 };
 
 impl Ground for Sim {
-    type Post = sim::Post;
+    type Post = sim::Mailbox;
     type Stream = sim::Stream;
 
-    fn post(&mut self, n: usize) -> &mut sim::Post {
+    fn post(&mut self, n: usize) -> &mut sim::Mailbox {
         &mut self.1[n]
     }
 
-    fn connect(&mut self, from: usize, to: usize) -> Result<(sim::Stream, sim::Stream), Unsent> {
-        let (near, far) = self.0.connect(&format!("g{from}"), &format!("g{to}"), Patience::default())?;
+    fn connect(&mut self, from: usize, to: usize) -> Result<(sim::Stream, sim::Stream), SendError> {
+        let (near, far) = self.0.connect(&format!("g{from}"), &format!("g{to}"), Timeouts::default())?;
         for _ in 0..100 {
             self.0.run(50_000);
             if near.is_open() && far.is_open() {
                 return Ok((near, far));
             }
         }
-        Err(Unsent::Closed)
+        Err(SendError::Closed)
     }
 
     fn pass(&mut self) {
         self.0.run(50_000);
     }
 
-    fn meddle(&mut self, meddler: Option<Meddler>) -> bool {
-        self.0.meddle(meddler);
+    fn meddle(&mut self, meddler: Option<Interceptor>) -> bool {
+        self.0.set_interceptor(meddler);
         true
     }
 
@@ -105,7 +107,7 @@
     }
 }
 
-type Shared = Rc<RefCell<Option<Meddler>>>;
+type Shared = Rc<RefCell<Option<Interceptor>>>;
 
 fn meddle(meddler: &Shared, from: &str, to: &str, bytes: &mut Vec<u8>) {
     if let Some(meddle) = &mut *meddler.borrow_mut() {
@@ -116,7 +118,7 @@
 /// Sockets on loopback, behind relays in which somebody may stand.
 struct Sockets {
     executor: Rc<LocalExecutor<'static>>,
-    gateways: Vec<(Rc<Station>, Post, SocketAddr)>,
+    gateways: Vec<(Rc<Endpoint>, Mailbox, SocketAddr)>,
     meddler: Shared,
 }
 
@@ -127,20 +129,20 @@
 fn sockets(_: u64) -> Sockets {
     let executor = Rc::new(LocalExecutor::new());
     let meddler = Shared::default();
-    let patience = Patience { prove: 200_000, beat: 100_000, silent: 2_000_000 };
+    let patience = Timeouts { handshake: 200_000, keepalive: 100_000, idle: 2_000_000 };
     let (mut gateways, mut relays) = (Vec::new(), Vec::new());
     for name in names() {
-        let me = Me { name: name.clone(), life: 1 };
-        let station = Station::new(executor.clone(), Clock::new(), me, ring(), patience);
+        let me = Identity { name: name.clone(), incarnation: 1 };
+        let station = Endpoint::new(executor.clone(), Clock::new(), me, ring(), patience);
         let (datagrams, _) = bind(loopback()).expect("two sockets");
         let to = datagrams.address().expect("its address");
         let (relay, _) = bind(loopback()).expect("two sockets");
         relays.push((name.clone(), relay.address().expect("its address")));
         executor.spawn(relay_messages(relay, to, name, meddler.clone())).detach();
-        gateways.push((station.clone(), Post::start(&station, datagrams), to));
+        gateways.push((station.clone(), Mailbox::start(&station, datagrams), to));
     }
     for (name, relay) in &relays {
-        gateways.iter_mut().for_each(|gateway| gateway.1.place(name, *relay).expect("room"));
+        gateways.iter_mut().for_each(|gateway| gateway.1.set_address(name, *relay).expect("room"));
     }
     Sockets { executor, gateways, meddler }
 }
@@ -182,14 +184,14 @@
 }
 
 impl Ground for Sockets {
-    type Post = Post;
+    type Post = Mailbox;
     type Stream = Stream;
 
-    fn post(&mut self, n: usize) -> &mut Post {
+    fn post(&mut self, n: usize) -> &mut Mailbox {
         &mut self.gateways[n].1
     }
 
-    fn connect(&mut self, from: usize, to: usize) -> Result<(Stream, Stream), Unsent> {
+    fn connect(&mut self, from: usize, to: usize) -> Result<(Stream, Stream), SendError> {
         let listen = || Async::<TcpListener>::bind(loopback()).expect("a port");
         let (relay, listener) = (listen(), listen());
         let address = |of: &Async<TcpListener>| of.get_ref().local_addr().expect("its address");
@@ -202,7 +204,7 @@
         };
         match self.run(future::zip(dial(&self.gateways[from].0, by), accepted)) {
             (Ok(near), Ok(far)) => Ok((near, far)),
-            _ => Err(Unsent::Closed),
+            _ => Err(SendError::Closed),
         }
     }
 
@@ -210,7 +212,7 @@
         self.run(sleep(Duration::from_millis(2)));
     }
 
-    fn meddle(&mut self, meddler: Option<Meddler>) -> bool {
+    fn meddle(&mut self, meddler: Option<Interceptor>) -> bool {
         *self.meddler.borrow_mut() = meddler;
         true
     }
--- a/crates/digest/examples/spread.rs
+++ b/crates/digest/examples/spread.rs
@@ -9,7 +9,7 @@
 use violetward_digest::{
     Cell, Digest, DigestConfig, GossipConfig, GossipScheduler, Page, PageBuilder, Summary, MAX_DATAGRAM_BYTES,
 };
-use violetward_transport::sim::{draw, Dice, Queue, Weather};
+use violetward_transport::sim::{splitmix64, EventQueue, LinkConditions, SeededRng};
 
 const SECOND: u64 = 1_000_000;
 
@@ -46,14 +46,14 @@
     seconds: u64,
     seed: u64,
 ) -> Report {
-    let network = Weather { loss, delay: (500, 50_000), copies: 0.01, spoilt: 0.0 };
-    let (mut random, mut queue) = (Dice(seed), Queue::new(0));
+    let network = LinkConditions { loss, delay: (500, 50_000), duplicates: 0.01, corrupted: 0.0 };
+    let (mut random, mut queue) = (SeededRng(seed), EventQueue::new(0));
     let name = |n: usize| format!("gateway-{n:03}");
     let mut fleet: Vec<Member> = (0..members)
         .map(|n| Member {
             builder: PageBuilder::new(&name(n), 1 + (cells / 24).min(7) as u8, 1),
             digest: Digest::new(DigestConfig::default()),
-            scheduler: GossipScheduler::new(GossipConfig::default(), draw(&mut random.0), 0),
+            scheduler: GossipScheduler::new(GossipConfig::default(), splitmix64(&mut random.0), 0),
             sent_bytes: vec![0; seconds as usize + 1],
         })
         .collect();
@@ -76,7 +76,7 @@
     };
     let is_cut = |from: usize, to: usize| from * 100 < cut_percent * members && (from + to) % 3 == 0;
     // An event with an empty datagram polls the scheduler of the member.
-    (0..members).for_each(|n| queue.push(draw(&mut random.0) % SECOND, (n, Vec::new())));
+    (0..members).for_each(|n| queue.push(splitmix64(&mut random.0) % SECOND, (n, Vec::new())));
     while let Some((n, datagram)) = queue.pop(seconds * SECOND) {
         let now = queue.now;
         let member = &mut fleet[n];
@@ -96,7 +96,7 @@
             fleet[n].sent_bytes[(now / SECOND) as usize] += datagram.len();
             let recipient: usize = recipient["gateway-".len()..].parse().expect("a member number");
             if !is_cut(n, recipient) {
-                let copies = network.carry(&mut random, datagram);
+                let copies = network.transmit(&mut random, datagram);
                 copies.into_iter().for_each(|(delay, copy)| queue.push(now + delay, (recipient, copy)));
             }
         }
--- a/crates/gateway/src/custody.rs
+++ b/crates/gateway/src/custody.rs
@@ -24,8 +24,8 @@
 use violetward_store::file::Files;
 use violetward_store::medium::Folder;
 use violetward_store::{Store, StoreError};
-use violetward_transport::sockets::{self, Caller, Station};
-use violetward_transport::{mark, Keys};
+use violetward_transport::sockets::{self, Caller, Endpoint};
+use violetward_transport::{name_hash, Keys};
 
 use crate::core::{ending_to_record, AttemptId, Launch, StatementId};
 use crate::custody_terms::CustodyTerms;
@@ -130,7 +130,7 @@
     machine: RefCell<TakeoverNode>,
     me: Incarnation,
     terms: CustodyTerms,
-    station: Rc<Station>,
+    endpoint: Rc<Endpoint>,
     caller: Caller,
     keys: RefCell<Keys>,
     locals: RefCell<HashMap<StatementKey, StatementId>>,
@@ -237,7 +237,7 @@
     pub fn start(
         host: &Rc<Host>,
         terms: &CustodyTerms,
-        station: Rc<Station>,
+        endpoint: Rc<Endpoint>,
         keys: Keys,
         listener: Async<TcpListener>,
     ) -> std::io::Result<Rc<Custody>> {
@@ -265,8 +265,8 @@
             machine: RefCell::new(machine),
             me,
             terms: terms.clone(),
-            caller: Caller::new(&station),
-            station: station.clone(),
+            caller: Caller::new(&endpoint),
+            endpoint: endpoint.clone(),
             keys: RefCell::new(keys),
             locals: RefCell::default(),
             names: RefCell::default(),
@@ -292,14 +292,14 @@
                 let (custody, host) = (of.clone(), to.clone());
                 async move { custody.record(&host, &from, &record).await }
             };
-            sockets::serve(station, listener, handler).await;
+            sockets::serve(endpoint, listener, handler).await;
         });
         Ok(custody)
     }
 
     /// The keys of the fleet are these from now on.
     pub fn set_keys(&self, keys: Keys) {
-        self.station.keys(keys.clone());
+        self.endpoint.set_keys(keys.clone());
         *self.keys.borrow_mut() = keys;
     }
 
@@ -586,10 +586,10 @@
             chain.join(".")
         );
         let keys = self.keys.borrow();
-        let key = keys.first();
-        let code = key.code(&[USE, public_id.as_bytes(), b"/", says.as_bytes()]).finalize().into_bytes();
+        let key = keys.signing_key();
+        let code = key.mac(&[USE, public_id.as_bytes(), b"/", says.as_bytes()]).finalize().into_bytes();
         let code: String = code[..16].iter().map(|b| format!("{b:02x}")).collect();
-        Some(format!("{:08x}{code}.{says}", mark(&key.name)))
+        Some(format!("{:08x}{code}.{says}", name_hash(&key.name)))
     }
 
     /// What a path says; `None` if no gateway of this fleet has made it.
@@ -600,10 +600,10 @@
         let of = u32::from_str_radix(code.0, 16).ok()?;
         let code = crate::front::parse_hex(code.1)?;
         let believed = |key: &violetward_transport::Key| {
-            let said = key.code(&[USE, page.id.as_bytes(), b"/", says.as_bytes()]);
+            let said = key.mac(&[USE, page.id.as_bytes(), b"/", says.as_bytes()]);
             said.verify_truncated_left(&code).is_ok()
         };
-        if !self.keys.borrow().marked(of).any(believed) {
+        if !self.keys.borrow().with_id(of).any(believed) {
             return None;
         }
         let mut fields = says.split('.');
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -12,8 +12,8 @@
 use futures_lite::future;
 use violetward::Gateway;
 use violetward_net::next_signal;
-use violetward_transport::session::{Me, Patience};
-use violetward_transport::sockets::Station;
+use violetward_transport::session::{Identity, Timeouts};
+use violetward_transport::sockets::Endpoint;
 
 use crate::agreement::SettingsAgreement;
 use crate::config::Config;
@@ -150,10 +150,10 @@
     let (peers, peer_terms) = host.peers().zip(host.config.peers.as_ref()).ok_or_else(missing)?;
     let keys = peer_terms.keys.clone();
     let (life, _) = peers.me();
-    let me = Me { name: life.name, life: life.number };
-    let station = Station::new(executor, host.clock, me, keys.clone(), Patience::default());
+    let identity = Identity { name: life.name, incarnation: life.number };
+    let endpoint = Endpoint::new(executor, host.clock, identity, keys.clone(), Timeouts::default());
     let listener = peers.streams().ok_or_else(missing)?;
-    Custody::start(host, terms, station, keys, listener).map(|_| ())
+    Custody::start(host, terms, endpoint, keys, listener).map(|_| ())
 }
 
 /// Waits for the first lease, if settings are agreed, but no longer than the configuration allows; after
--- a/crates/lab/src/agreement.rs
+++ b/crates/lab/src/agreement.rs
@@ -2,7 +2,7 @@
 
 use std::time::Instant;
 
-use violetward_agreement::sim::{draw, Fleet};
+use violetward_agreement::sim::{splitmix64, Fleet};
 use violetward_net::Clock;
 
 const SECOND: u64 = 1_000_000;
@@ -37,8 +37,8 @@
     let (mut looks, mut dice) = (0u64, seed);
     for change in 0..changes {
         if pauses {
-            let n = draw(&mut dice) as usize % count;
-            fleet.nodes[n].still = fleet.now + LEASE + draw(&mut dice) % LEASE;
+            let n = splitmix64(&mut dice) as usize % count;
+            fleet.nodes[n].still = fleet.now + LEASE + splitmix64(&mut dice) % LEASE;
         }
         let awake = (0..voters).find(|&n| fleet.nodes[n].still <= fleet.now).unwrap_or(0);
         let at = fleet.now;
--- a/crates/lab/src/cluster/forged.rs
+++ b/crates/lab/src/cluster/forged.rs
@@ -120,7 +120,7 @@
         all.push(("truncated", with(&page.id, &page.slug[..left])));
     }
     let key = Key { name: "old".into(), secret: "not the rig's key at all".into() };
-    let made = key.code(&[USE, page.id.as_bytes(), b"/", says.as_bytes()]).finalize().into_bytes();
+    let made = key.mac(&[USE, page.id.as_bytes(), b"/", says.as_bytes()]).finalize().into_bytes();
     let made: String = made[..16].iter().map(|b| format!("{b:02x}")).collect();
     all.push(("foreign key", with(&page.id, &format!("{}{made}.{says}", &code[..8]))));
     if let Some(foreign) = other.and_then(PageRef::parse) {
--- a/crates/lab/src/membership.rs
+++ b/crates/lab/src/membership.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use violetward_membership::sim::{terms, Act, Fleet, Weather};
+use violetward_membership::sim::{terms, Act, Fleet, LinkConditions};
 use violetward_membership::Micros;
 
 const SECOND: Micros = 1_000_000;
@@ -43,7 +43,7 @@
     for seed in 1..=seeds {
         let mut fleet = Fleet::new(count, seed, move |n| terms(n, count, PERIOD, plain));
         fleet.until(120 * SECOND, Fleet::agree);
-        fleet.act(&Act::Weather(Weather { loss, ..Weather::default() }));
+        fleet.act(&Act::Weather(LinkConditions { loss, ..LinkConditions::default() }));
         fleet.run(5 * SECOND);
         fleet.findings = Default::default();
         let (start, began) = (fleet.now, Instant::now());
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -10,7 +10,9 @@
 use std::net::SocketAddr;
 
 use crate::share::{Known, Share};
-use crate::wire::{mark, Cut, Datagram, Demand, Keys, Kind, Record, Refused, State, BUCKETS, CUTS, SAID};
+use crate::wire::{
+    name_hash, Cut, Datagram, Demand, Keys, Kind, Record, Refused, State, BUCKETS, CUTS, SAID,
+};
 
 /// Microseconds of a clock that never goes back.
 pub type Micros = u64;
@@ -403,7 +405,7 @@
         self.pass(now);
         let known = bytes.len() <= SAID && self.members.contains_key(name);
         if known {
-            self.send_to(name, Kind::Said(bytes.to_vec(), mark(name)), Vec::new());
+            self.send_to(name, Kind::Said(bytes.to_vec(), name_hash(name)), Vec::new());
         }
         self.planned = self.next_wake();
         known
@@ -469,7 +471,7 @@
         for r in known.chain(self.announced.then_some(&self.me)) {
             // Suspicion and demand come and go: they must not make two halves send each other everything.
             let settled = if r.state == State::Suspect { State::Alive } else { r.state };
-            let mut seed = u64::from(mark(&r.name)) << 32 | u64::from(r.incarnation);
+            let mut seed = u64::from(name_hash(&r.name)) << 32 | u64::from(r.incarnation);
             seed ^= (settled as u64) << 24 ^ r.life.rotate_left(7);
             parts[bucket(&r.name)] ^= draw(&mut seed) as u32;
         }
@@ -576,7 +578,7 @@
             .members
             .values()
             .filter(|m| m.link != Link::Good && m.record.state <= State::Suspect)
-            .map(|m| Cut { other: mark(&m.record.name), outbound: m.link == Link::Outbound })
+            .map(|m| Cut { other: name_hash(&m.record.name), outbound: m.link == Link::Outbound })
             .take(CUTS)
             .collect();
         let changed = (old - new).abs() > RETELL.1 * old.max(1.0) || cuts != self.me.cuts;
@@ -598,7 +600,7 @@
             return Ok(());
         }
         // Guards against what was said to another one and is led here by somebody in between.
-        if matches!(datagram.kind, Kind::Said(_, to) if to != 0 && to != mark(&self.me.name)) {
+        if matches!(datagram.kind, Kind::Said(_, to) if to != 0 && to != name_hash(&self.me.name)) {
             return Err(Refused::Replayed);
         }
         if let Kind::Challenge(nonce) = datagram.kind {
@@ -748,7 +750,7 @@
 }
 
 fn bucket(name: &str) -> usize {
-    mark(name) as usize % BUCKETS
+    name_hash(name) as usize % BUCKETS
 }
 
 /// A stream of numbers (splitmix64).
--- a/crates/membership/src/machine/beliefs.rs
+++ b/crates/membership/src/machine/beliefs.rs
@@ -34,7 +34,7 @@
         let suspects = self.suspects.iter().filter_map(|name| self.members.get(name));
         let over = suspects.filter(|m| self.death(m).is_some_and(|at| at <= self.now));
         let over: Vec<Record> = over
-            .map(|m| Record { state: State::Dead, by: mark(&self.me.name), ..m.record.clone() })
+            .map(|m| Record { state: State::Dead, by: name_hash(&self.me.name), ..m.record.clone() })
             .collect();
         for record in over {
             self.counts.declared += 1;
--- a/crates/membership/src/machine/probing.rs
+++ b/crates/membership/src/machine/probing.rs
@@ -81,7 +81,7 @@
                 return;
             }
         }
-        let me = mark(&self.me.name);
+        let me = name_hash(&self.me.name);
         let Some(member) = self.members.get(&probe.target) else { return };
         let record = Record { by: me, state: State::Suspect, ..member.record.clone() };
         if member.record.state <= State::Suspect {
--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/sim.rs
@@ -6,8 +6,8 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 
-pub use violetward_transport::sim::Weather;
-use violetward_transport::sim::{Dice, Queue};
+pub use violetward_transport::sim::LinkConditions;
+use violetward_transport::sim::{EventQueue, SeededRng};
 
 use crate::machine::{Change, Effect, Membership, Micros, Standing, Terms};
 use crate::wire::{Key, Keys, State};
@@ -34,7 +34,7 @@
     /// All links are whole again.
     Heal,
     /// The network is like this from now on.
-    Weather(Weather),
+    Weather(LinkConditions),
 }
 
 struct Node {
@@ -69,13 +69,13 @@
 pub struct Fleet {
     nodes: Vec<Node>,
     terms: Box<dyn Fn(usize) -> Terms>,
-    dice: Dice,
+    dice: SeededRng,
     /// The virtual time.
     pub now: Micros,
-    weather: Weather,
+    weather: LinkConditions,
     cuts: HashSet<(usize, usize)>,
     groups: Vec<usize>,
-    queue: Queue<Event>,
+    queue: EventQueue<Event>,
     addresses: HashMap<SocketAddr, usize>,
     known_dead: BTreeMap<usize, HashSet<usize>>,
     /// What has been seen.
@@ -115,12 +115,12 @@
         let mut fleet = Fleet {
             nodes: Vec::new(),
             terms: Box::new(terms),
-            dice: Dice(seed),
+            dice: SeededRng(seed),
             now: 1_000_000,
-            weather: Weather::default(),
+            weather: LinkConditions::default(),
             cuts: HashSet::new(),
             groups: vec![0; count],
-            queue: Queue::new(1_000_000),
+            queue: EventQueue::new(1_000_000),
             addresses,
             known_dead: BTreeMap::new(),
             findings: Findings::default(),
@@ -175,7 +175,7 @@
     }
 
     fn start(&mut self, n: usize) {
-        let seed = self.dice.draw();
+        let seed = self.dice.next_u64();
         let member = Membership::new((self.terms)(n), seed, self.now);
         self.nodes[n].member = Some(member);
         (self.nodes[n].killed, self.nodes[n].stopped) = (None, false);
@@ -261,7 +261,7 @@
                         continue;
                     }
                     let from = (self.terms)(n).address;
-                    for (delay, bytes) in self.weather.carry(&mut self.dice, bytes) {
+                    for (delay, bytes) in self.weather.transmit(&mut self.dice, bytes) {
                         self.queue.push(self.now + delay, Event::Arrive(target, from, bytes));
                     }
                 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -7,7 +7,7 @@
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
 use hmac::Mac;
-pub use violetward_transport::{mark, Key, Keys};
+pub use violetward_transport::{name_hash, Key, Keys};
 
 /// Octets of a datagram at most: it passes every usual path whole.
 pub const DATAGRAM: usize = 1_200;
@@ -27,7 +27,7 @@
 const CODE: usize = 16;
 
 fn seal(keys: &Keys, out: &mut Vec<u8>) {
-    let code = keys.first().code(&[out]).finalize().into_bytes();
+    let code = keys.signing_key().mac(&[out]).finalize().into_bytes();
     out.extend_from_slice(&code[..CODE]);
 }
 
@@ -38,11 +38,11 @@
     let at = bytes.len().checked_sub(CODE).filter(|&at| at >= 5).ok_or(Refused::Short)?;
     let (body, code) = bytes.split_at(at);
     let id = u32::from_be_bytes(body[1..5].try_into().map_err(|_| Refused::Short)?);
-    let mut known = keys.marked(id).peekable();
+    let mut known = keys.with_id(id).peekable();
     if known.peek().is_none() {
         return Err(Refused::Key);
     }
-    let good = known.any(|key| key.code(&[body]).verify_truncated_left(code).is_ok());
+    let good = known.any(|key| key.mac(&[body]).verify_truncated_left(code).is_ok());
     good.then_some(body).ok_or(Refused::Forged)
 }
 
@@ -234,7 +234,7 @@
     pub fn seal(&self, keys: &Keys, out: &mut Vec<u8>) -> usize {
         out.clear();
         out.push(VERSION);
-        out.extend_from_slice(&mark(&keys.first().name).to_be_bytes());
+        out.extend_from_slice(&name_hash(&keys.signing_key().name).to_be_bytes());
         out.extend_from_slice(&self.life.to_be_bytes());
         out.extend_from_slice(&self.number.to_be_bytes());
         text(out, &self.from);
--- a/crates/membership/tests/fleets.rs
+++ b/crates/membership/tests/fleets.rs
@@ -1,6 +1,6 @@
 //! Fleets on a virtual network: what must hold through kills, pauses, cuts, loss and returns. Each seed is a history.
 
-use violetward_membership::sim::{play, shrink, terms, Act, Fleet, Weather};
+use violetward_membership::sim::{play, shrink, terms, Act, Fleet, LinkConditions};
 use violetward_membership::{Demand, Link, Micros, Standing, State};
 
 const MS: Micros = 1_000;
@@ -210,7 +210,8 @@
     for (loss, most) in [(0.2, 0), (0.4, 1)] {
         for seed in 1..=3 {
             let mut fleet = fleet(8, seed);
-            let weather = Weather { loss, copies: 0.05, spoilt: 0.01, ..Weather::default() };
+            let weather =
+                LinkConditions { loss, duplicates: 0.05, corrupted: 0.01, ..LinkConditions::default() };
             fleet.act(&Act::Weather(weather));
             fleet.run(60 * SECOND);
             assert!(
@@ -218,7 +219,7 @@
                 "loss {loss}, seed {seed}: {:?}",
                 fleet.findings.false_deaths
             );
-            fleet.act(&Act::Weather(Weather::default()));
+            fleet.act(&Act::Weather(LinkConditions::default()));
             assert!(fleet.until(30 * SECOND, Fleet::agree).is_some(), "loss {loss}, seed {seed}");
             sound(&fleet, seed);
         }
@@ -319,11 +320,11 @@
                 3 => Act::Stop(a),
                 4 | 5 => Act::Continue(a),
                 6 if a != b => Act::Cut(a, b),
-                7 => Act::Weather(Weather {
+                7 => Act::Weather(LinkConditions {
                     loss: draw(5) as f64 / 10.0,
-                    copies: 0.1,
-                    spoilt: 0.02,
-                    ..Weather::default()
+                    duplicates: 0.1,
+                    corrupted: 0.02,
+                    ..LinkConditions::default()
                 }),
                 8 => Act::Part((0..count).map(|_| draw(2) as usize).collect()),
                 _ => Act::Heal,
@@ -336,7 +337,7 @@
 fn failure(seed: u64, count: usize, acts: &[(Micros, Act)]) -> Option<String> {
     let mut fleet = play(count, seed, acts, 0, move |n| terms(n, count, PERIOD, false));
     fleet.act(&Act::Heal);
-    fleet.act(&Act::Weather(Weather::default()));
+    fleet.act(&Act::Weather(LinkConditions::default()));
     for n in 0..count {
         fleet.act(&Act::Continue(n));
         if fleet.member(n).is_none() {
--- a/crates/transport/src/keys.rs
+++ b/crates/transport/src/keys.rs
@@ -16,7 +16,7 @@
 
 impl Key {
     /// The code of parts put together, not finished. Parts of varying length need their lengths before them.
-    pub fn code(&self, parts: &[&[u8]]) -> Hmac<Sha256> {
+    pub fn mac(&self, parts: &[&[u8]]) -> Hmac<Sha256> {
         let mut mac = Hmac::<Sha256>::new_from_slice(&self.secret).expect("any length will do");
         parts.iter().for_each(|part| mac.update(part));
         mac
@@ -54,22 +54,22 @@
     }
 
     /// The one that signs.
-    pub fn first(&self) -> &Key {
+    pub fn signing_key(&self) -> &Key {
         &self.0[0]
     }
 
     /// Those whose names have a mark: one as a rule, none if it is not believed.
-    pub fn marked(&self, id: u32) -> impl Iterator<Item = &Key> {
-        self.0.iter().filter(move |k| mark(&k.name) == id)
+    pub fn with_id(&self, id: u32) -> impl Iterator<Item = &Key> {
+        self.0.iter().filter(move |k| name_hash(&k.name) == id)
     }
 
     /// Whether a key is believed.
-    pub fn has(&self, key: &Key) -> bool {
+    pub fn contains(&self, key: &Key) -> bool {
         self.0.contains(key)
     }
 }
 
 /// A short mark of a name (FNV-1a).
-pub fn mark(name: &str) -> u32 {
+pub fn name_hash(name: &str) -> u32 {
     name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
--- a/crates/transport/src/local.rs
+++ b/crates/transport/src/local.rs
@@ -4,7 +4,9 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
 
-use crate::{Messages, Records, Unsent, MESSAGE, RECORD, WAITING};
+use crate::{
+    Messages, Records, SendError, MAX_MESSAGE_BYTES, MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, MAX_RECORD_BYTES,
+};
 
 type Come = Mutex<VecDeque<(String, Vec<u8>)>>;
 
@@ -19,23 +21,23 @@
 
 impl Hub {
     /// A gateway's messages, until this is dropped. One of the same name takes the place of an earlier one.
-    pub fn post(&self, name: &str) -> Post {
+    pub fn mailbox(&self, name: &str) -> Mailbox {
         let come = Arc::<Come>::default();
         let mut known = lock(&self.0);
         known.retain(|_, come| come.strong_count() > 0);
         known.insert(name.to_owned(), Arc::downgrade(&come));
-        Post { hub: self.clone(), name: name.to_owned(), come }
+        Mailbox { hub: self.clone(), name: name.to_owned(), come }
     }
 
-    fn find(&self, name: &str) -> Result<Arc<Come>, Unsent> {
-        lock(&self.0).get(name).and_then(Weak::upgrade).ok_or(Unsent::Unknown)
+    fn find(&self, name: &str) -> Result<Arc<Come>, SendError> {
+        lock(&self.0).get(name).and_then(Weak::upgrade).ok_or(SendError::UnknownGateway)
     }
 
     /// A stream between two gateways: the calling end and the other one.
     ///
     /// # Errors
     /// If one of them is not there.
-    pub fn connect(&self, from: &str, to: &str) -> Result<(Stream, Stream), Unsent> {
+    pub fn connect(&self, from: &str, to: &str) -> Result<(Stream, Stream), SendError> {
         self.find(from).and(self.find(to))?;
         let pipe = Arc::new(Mutex::new(Pipe::default()));
         let stream = |end, peer: &str| Stream { pipe: pipe.clone(), end, peer: peer.to_owned() };
@@ -45,20 +47,20 @@
 
 /// A gateway's messages on a [`Hub`].
 #[derive(Debug)]
-pub struct Post {
+pub struct Mailbox {
     hub: Hub,
     name: String,
     come: Arc<Come>,
 }
 
-impl Messages for Post {
-    fn send(&mut self, to: &str, bytes: &[u8]) -> Result<(), Unsent> {
-        if bytes.len() > MESSAGE {
-            return Err(Unsent::TooLong);
+impl Messages for Mailbox {
+    fn send(&mut self, to: &str, bytes: &[u8]) -> Result<(), SendError> {
+        if bytes.len() > MAX_MESSAGE_BYTES {
+            return Err(SendError::TooLong);
         }
         let come = self.hub.find(to)?;
         let mut come = lock(&come);
-        if come.len() >= WAITING.0 {
+        if come.len() >= MAX_QUEUED_MESSAGES {
             come.pop_front();
         }
         come.push_back((self.name.clone(), bytes.to_vec()));
@@ -92,17 +94,17 @@
 }
 
 impl Records for Stream {
-    fn send(&mut self, record: &[u8]) -> Result<(), Unsent> {
+    fn send(&mut self, record: &[u8]) -> Result<(), SendError> {
         let mut pipe = lock(&self.pipe);
-        if record.len() > RECORD {
-            return Err(Unsent::TooLong);
+        if record.len() > MAX_RECORD_BYTES {
+            return Err(SendError::TooLong);
         }
         if pipe.is_closed {
-            return Err(Unsent::Closed);
+            return Err(SendError::Closed);
         }
         let (come, octets) = &mut pipe.come[1 - self.end];
-        if *octets + record.len() > WAITING.1 || come.len() >= WAITING.0 {
-            return Err(Unsent::Full);
+        if *octets + record.len() > MAX_QUEUED_BYTES || come.len() >= MAX_QUEUED_MESSAGES {
+            return Err(SendError::QueueFull);
         }
         *octets += record.len();
         come.push_back(record.to_vec());
--- a/crates/transport/src/seal.rs
+++ b/crates/transport/src/seal.rs
@@ -5,7 +5,7 @@
 
 use hmac::Mac;
 
-use crate::{mark, Keys, MESSAGE};
+use crate::{name_hash, Keys, MAX_MESSAGE_BYTES};
 
 /// Octets of a code.
 pub const CODE: usize = 16;
@@ -20,18 +20,18 @@
 
 /// Writes a message, signed; `None` if a name or the message is too long.
 pub fn seal(keys: &Keys, from: &str, to: &str, says: &[u8]) -> Option<Vec<u8>> {
-    if says.len() > MESSAGE || from.len() > NAME || to.len() > NAME {
+    if says.len() > MAX_MESSAGE_BYTES || from.len() > NAME || to.len() > NAME {
         return None;
     }
     let mut out = Vec::with_capacity(AROUND + says.len());
     out.push(VERSION);
-    out.extend_from_slice(&mark(&keys.first().name).to_be_bytes());
+    out.extend_from_slice(&name_hash(&keys.signing_key().name).to_be_bytes());
     for name in [to, from] {
         out.push(name.len() as u8);
         out.extend_from_slice(name.as_bytes());
     }
     out.extend_from_slice(says);
-    let code = keys.first().code(&[USE, &out]).finalize().into_bytes();
+    let code = keys.signing_key().mac(&[USE, &out]).finalize().into_bytes();
     out.extend_from_slice(&code[..CODE]);
     Some(out)
 }
@@ -40,13 +40,13 @@
 pub fn open(keys: &Keys, me: &str, bytes: &[u8]) -> Option<(String, Vec<u8>)> {
     let (body, code) = bytes.split_at_checked(bytes.len().checked_sub(CODE)?)?;
     let id = u32::from_be_bytes(body.get(1..5)?.try_into().ok()?);
-    let good = |key: &crate::Key| key.code(&[USE, body]).verify_truncated_left(code).is_ok();
-    if body[0] != VERSION || !keys.marked(id).any(good) {
+    let good = |key: &crate::Key| key.mac(&[USE, body]).verify_truncated_left(code).is_ok();
+    if body[0] != VERSION || !keys.with_id(id).any(good) {
         return None;
     }
     let (to, rest) = name(&body[5..])?;
     let (from, says) = name(rest)?;
-    (to == me && from != me && says.len() <= MESSAGE).then(|| (from.to_owned(), says.to_vec()))
+    (to == me && from != me && says.len() <= MAX_MESSAGE_BYTES).then(|| (from.to_owned(), says.to_vec()))
 }
 
 /// A name with its length before it, and what stands behind it.
--- a/crates/transport/src/session.rs
+++ b/crates/transport/src/session.rs
@@ -12,9 +12,11 @@
 use hmac::Mac;
 
 use crate::seal::{name, CODE, NAME};
-use crate::{mark, Key, Keys, Micros, Unsent, RECORD, WAITING};
+use crate::{
+    name_hash, Key, Keys, Micros, SendError, MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, MAX_RECORD_BYTES,
+};
 
-/// Octets by which a record of what stands on a stream may be longer than [`RECORD`].
+/// Octets by which a record of what stands on a stream may be longer than [`MAX_RECORD_BYTES`].
 pub(crate) const HEAD: usize = 16;
 
 const VERSION: u8 = 1;
@@ -25,64 +27,64 @@
 
 /// Who this end is.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Me {
+pub struct Identity {
     /// Its name, the same after a restart; 48 octets at most.
     pub name: String,
     /// Which process of that name.
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 /// Spans after which an end is given up, in microseconds.
 #[derive(Debug, Clone, Copy)]
-pub struct Patience {
+pub struct Timeouts {
     /// Until the other end has proved itself.
-    pub prove: Micros,
+    pub handshake: Micros,
     /// An end that has said nothing for so long says that it is still there.
-    pub beat: Micros,
+    pub keepalive: Micros,
     /// Without a whole frame from the other end, or without it taking any octet of what waits for it.
-    pub silent: Micros,
+    pub idle: Micros,
 }
 
-impl Default for Patience {
+impl Default for Timeouts {
     fn default() -> Self {
-        Patience { prove: 3_000_000, beat: 1_000_000, silent: 5_000_000 }
+        Timeouts { handshake: 3_000_000, keepalive: 1_000_000, idle: 5_000_000 }
     }
 }
 
 /// Why a stream has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum CloseReason {
     /// This end closed it.
     Closed,
     /// The other end closed it, or the way broke.
-    Broken,
+    Disconnected,
     /// The other end said nothing, or took nothing, for too long.
-    Silent,
+    TimedOut,
     /// The other end did not prove itself in time.
-    Unproved,
+    HandshakeTimeout,
     /// The other end's key is not believed here, or not any more.
-    Key,
+    UntrustedKey,
     /// A frame is not what the other end sent in its place.
-    Forged,
+    InvalidMac,
     /// What came is no frame, or of another version.
-    Unreadable,
+    Malformed,
 }
 
-impl fmt::Display for Ended {
+impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Ended::Closed => "it was closed",
-            Ended::Broken => "the other end closed it, or the way broke",
-            Ended::Silent => "the other end said or took nothing for too long",
-            Ended::Unproved => "the other end did not prove itself in time",
-            Ended::Key => "the other end's key is not believed",
-            Ended::Forged => "a frame was not what the other end sent",
-            Ended::Unreadable => "what came is no frame",
+            CloseReason::Closed => "it was closed",
+            CloseReason::Disconnected => "the other end closed it, or the way broke",
+            CloseReason::TimedOut => "the other end said or took nothing for too long",
+            CloseReason::HandshakeTimeout => "the other end did not prove itself in time",
+            CloseReason::UntrustedKey => "the other end's key is not believed",
+            CloseReason::InvalidMac => "a frame was not what the other end sent",
+            CloseReason::Malformed => "what came is no frame",
         })
     }
 }
 
-impl std::error::Error for Ended {}
+impl std::error::Error for CloseReason {}
 
 /// What a frame is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -106,12 +108,12 @@
     /// The direction away from the end that said `hello` first, or towards it.
     fn new(key: &Key, back: bool, hello: &[u8], welcome: &[u8]) -> Way {
         let length = (hello.len() as u32).to_be_bytes();
-        let secret = key.code(&[USE, &[u8::from(back)], &length, hello, welcome]).finalize().into_bytes();
+        let secret = key.mac(&[USE, &[u8::from(back)], &length, hello, welcome]).finalize().into_bytes();
         Way { key: Key { name: String::new(), secret: secret.to_vec() }, next: 0 }
     }
 
     fn code(&self, kind: u8, body: &[u8]) -> hmac::Hmac<sha2::Sha256> {
-        self.key.code(&[&self.next.to_be_bytes(), &[kind], body])
+        self.key.mac(&[&self.next.to_be_bytes(), &[kind], body])
     }
 
     fn seal(&mut self, kind: Kind, body: &[u8], out: &mut Vec<u8>) {
@@ -136,22 +138,22 @@
     /// The other end waits for a greeting.
     Awaits,
     /// It has answered, and waits for proof under one of the keys that the greeting may mean.
-    Answered(Vec<(Key, Way)>, Me),
+    Answered(Vec<(Key, Way)>, Identity),
     /// Both are proved.
     Open(Key, Way),
-    Over(Ended),
+    Over(CloseReason),
 }
 
 /// One end of a stream.
 pub struct Session {
-    me: Me,
+    identity: Identity,
     keys: Keys,
-    patience: Patience,
+    timeouts: Timeouts,
     nonce: [u8; NONCE],
     stage: Stage,
     /// The direction away from here, once there is one.
     away: Option<Way>,
-    peer: Option<Me>,
+    peer: Option<Identity>,
     come: Vec<u8>,
     out: Vec<u8>,
     /// Octets that were handed out to be written and are not yet.
@@ -168,8 +170,14 @@
 
 impl Session {
     /// The end that calls. `nonce` is fresh and drawn by chance.
-    pub fn call(me: Me, keys: Keys, patience: Patience, nonce: [u8; 32], now: Micros) -> Session {
-        let mut session = Session::answer(me, keys, patience, nonce, now);
+    pub fn connect(
+        identity: Identity,
+        keys: Keys,
+        timeouts: Timeouts,
+        nonce: [u8; 32],
+        now: Micros,
+    ) -> Session {
+        let mut session = Session::accept(identity, keys, timeouts, nonce, now);
         let hello = session.greeting();
         session.out.extend_from_slice(&(hello.len() as u32).to_be_bytes());
         session.out.extend_from_slice(&hello);
@@ -178,11 +186,17 @@
     }
 
     /// The end that is called.
-    pub fn answer(me: Me, keys: Keys, patience: Patience, nonce: [u8; 32], now: Micros) -> Session {
+    pub fn accept(
+        identity: Identity,
+        keys: Keys,
+        timeouts: Timeouts,
+        nonce: [u8; 32],
+        now: Micros,
+    ) -> Session {
         Session {
-            me,
+            identity,
             keys,
-            patience,
+            timeouts,
             nonce,
             stage: Stage::Awaits,
             away: None,
@@ -196,23 +210,23 @@
             heard: now,
             said: now,
             taken: now,
-            due: now + patience.beat,
+            due: now + timeouts.keepalive,
         }
     }
 
     fn greeting(&self) -> Vec<u8> {
         let mut out = vec![VERSION];
-        out.extend_from_slice(&mark(&self.keys.first().name).to_be_bytes());
+        out.extend_from_slice(&name_hash(&self.keys.signing_key().name).to_be_bytes());
         out.extend_from_slice(&self.nonce);
-        out.extend_from_slice(&self.me.life.to_be_bytes());
-        let name = &self.me.name.as_bytes()[..self.me.name.len().min(NAME)];
+        out.extend_from_slice(&self.identity.incarnation.to_be_bytes());
+        let name = &self.identity.name.as_bytes()[..self.identity.name.len().min(NAME)];
         out.push(name.len() as u8);
         out.extend_from_slice(name);
         out
     }
 
     /// Octets have come. They are not looked at any more once the stream is over.
-    pub fn feed(&mut self, bytes: &[u8], now: Micros) {
+    pub fn receive(&mut self, bytes: &[u8], now: Micros) {
         if matches!(self.stage, Stage::Over(_)) {
             return;
         }
@@ -221,14 +235,14 @@
         let mut rest = &come[..];
         while let Some((length, behind)) = rest.split_first_chunk::<4>() {
             let length = u32::from_be_bytes(*length) as usize;
-            let most = if self.is_open() { 1 + RECORD + HEAD + CODE } else { GREETING };
+            let most = if self.is_open() { 1 + MAX_RECORD_BYTES + HEAD + CODE } else { GREETING };
             if length > most {
                 // Guards the memory: nothing is gathered that nobody of ours sends.
-                return self.end(Ended::Unreadable);
+                return self.close(CloseReason::Malformed);
             }
             let Some((frame, behind)) = behind.split_at_checked(length) else { break };
             if let Err(why) = self.frame(frame) {
-                return self.end(why);
+                return self.close(why);
             }
             rest = behind;
         }
@@ -237,17 +251,17 @@
         self.come = rest.to_vec();
     }
 
-    fn frame(&mut self, frame: &[u8]) -> Result<(), Ended> {
+    fn frame(&mut self, frame: &[u8]) -> Result<(), CloseReason> {
         match std::mem::replace(&mut self.stage, Stage::Awaits) {
             Stage::Awaits => {
-                let (id, peer) = read_greeting(frame).ok_or(Ended::Unreadable)?;
+                let (id, peer) = read_greeting(frame).ok_or(CloseReason::Malformed)?;
                 let welcome = self.greeting();
                 let ways: Vec<(Key, Way)> =
-                    self.keys.marked(id).map(|k| (k.clone(), Way::new(k, false, frame, &welcome))).collect();
+                    self.keys.with_id(id).map(|k| (k.clone(), Way::new(k, false, frame, &welcome))).collect();
                 if ways.is_empty() {
-                    return Err(Ended::Key);
+                    return Err(CloseReason::UntrustedKey);
                 }
-                let mut away = Way::new(self.keys.first(), true, frame, &welcome);
+                let mut away = Way::new(self.keys.signing_key(), true, frame, &welcome);
                 let code = away.code(Kind::Greeting as u8, &[]).finalize().into_bytes();
                 away.next += 1;
                 self.out.extend_from_slice(&((welcome.len() + CODE) as u32).to_be_bytes());
@@ -257,35 +271,35 @@
                 self.stage = Stage::Answered(ways, peer);
             }
             Stage::Called(hello) => {
-                let at = frame.len().checked_sub(CODE).ok_or(Ended::Unreadable)?;
+                let at = frame.len().checked_sub(CODE).ok_or(CloseReason::Malformed)?;
                 let (welcome, code) = frame.split_at(at);
-                let (id, peer) = read_greeting(welcome).ok_or(Ended::Unreadable)?;
+                let (id, peer) = read_greeting(welcome).ok_or(CloseReason::Malformed)?;
                 let mut ways =
-                    self.keys.marked(id).map(|k| (k, Way::new(k, true, &hello, welcome))).peekable();
-                ways.peek().ok_or(Ended::Key)?;
+                    self.keys.with_id(id).map(|k| (k, Way::new(k, true, &hello, welcome))).peekable();
+                ways.peek().ok_or(CloseReason::UntrustedKey)?;
                 let proved = ways.find_map(|(key, mut way)| {
                     way.open(Kind::Greeting as u8, &[], code).then(|| (key.clone(), way))
                 });
-                let (key, way) = proved.ok_or(Ended::Forged)?;
-                let mut away = Way::new(self.keys.first(), false, &hello, welcome);
+                let (key, way) = proved.ok_or(CloseReason::InvalidMac)?;
+                let mut away = Way::new(self.keys.signing_key(), false, &hello, welcome);
                 away.seal(Kind::Greeting, &[], &mut self.out);
                 self.away = Some(away);
                 self.peer = Some(peer);
                 self.stage = Stage::Open(key, way);
             }
             Stage::Answered(ways, peer) => {
-                let (kind, body, code) = parts(frame).ok_or(Ended::Unreadable)?;
+                let (kind, body, code) = parts(frame).ok_or(CloseReason::Malformed)?;
                 let proved = ways.into_iter().find_map(|(key, mut way)| {
                     (kind == Kind::Greeting as u8 && way.open(kind, body, code)).then_some((key, way))
                 });
-                let (key, way) = proved.ok_or(Ended::Forged)?;
+                let (key, way) = proved.ok_or(CloseReason::InvalidMac)?;
                 self.peer = Some(peer);
                 self.stage = Stage::Open(key, way);
             }
             Stage::Open(key, mut way) => {
-                let (kind, body, code) = parts(frame).ok_or(Ended::Unreadable)?;
+                let (kind, body, code) = parts(frame).ok_or(CloseReason::Malformed)?;
                 if !way.open(kind, body, code) {
-                    return Err(Ended::Forged);
+                    return Err(CloseReason::InvalidMac);
                 }
                 if kind == Kind::Record as u8 {
                     self.kept += body.len();
@@ -302,25 +316,25 @@
     ///
     /// # Errors
     /// Why it is not taken.
-    pub fn send(&mut self, record: &[u8]) -> Result<(), Unsent> {
-        if record.len() > RECORD + HEAD {
-            return Err(Unsent::TooLong);
+    pub fn send(&mut self, record: &[u8]) -> Result<(), SendError> {
+        if record.len() > MAX_RECORD_BYTES + HEAD {
+            return Err(SendError::TooLong);
         }
         match (&self.stage, &mut self.away) {
             (Stage::Open(..), Some(away)) => {
-                if self.out.len() + self.writing + record.len() > WAITING.1 {
-                    return Err(Unsent::Full);
+                if self.out.len() + self.writing + record.len() > MAX_QUEUED_BYTES {
+                    return Err(SendError::QueueFull);
                 }
                 away.seal(Kind::Record, record, &mut self.out);
                 Ok(())
             }
-            (Stage::Over(_), _) => Err(Unsent::Closed),
-            _ => Err(Unsent::Unknown),
+            (Stage::Over(_), _) => Err(SendError::Closed),
+            _ => Err(SendError::UnknownGateway),
         }
     }
 
     /// The next record that has come. What came whole before the end is still given after it.
-    pub fn record(&mut self) -> Option<Vec<u8>> {
+    pub fn next_record(&mut self) -> Option<Vec<u8>> {
         let record = self.records.pop_front()?;
         self.kept -= record.len();
         Some(record)
@@ -328,11 +342,11 @@
 
     /// So much waits to be taken that nothing more is to be read.
     pub fn is_full(&self) -> bool {
-        self.kept >= WAITING.1 || self.records.len() >= WAITING.0
+        self.kept >= MAX_QUEUED_BYTES || self.records.len() >= MAX_QUEUED_MESSAGES
     }
 
-    /// Octets to be written; [`Session::wrote`] tells when they are.
-    pub fn out(&mut self, now: Micros) -> Vec<u8> {
+    /// Octets to be written; [`Session::written`] tells when they are.
+    pub fn take_output(&mut self, now: Micros) -> Vec<u8> {
         let out = std::mem::take(&mut self.out);
         if !out.is_empty() {
             self.said = now;
@@ -345,26 +359,26 @@
     }
 
     /// The way took octets that were handed out.
-    pub fn wrote(&mut self, octets: usize, now: Micros) {
+    pub fn written(&mut self, octets: usize, now: Micros) {
         self.writing = self.writing.saturating_sub(octets);
         self.taken = now;
     }
 
     /// There is something to be handed out.
-    pub fn has_out(&self) -> bool {
+    pub fn has_output(&self) -> bool {
         !self.out.is_empty()
     }
 
     /// Octets that wait to be written or are being written.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_bytes(&self) -> usize {
         self.out.len() + self.writing
     }
 
     /// Time has passed.
-    pub fn wake(&mut self, now: Micros) {
+    pub fn on_timer(&mut self, now: Micros) {
         // Who stood still cannot blame the other end for it: what came meanwhile has not been read yet.
         let late = now.saturating_sub(self.due);
-        if late > self.patience.beat {
+        if late > self.timeouts.keepalive {
             for at in [&mut self.began, &mut self.heard, &mut self.taken] {
                 *at += late;
             }
@@ -373,23 +387,23 @@
             // Nothing is read just now.
             self.heard = now;
         }
-        let patience = self.patience;
+        let timeouts = self.timeouts;
         match &self.stage {
             Stage::Over(_) => {}
             Stage::Open(..) => {
-                let stuck = self.writing > 0 && now >= self.taken + patience.silent;
-                if now >= self.heard + patience.silent || stuck {
-                    self.end(Ended::Silent);
-                } else if now >= self.said + patience.beat && self.waiting() == 0 {
+                let stuck = self.writing > 0 && now >= self.taken + timeouts.idle;
+                if now >= self.heard + timeouts.idle || stuck {
+                    self.close(CloseReason::TimedOut);
+                } else if now >= self.said + timeouts.keepalive && self.queued_bytes() == 0 {
                     if let Some(away) = &mut self.away {
                         away.seal(Kind::Beat, &[], &mut self.out);
                     }
                 }
             }
-            _ if now >= self.began + patience.prove => self.end(Ended::Unproved),
+            _ if now >= self.began + timeouts.handshake => self.close(CloseReason::HandshakeTimeout),
             _ => {}
         }
-        self.due = now + patience.beat / 2;
+        self.due = now + timeouts.keepalive / 2;
     }
 
     /// When it wants to be woken.
@@ -402,15 +416,15 @@
     }
 
     /// The ring is this now: an end whose key is not in it any more is let go.
-    pub fn keys(&mut self, keys: &Keys) {
-        if matches!(&self.stage, Stage::Open(key, _) if !keys.has(key)) {
-            self.end(Ended::Key);
+    pub fn set_keys(&mut self, keys: &Keys) {
+        if matches!(&self.stage, Stage::Open(key, _) if !keys.contains(key)) {
+            self.close(CloseReason::UntrustedKey);
         }
         self.keys = keys.clone();
     }
 
     /// Ends the stream.
-    pub fn end(&mut self, why: Ended) {
+    pub fn close(&mut self, why: CloseReason) {
         if !matches!(self.stage, Stage::Over(_)) {
             self.stage = Stage::Over(why);
             self.come = Vec::new();
@@ -424,7 +438,7 @@
     }
 
     /// Why it has ended, if it has.
-    pub fn ended(&self) -> Option<Ended> {
+    pub fn close_reason(&self) -> Option<CloseReason> {
         match self.stage {
             Stage::Over(why) => Some(why),
             _ => None,
@@ -432,19 +446,19 @@
     }
 
     /// Who is at the other end, if it has been proved.
-    pub fn peer(&self) -> Option<&Me> {
+    pub fn peer(&self) -> Option<&Identity> {
         self.peer.as_ref()
     }
 }
 
 /// The mark of a greeting's key, and whose it is.
-fn read_greeting(bytes: &[u8]) -> Option<(u32, Me)> {
+fn read_greeting(bytes: &[u8]) -> Option<(u32, Identity)> {
     let (version, rest) = bytes.split_first()?;
     let (id, rest) = rest.split_first_chunk::<4>()?;
     let (_, rest) = rest.split_first_chunk::<NONCE>()?;
-    let (life, rest) = rest.split_first_chunk::<8>()?;
+    let (incarnation, rest) = rest.split_first_chunk::<8>()?;
     let (name, rest) = name(rest)?;
-    let peer = Me { name: name.to_owned(), life: u64::from_be_bytes(*life) };
+    let peer = Identity { name: name.to_owned(), incarnation: u64::from_be_bytes(*incarnation) };
     (*version == VERSION && rest.is_empty()).then_some((u32::from_be_bytes(*id), peer))
 }
 
--- a/crates/transport/src/sim.rs
+++ b/crates/transport/src/sim.rs
@@ -2,7 +2,7 @@
 //! late and stuck, ways are cut one way at a time, and somebody in between may change what passes. The same seed and calls give
 //! the same history.
 //!
-//! [`Dice`], [`Queue`] and [`Weather`] are for simulated fleets of their own too. [`Net`] carries the two traits, with the same
+//! [`SeededRng`], [`EventQueue`] and [`LinkConditions`] are for simulated fleets of their own too. [`Network`] carries the two traits, with the same
 //! [`Session`] and the same seals as on sockets.
 
 use std::cell::{OnceCell, RefCell};
@@ -10,8 +10,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::rc::Rc;
 
-use crate::session::{Ended, Me, Patience, Session};
-use crate::{seal, Keys, Messages, Micros, Records, Unsent, RECORD, WAITING};
+use crate::session::{CloseReason, Identity, Session, Timeouts};
+use crate::{seal, Keys, Messages, Micros, Records, SendError, MAX_QUEUED_MESSAGES, MAX_RECORD_BYTES};
 
 /// Octets of a stream that are under way or unread at once, and in one piece.
 const WINDOW: usize = 256 << 10;
@@ -20,9 +20,9 @@
 const AGAIN: Micros = 200_000;
 
 /// The next number of a sequence (SplitMix64).
-pub fn draw(dice: &mut u64) -> u64 {
-    *dice = dice.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    let mut z = *dice;
+pub fn splitmix64(state: &mut u64) -> u64 {
+    *state = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    let mut z = *state;
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     z ^ (z >> 31)
@@ -30,33 +30,33 @@
 
 /// A sequence of numbers drawn from a seed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Dice(pub u64);
+pub struct SeededRng(pub u64);
 
-impl Dice {
+impl SeededRng {
     /// The next number.
-    pub fn draw(&mut self) -> u64 {
-        draw(&mut self.0)
+    pub fn next_u64(&mut self) -> u64 {
+        splitmix64(&mut self.0)
     }
 
     /// The next number from 0 to 1.
-    pub fn roll(&mut self) -> f64 {
-        (self.draw() >> 11) as f64 / (1u64 << 53) as f64
+    pub fn next_f64(&mut self) -> f64 {
+        (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 }
 
 /// What is yet to come, by its time; what comes at one time comes in the order in which it was put.
 #[derive(Debug, Clone)]
-pub struct Queue<E> {
+pub struct EventQueue<E> {
     /// The virtual time.
     pub now: Micros,
     order: u64,
     events: BinaryHeap<Reverse<(Micros, u64, E)>>,
 }
 
-impl<E: Ord> Queue<E> {
+impl<E: Ord> EventQueue<E> {
     /// Nothing is to come.
     pub fn new(now: Micros) -> Self {
-        Queue { now, order: 0, events: BinaryHeap::new() }
+        EventQueue { now, order: 0, events: BinaryHeap::new() }
     }
 
     /// Something is to come.
@@ -78,45 +78,45 @@
 
 /// What the network does to single messages.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Weather {
+pub struct LinkConditions {
     /// Share that gets lost.
     pub loss: f64,
     /// Least and most delay.
     pub delay: (Micros, Micros),
     /// Share that comes twice, and share with an octet spoilt.
-    pub copies: f64,
+    pub duplicates: f64,
     /// See `copies`.
-    pub spoilt: f64,
+    pub corrupted: f64,
 }
 
-impl Default for Weather {
+impl Default for LinkConditions {
     fn default() -> Self {
-        Weather { loss: 0.0, delay: (500, 3_000), copies: 0.0, spoilt: 0.0 }
+        LinkConditions { loss: 0.0, delay: (500, 3_000), duplicates: 0.0, corrupted: 0.0 }
     }
 }
 
-impl Weather {
+impl LinkConditions {
     /// Carries a message: gives its copies that come, each with its delay.
-    pub fn carry(&self, dice: &mut Dice, mut bytes: Vec<u8>) -> Vec<(Micros, Vec<u8>)> {
-        if dice.roll() < self.loss {
+    pub fn transmit(&self, rng: &mut SeededRng, mut bytes: Vec<u8>) -> Vec<(Micros, Vec<u8>)> {
+        if rng.next_f64() < self.loss {
             return Vec::new();
         }
-        if self.spoilt > 0.0 && dice.roll() < self.spoilt && !bytes.is_empty() {
-            let at = dice.draw() as usize % bytes.len();
-            bytes[at] ^= 1 << (dice.draw() % 8);
+        if self.corrupted > 0.0 && rng.next_f64() < self.corrupted && !bytes.is_empty() {
+            let at = rng.next_u64() as usize % bytes.len();
+            bytes[at] ^= 1 << (rng.next_u64() % 8);
         }
-        let copies = 1 + usize::from(self.copies > 0.0 && dice.roll() < self.copies);
-        (0..copies).map(|_| (self.delay(dice), bytes.clone())).collect()
+        let count = 1 + usize::from(self.duplicates > 0.0 && rng.next_f64() < self.duplicates);
+        (0..count).map(|_| (self.delay(rng), bytes.clone())).collect()
     }
 
-    fn delay(&self, dice: &mut Dice) -> Micros {
+    fn delay(&self, rng: &mut SeededRng) -> Micros {
         let (least, most) = self.delay;
-        least + (dice.roll() * (most - least) as f64) as Micros
+        least + (rng.next_f64() * (most - least) as f64) as Micros
     }
 }
 
 /// Changes what passes from one gateway to another: a message, or a piece of a stream.
-pub type Meddler = Box<dyn FnMut(&str, &str, &mut Vec<u8>)>;
+pub type Interceptor = Box<dyn FnMut(&str, &str, &mut Vec<u8>)>;
 
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -148,11 +148,11 @@
 }
 
 struct Inner {
-    queue: Queue<Event>,
-    dice: Dice,
-    weather: Weather,
+    queue: EventQueue<Event>,
+    rng: SeededRng,
+    conditions: LinkConditions,
     cuts: BTreeSet<(String, String)>,
-    meddler: Option<Meddler>,
+    interceptor: Option<Interceptor>,
     gateways: BTreeMap<String, Gateway>,
     streams: BTreeMap<u64, [End; 2]>,
     next: u64,
@@ -160,17 +160,17 @@
 
 /// A network. Copies are handles of the same one.
 #[derive(Clone)]
-pub struct Net(Rc<RefCell<Inner>>);
+pub struct Network(Rc<RefCell<Inner>>);
 
-impl Net {
+impl Network {
     /// A network without gateways.
-    pub fn new(seed: u64, weather: Weather) -> Net {
-        Net(Rc::new(RefCell::new(Inner {
-            queue: Queue::new(1_000_000),
-            dice: Dice(seed),
-            weather,
+    pub fn new(seed: u64, conditions: LinkConditions) -> Network {
+        Network(Rc::new(RefCell::new(Inner {
+            queue: EventQueue::new(1_000_000),
+            rng: SeededRng(seed),
+            conditions,
             cuts: BTreeSet::new(),
-            meddler: None,
+            interceptor: None,
             gateways: BTreeMap::new(),
             streams: BTreeMap::new(),
             next: 0,
@@ -183,8 +183,8 @@
     }
 
     /// The network is like this from now on.
-    pub fn weather(&self, weather: Weather) {
-        self.0.borrow_mut().weather = weather;
+    pub fn set_conditions(&self, conditions: LinkConditions) {
+        self.0.borrow_mut().conditions = conditions;
     }
 
     /// Nothing passes from one to the other from now on, or it does again. Messages are lost, streams are late.
@@ -199,8 +199,8 @@
     }
 
     /// Somebody stands in between from now on.
-    pub fn meddle(&self, meddler: Option<Meddler>) {
-        self.0.borrow_mut().meddler = meddler;
+    pub fn set_interceptor(&self, interceptor: Option<Interceptor>) {
+        self.0.borrow_mut().interceptor = interceptor;
     }
 
     /// Something comes to a gateway that nobody of ours has sent.
@@ -210,27 +210,27 @@
     }
 
     /// A gateway's messages. One of the same name takes the place of an earlier one.
-    pub fn post(&self, name: &str, keys: &Keys) -> Post {
+    pub fn mailbox(&self, name: &str, keys: &Keys) -> Mailbox {
         let gateway = Gateway { keys: keys.clone(), come: VecDeque::new() };
         self.0.borrow_mut().gateways.insert(name.to_owned(), gateway);
-        Post { net: self.clone(), name: name.to_owned() }
+        Mailbox { net: self.clone(), name: name.to_owned() }
     }
 
     /// A stream between two gateways: the calling end and the other one. They prove themselves as time passes.
     ///
     /// # Errors
     /// If one of them is not there.
-    pub fn connect(&self, from: &str, to: &str, patience: Patience) -> Result<(Stream, Stream), Unsent> {
+    pub fn connect(&self, from: &str, to: &str, timeouts: Timeouts) -> Result<(Stream, Stream), SendError> {
         let inner = &mut *self.0.borrow_mut();
         let (now, id) = (inner.queue.now, inner.next);
-        let mut end = |name: &str, make: fn(Me, Keys, Patience, [u8; 32], Micros) -> Session| {
-            let keys = inner.gateways.get(name).ok_or(Unsent::Unknown)?.keys.clone();
+        let mut end = |name: &str, make: fn(Identity, Keys, Timeouts, [u8; 32], Micros) -> Session| {
+            let keys = inner.gateways.get(name).ok_or(SendError::UnknownGateway)?.keys.clone();
             let mut nonce = [0; 32];
-            nonce.chunks_mut(8).for_each(|part| part.copy_from_slice(&inner.dice.draw().to_be_bytes()));
-            let me = Me { name: name.to_owned(), life: inner.dice.draw() };
+            nonce.chunks_mut(8).for_each(|part| part.copy_from_slice(&inner.rng.next_u64().to_be_bytes()));
+            let identity = Identity { name: name.to_owned(), incarnation: inner.rng.next_u64() };
             Ok(End {
                 name: name.to_owned(),
-                session: make(me, keys, patience, nonce, now),
+                session: make(identity, keys, timeouts, nonce, now),
                 sending: VecDeque::new(),
                 flying: VecDeque::new(),
                 last: now,
@@ -241,7 +241,7 @@
                 dropped: false,
             })
         };
-        let ends = [end(from, Session::call)?, end(to, Session::answer)?];
+        let ends = [end(from, Session::connect)?, end(to, Session::accept)?];
         inner.streams.insert(id, ends);
         inner.next += 1;
         inner.settle(id);
@@ -267,7 +267,7 @@
             Event::Message(to, bytes) => {
                 let Some(gateway) = self.gateways.get_mut(&to) else { return };
                 if let Some(message) = seal::open(&gateway.keys, &to, &bytes) {
-                    if gateway.come.len() >= WAITING.0 {
+                    if gateway.come.len() >= MAX_QUEUED_MESSAGES {
                         gateway.come.pop_front();
                     }
                     gateway.come.push_back(message);
@@ -277,7 +277,7 @@
                 let now = self.queue.now;
                 let Some(ends) = self.streams.get_mut(&id) else { return };
                 let way = (ends[1 - to].name.clone(), ends[to].name.clone());
-                if self.cuts.contains(&way) || self.dice.roll() < self.weather.loss {
+                if self.cuts.contains(&way) || self.rng.next_f64() < self.conditions.loss {
                     return self.queue.push(now + AGAIN, Event::Piece(id, to));
                 }
                 match ends[1 - to].flying.pop_front() {
@@ -290,7 +290,7 @@
                 let now = self.queue.now;
                 let Some(ends) = self.streams.get_mut(&id) else { return };
                 if ends[end].planned == planned {
-                    ends[end].session.wake(now);
+                    ends[end].session.on_timer(now);
                     self.settle(id);
                 }
             }
@@ -306,28 +306,28 @@
             let (end, other) = if at == 0 { (&mut left[0], &right[0]) } else { (&mut right[0], &left[0]) };
             while !end.unread.is_empty() && !end.session.is_full() {
                 let piece: Vec<u8> = end.unread.drain(..end.unread.len().min(PIECE)).collect();
-                end.session.feed(&piece, now);
+                end.session.receive(&piece, now);
             }
             if end.gone && end.unread.is_empty() {
-                end.session.end(Ended::Broken);
+                end.session.close(CloseReason::Disconnected);
             }
-            end.sending.extend(end.session.out(now));
+            end.sending.extend(end.session.take_output(now));
             let under_way = |end: &End| end.flying.iter().flatten().map(Vec::len).sum::<usize>();
             while !end.sending.is_empty() && under_way(end) + other.unread.len() < WINDOW {
                 let mut piece: Vec<u8> = end.sending.drain(..end.sending.len().min(PIECE)).collect();
-                end.session.wrote(piece.len(), now);
-                if let Some(meddle) = &mut self.meddler {
-                    meddle(&end.name, &other.name, &mut piece);
+                end.session.written(piece.len(), now);
+                if let Some(intercept) = &mut self.interceptor {
+                    intercept(&end.name, &other.name, &mut piece);
                 }
                 end.flying.push_back(Some(piece));
-                end.last = end.last.max(now + self.weather.delay(&mut self.dice));
+                end.last = end.last.max(now + self.conditions.delay(&mut self.rng));
                 self.queue.push(end.last, Event::Piece(id, 1 - at));
             }
-            if end.session.ended().is_some() && !end.said_gone {
+            if end.session.close_reason().is_some() && !end.said_gone {
                 end.said_gone = true;
                 end.sending.clear();
                 end.flying.push_back(None);
-                end.last = end.last.max(now + self.weather.delay(&mut self.dice));
+                end.last = end.last.max(now + self.conditions.delay(&mut self.rng));
                 self.queue.push(end.last, Event::Piece(id, 1 - at));
             }
             let wake = end.session.next_wake();
@@ -342,25 +342,25 @@
     }
 }
 
-/// A gateway's messages on a [`Net`].
-pub struct Post {
-    net: Net,
+/// A gateway's messages on a [`Network`].
+pub struct Mailbox {
+    net: Network,
     name: String,
 }
 
-impl Messages for Post {
-    fn send(&mut self, to: &str, bytes: &[u8]) -> Result<(), Unsent> {
+impl Messages for Mailbox {
+    fn send(&mut self, to: &str, bytes: &[u8]) -> Result<(), SendError> {
         let inner = &mut *self.net.0.borrow_mut();
-        let keys = &inner.gateways.get(&self.name).ok_or(Unsent::Closed)?.keys;
-        let mut sealed = seal::seal(keys, &self.name, to, bytes).ok_or(Unsent::TooLong)?;
+        let keys = &inner.gateways.get(&self.name).ok_or(SendError::Closed)?.keys;
+        let mut sealed = seal::seal(keys, &self.name, to, bytes).ok_or(SendError::TooLong)?;
         if !inner.gateways.contains_key(to) {
-            return Err(Unsent::Unknown);
+            return Err(SendError::UnknownGateway);
         }
         if !inner.cuts.contains(&(self.name.clone(), to.to_owned())) {
-            if let Some(meddle) = &mut inner.meddler {
-                meddle(&self.name, to, &mut sealed);
+            if let Some(intercept) = &mut inner.interceptor {
+                intercept(&self.name, to, &mut sealed);
             }
-            for (delay, bytes) in inner.weather.carry(&mut inner.dice, sealed) {
+            for (delay, bytes) in inner.conditions.transmit(&mut inner.rng, sealed) {
                 inner.queue.push(inner.queue.now + delay, Event::Message(to.to_owned(), bytes));
             }
         }
@@ -372,9 +372,9 @@
     }
 }
 
-/// One end of a stream on a [`Net`]. It ends when it is dropped.
+/// One end of a stream on a [`Network`]. It ends when it is dropped.
 pub struct Stream {
-    net: Net,
+    net: Network,
     id: u64,
     end: usize,
     peer: OnceCell<String>,
@@ -400,7 +400,7 @@
         if let Ok(mut inner) = self.net.0.try_borrow_mut() {
             if let Some(ends) = inner.streams.get_mut(&self.id) {
                 ends[self.end].dropped = true;
-                ends[self.end].session.end(Ended::Closed);
+                ends[self.end].session.close(CloseReason::Closed);
                 inner.settle(self.id);
             }
         }
@@ -408,15 +408,15 @@
 }
 
 impl Records for Stream {
-    fn send(&mut self, record: &[u8]) -> Result<(), Unsent> {
-        if record.len() > RECORD {
-            return Err(Unsent::TooLong);
+    fn send(&mut self, record: &[u8]) -> Result<(), SendError> {
+        if record.len() > MAX_RECORD_BYTES {
+            return Err(SendError::TooLong);
         }
-        self.with(|session| session.send(record)).unwrap_or(Err(Unsent::Closed))
+        self.with(|session| session.send(record)).unwrap_or(Err(SendError::Closed))
     }
 
     fn next(&mut self) -> Option<Vec<u8>> {
-        self.with(Session::record).flatten()
+        self.with(Session::next_record).flatten()
     }
 
     /// Empty until it is proved.
@@ -429,6 +429,6 @@
     }
 
     fn is_closed(&self) -> bool {
-        self.with(|session| session.ended().is_some()).unwrap_or(true)
+        self.with(|session| session.close_reason().is_some()).unwrap_or(true)
     }
 }
--- a/crates/transport/src/sockets.rs
+++ b/crates/transport/src/sockets.rs
@@ -17,57 +17,57 @@
 use futures_lite::future;
 use violetward_net::Clock;
 
-pub use call::{serve, CallError, Caller, Why};
+pub use call::{serve, CallError, CallFailure, Caller};
 pub use stream::{accept, dial, Stream};
 
 use crate::seal::{self, AROUND};
-use crate::session::{Me, Patience};
-use crate::{Keys, Messages, Unsent, MESSAGE, WAITING};
+use crate::session::{Identity, Timeouts};
+use crate::{Keys, Messages, SendError, MAX_MESSAGE_BYTES, MAX_QUEUED_MESSAGES};
 
-/// Names whose addresses a [`Post`] knows at most.
+/// Names whose addresses a [`Mailbox`] knows at most.
 const PLACES: usize = 4_096;
 /// Ports tried until one is free for datagrams and streams alike.
 const TRIES: usize = 16;
 
 /// What all sockets of one gateway share.
-pub struct Station {
+pub struct Endpoint {
     executor: Rc<LocalExecutor<'static>>,
     clock: Clock,
-    me: Me,
+    identity: Identity,
     keys: RefCell<Keys>,
-    patience: Patience,
+    timeouts: Timeouts,
     streams: RefCell<Vec<Weak<stream::Line>>>,
 }
 
-impl Station {
-    /// A station. Its tasks run as long as the executor does.
+impl Endpoint {
+    /// A endpoint. Its tasks run as long as the executor does.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         clock: Clock,
-        me: Me,
+        identity: Identity,
         keys: Keys,
-        patience: Patience,
-    ) -> Rc<Station> {
-        Rc::new(Station {
+        timeouts: Timeouts,
+    ) -> Rc<Endpoint> {
+        Rc::new(Endpoint {
             executor,
             clock,
-            me,
+            identity,
             keys: RefCell::new(keys),
-            patience,
+            timeouts,
             streams: RefCell::default(),
         })
     }
 
     /// The ring of keys is this now. Streams to ends whose key is not in it any more are let go.
-    pub fn keys(&self, keys: Keys) {
+    pub fn set_keys(&self, keys: Keys) {
         *self.keys.borrow_mut() = keys.clone();
         let lines: Vec<_> = self.streams.borrow().iter().filter_map(Weak::upgrade).collect();
-        lines.iter().for_each(|line| line.touch(|session, _| session.keys(&keys)));
+        lines.iter().for_each(|line| line.touch(|session, _| session.set_keys(&keys)));
     }
 
     /// Who this is.
-    pub fn me(&self) -> &Me {
-        &self.me
+    pub fn identity(&self) -> &Identity {
+        &self.identity
     }
 
     fn spawn(&self, task: impl Future<Output = ()> + 'static) {
@@ -135,59 +135,61 @@
 type Come = RefCell<VecDeque<(String, Vec<u8>)>>;
 
 /// Messages by name over datagrams.
-pub struct Post {
-    station: Rc<Station>,
+pub struct Mailbox {
+    endpoint: Rc<Endpoint>,
     datagrams: Rc<Datagrams>,
     places: BTreeMap<String, SocketAddr>,
     come: Rc<Come>,
 }
 
-impl Post {
+impl Mailbox {
     /// Takes messages from now on, until it is dropped.
-    pub fn start(station: &Rc<Station>, datagrams: Datagrams) -> Post {
+    pub fn start(endpoint: &Rc<Endpoint>, datagrams: Datagrams) -> Mailbox {
         let (datagrams, come) = (Rc::new(datagrams), Rc::<Come>::default());
-        station.spawn(read(Rc::downgrade(station), datagrams.clone(), Rc::downgrade(&come)));
-        Post { station: station.clone(), datagrams, places: BTreeMap::new(), come }
+        endpoint.spawn(read(Rc::downgrade(endpoint), datagrams.clone(), Rc::downgrade(&come)));
+        Mailbox { endpoint: endpoint.clone(), datagrams, places: BTreeMap::new(), come }
     }
 
     /// Where a gateway is reached from now on.
     ///
     /// # Errors
-    /// [`Unsent::Full`] if as many are known already as may.
-    pub fn place(&mut self, name: &str, address: SocketAddr) -> Result<(), Unsent> {
+    /// [`SendError::QueueFull`] if as many are known already as may.
+    pub fn set_address(&mut self, name: &str, address: SocketAddr) -> Result<(), SendError> {
         if self.places.len() >= PLACES && !self.places.contains_key(name) {
-            return Err(Unsent::Full);
+            return Err(SendError::QueueFull);
         }
         self.places.insert(name.to_owned(), address);
         Ok(())
     }
 
     /// A gateway is not known any more.
-    pub fn forget(&mut self, name: &str) {
+    pub fn remove_address(&mut self, name: &str) {
         self.places.remove(name);
     }
 }
 
-async fn read(station: Weak<Station>, datagrams: Rc<Datagrams>, come: Weak<Come>) {
+async fn read(endpoint: Weak<Endpoint>, datagrams: Rc<Datagrams>, come: Weak<Come>) {
     // One octet more than any good one tells a longer one.
-    let mut bytes = vec![0; MESSAGE + AROUND + 1];
+    let mut bytes = vec![0; MAX_MESSAGE_BYTES + AROUND + 1];
     loop {
         let (_, bytes) = datagrams.next(&mut bytes).await;
-        let (Some(station), Some(come)) = (station.upgrade(), come.upgrade()) else { return };
-        let Some(message) = seal::open(&station.keys.borrow(), &station.me.name, bytes) else { continue };
+        let (Some(endpoint), Some(come)) = (endpoint.upgrade(), come.upgrade()) else { return };
+        let Some(message) = seal::open(&endpoint.keys.borrow(), &endpoint.identity.name, bytes) else {
+            continue;
+        };
         let mut come = come.borrow_mut();
-        if come.len() >= WAITING.0 {
+        if come.len() >= MAX_QUEUED_MESSAGES {
             come.pop_front();
         }
         come.push_back(message);
     }
 }
 
-impl Messages for Post {
-    fn send(&mut self, to: &str, bytes: &[u8]) -> Result<(), Unsent> {
-        let keys = self.station.keys.borrow();
-        let sealed = seal::seal(&keys, &self.station.me.name, to, bytes).ok_or(Unsent::TooLong)?;
-        self.datagrams.send(*self.places.get(to).ok_or(Unsent::Unknown)?, &sealed);
+impl Messages for Mailbox {
+    fn send(&mut self, to: &str, bytes: &[u8]) -> Result<(), SendError> {
+        let keys = self.endpoint.keys.borrow();
+        let sealed = seal::seal(&keys, &self.endpoint.identity.name, to, bytes).ok_or(SendError::TooLong)?;
+        self.datagrams.send(*self.places.get(to).ok_or(SendError::UnknownGateway)?, &sealed);
         Ok(())
     }
 
--- a/crates/transport/src/sockets/call.rs
+++ b/crates/transport/src/sockets/call.rs
@@ -13,9 +13,9 @@
 use futures_lite::future;
 
 use super::stream::{accepted, dial};
-use super::{Station, Stream};
-use crate::session::Ended;
-use crate::{Unsent, RECORD, WAITING};
+use super::{Endpoint, Stream};
+use crate::session::CloseReason;
+use crate::{SendError, MAX_QUEUED_BYTES, MAX_RECORD_BYTES};
 
 /// Calls that are out on one stream at once, on either side.
 const AT_ONCE: usize = 256;
@@ -41,36 +41,36 @@
 /// Why there is no answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
-pub enum Why {
-    /// The record is longer than [`RECORD`].
+pub enum CallFailure {
+    /// The record is longer than [`MAX_RECORD_BYTES`].
     TooLong,
     /// As much is out already as may be.
-    Full,
+    QueueFull,
     /// There is no stream to that address, and none could be opened.
-    Unreached(Ended),
+    Unreachable(CloseReason),
     /// Another gateway is there, of this name.
-    Other(String),
+    WrongGateway(String),
     /// The other end has as much in hand as it takes.
-    Busy,
+    Overloaded,
     /// The time is over.
-    Late,
+    TimedOut,
     /// The stream ended while the call was out.
-    Ended(Ended),
+    StreamClosed(CloseReason),
     /// The answer was too long to be sent.
-    Answer,
+    AnswerTooLong,
 }
 
-impl fmt::Display for Why {
+impl fmt::Display for CallFailure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Why::TooLong => f.write_str("the record is too long"),
-            Why::Full => f.write_str("too much is out already"),
-            Why::Unreached(why) => write!(f, "no stream could be opened: {why}"),
-            Why::Other(name) => write!(f, "it is {name} that is reached there"),
-            Why::Busy => f.write_str("the other end has too much in hand"),
-            Why::Late => f.write_str("the time is over"),
-            Why::Ended(why) => write!(f, "the stream ended: {why}"),
-            Why::Answer => f.write_str("the answer was too long"),
+            CallFailure::TooLong => f.write_str("the record is too long"),
+            CallFailure::QueueFull => f.write_str("too much is out already"),
+            CallFailure::Unreachable(why) => write!(f, "no stream could be opened: {why}"),
+            CallFailure::WrongGateway(name) => write!(f, "it is {name} that is reached there"),
+            CallFailure::Overloaded => f.write_str("the other end has too much in hand"),
+            CallFailure::TimedOut => f.write_str("the time is over"),
+            CallFailure::StreamClosed(why) => write!(f, "the stream ended: {why}"),
+            CallFailure::AnswerTooLong => f.write_str("the answer was too long"),
         }
     }
 }
@@ -79,19 +79,19 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallError {
     /// The record was surely not given to the other end's handler, and never will be.
-    NotDelivered(Why),
+    NotDelivered(CallFailure),
     /// It may have been, or may be yet.
-    MayBeDelivered(Why),
+    MayBeDelivered(CallFailure),
 }
 
 impl CallError {
     /// The record was surely not given to the other end's handler, and never will be.
-    pub fn surely_not(&self) -> bool {
+    pub fn is_undelivered(&self) -> bool {
         matches!(self, CallError::NotDelivered(_))
     }
 
     /// Why.
-    pub fn why(&self) -> &Why {
+    pub fn why(&self) -> &CallFailure {
         let (CallError::NotDelivered(why) | CallError::MayBeDelivered(why)) = self;
         why
     }
@@ -128,7 +128,7 @@
 
 impl Line {
     fn is_free(&self) -> bool {
-        self.stream.ended().is_none() && self.out.borrow().len() < AT_ONCE
+        self.stream.close_reason().is_none() && self.out.borrow().len() < AT_ONCE
     }
 
     async fn call(&self, record: &[u8], sent: &Cell<bool>) -> Answer {
@@ -138,13 +138,19 @@
         let _out = Out(self, number);
         self.stream.send(&said(CALL, number, record)).map_err(|unsent| {
             CallError::NotDelivered(match unsent {
-                Unsent::TooLong => Why::TooLong,
-                Unsent::Full => Why::Full,
-                _ => Why::Unreached(self.stream.ended().unwrap_or(Ended::Broken)),
+                SendError::TooLong => CallFailure::TooLong,
+                SendError::QueueFull => CallFailure::QueueFull,
+                _ => {
+                    CallFailure::Unreachable(self.stream.close_reason().unwrap_or(CloseReason::Disconnected))
+                }
             })
         })?;
         sent.set(true);
-        let lost = || CallError::MayBeDelivered(Why::Ended(self.stream.ended().unwrap_or(Ended::Broken)));
+        let lost = || {
+            CallError::MayBeDelivered(CallFailure::StreamClosed(
+                self.stream.close_reason().unwrap_or(CloseReason::Disconnected),
+            ))
+        };
         receiver.recv().await.unwrap_or_else(|_| Err(lost()))
     }
 
@@ -156,8 +162,8 @@
                     let Some((tag, number, says)) = heard(&record) else { break };
                     let answer = match tag {
                         ANSWER => Ok(says.to_vec()),
-                        REFUSED => Err(CallError::NotDelivered(Why::Busy)),
-                        TOO_LONG => Err(CallError::MayBeDelivered(Why::Answer)),
+                        REFUSED => Err(CallError::NotDelivered(CallFailure::Overloaded)),
+                        TOO_LONG => Err(CallError::MayBeDelivered(CallFailure::AnswerTooLong)),
                         _ => break,
                     };
                     // One that nobody waits for any more is let go.
@@ -182,7 +188,7 @@
     lines: RefCell<Vec<Rc<Line>>>,
     dialing: Cell<bool>,
     /// How often no stream could be opened, and why at last.
-    failed: Cell<(u64, Option<Ended>)>,
+    failed: Cell<(u64, Option<CloseReason>)>,
     changed: Event,
 }
 
@@ -190,20 +196,20 @@
     /// The stream with the least to do.
     fn free(&self) -> Option<Rc<Line>> {
         let lines = self.lines.borrow();
-        lines.iter().filter(|line| line.is_free()).min_by_key(|line| line.stream.waiting()).cloned()
+        lines.iter().filter(|line| line.is_free()).min_by_key(|line| line.stream.queued_bytes()).cloned()
     }
 }
 
 /// Calls other gateways, over a few streams to each that are kept while they are used.
 pub struct Caller {
-    station: Rc<Station>,
+    endpoint: Rc<Endpoint>,
     places: RefCell<HashMap<SocketAddr, Rc<Place>>>,
 }
 
 impl Caller {
     /// A caller.
-    pub fn new(station: &Rc<Station>) -> Self {
-        Caller { station: station.clone(), places: RefCell::default() }
+    pub fn new(endpoint: &Rc<Endpoint>) -> Self {
+        Caller { endpoint: endpoint.clone(), places: RefCell::default() }
     }
 
     /// Sends a record to whichever gateway is there and waits for its answer.
@@ -217,55 +223,55 @@
     /// The same, if the gateway there has this name.
     ///
     /// # Errors
-    /// See [`Caller::call`]; [`Why::Other`] if it has another one.
+    /// See [`Caller::call`]; [`CallFailure::WrongGateway`] if it has another one.
     pub async fn call_named(&self, name: &str, to: SocketAddr, record: &[u8], within: Duration) -> Answer {
         self.within(Some(name), to, record, within).await
     }
 
     async fn within(&self, name: Option<&str>, to: SocketAddr, record: &[u8], within: Duration) -> Answer {
-        if record.len() > RECORD {
-            return Err(CallError::NotDelivered(Why::TooLong));
+        if record.len() > MAX_RECORD_BYTES {
+            return Err(CallError::NotDelivered(CallFailure::TooLong));
         }
         let sent = Cell::new(false);
         let work = async {
             let line = self.line(to).await.map_err(CallError::NotDelivered)?;
             let other = &line.stream.peer().name;
             if name.is_some_and(|name| name != other) {
-                return Err(CallError::NotDelivered(Why::Other(other.clone())));
+                return Err(CallError::NotDelivered(CallFailure::WrongGateway(other.clone())));
             }
             line.call(record, &sent).await
         };
         let late = || if sent.get() { CallError::MayBeDelivered } else { CallError::NotDelivered };
-        violetward_net::timeout(within, work).await.unwrap_or_else(|| Err(late()(Why::Late)))
+        violetward_net::timeout(within, work).await.unwrap_or_else(|| Err(late()(CallFailure::TimedOut)))
     }
 
     /// A stream to an address, opened if there is none.
-    async fn line(&self, to: SocketAddr) -> Result<Rc<Line>, Why> {
+    async fn line(&self, to: SocketAddr) -> Result<Rc<Line>, CallFailure> {
         let place = self.place(to)?;
         let failed = place.failed.get().0;
         loop {
             let changed = place.changed.listen();
             let line = place.free();
             let there = place.lines.borrow().len();
-            let wanted = line.as_ref().is_none_or(|line| line.stream.waiting() > BUSY);
+            let wanted = line.as_ref().is_none_or(|line| line.stream.queued_bytes() > BUSY);
             if wanted && there < STREAMS && !place.dialing.replace(true) {
-                self.station.spawn(open(self.station.clone(), place.clone(), to));
+                self.endpoint.spawn(open(self.endpoint.clone(), place.clone(), to));
             }
             match (line, place.failed.get()) {
                 (Some(line), _) => return Ok(line),
-                (None, (count, Some(why))) if count > failed => return Err(Why::Unreached(why)),
-                (None, _) if there == STREAMS => return Err(Why::Full),
+                (None, (count, Some(why))) if count > failed => return Err(CallFailure::Unreachable(why)),
+                (None, _) if there == STREAMS => return Err(CallFailure::QueueFull),
                 _ => changed.await,
             }
         }
     }
 
-    fn place(&self, to: SocketAddr) -> Result<Rc<Place>, Why> {
+    fn place(&self, to: SocketAddr) -> Result<Rc<Place>, CallFailure> {
         let mut places = self.places.borrow_mut();
         if places.len() >= ADDRESSES && !places.contains_key(&to) {
             places.retain(|_, place| Rc::strong_count(place) > 1 || !place.lines.borrow().is_empty());
             if places.len() >= ADDRESSES {
-                return Err(Why::Full);
+                return Err(CallFailure::QueueFull);
             }
         }
         Ok(places.entry(to).or_default().clone())
@@ -273,8 +279,8 @@
 }
 
 /// Opens a stream, and keeps it among those of its address until it is over.
-async fn open(station: Rc<Station>, place: Rc<Place>, to: SocketAddr) {
-    let dialed = dial(&station, to).await;
+async fn open(endpoint: Rc<Endpoint>, place: Rc<Place>, to: SocketAddr) {
+    let dialed = dial(&endpoint, to).await;
     place.dialing.set(false);
     match dialed {
         Ok(stream) => {
@@ -336,7 +342,7 @@
 /// Takes calls until it is dropped: each goes to `handler` with the name of the gateway that it comes from, and what that
 /// returns is the answer. Calls are handled at once and answered as they are done, at most 256 of a stream and 8 MiB; what is past
 /// that is refused. What was begun is done even if its caller is gone.
-pub async fn serve<H, F>(station: Rc<Station>, listener: Async<TcpListener>, handler: H)
+pub async fn serve<H, F>(endpoint: Rc<Endpoint>, listener: Async<TcpListener>, handler: H)
 where
     H: Fn(String, Vec<u8>) -> F + 'static,
     F: Future<Output = Vec<u8>> + 'static,
@@ -350,12 +356,12 @@
             violetward_net::sleep(REST).await;
             continue;
         };
-        let stream = accepted(&station, socket);
+        let stream = accepted(&endpoint, socket);
         let id = taken.next.replace(taken.next.get() + 1);
         // Guards against ends that connect and prove nothing: the oldest of them give way to new ones.
         Taken::hold(&taken.unproved, (String::new(), id, Box::new(stream.end())), UNPROVED, |_| true);
-        let (station, handler, taken) = (station.clone(), handler.clone(), taken.clone());
-        let spawner = station.clone();
+        let (endpoint, handler, taken) = (endpoint.clone(), handler.clone(), taken.clone());
+        let spawner = endpoint.clone();
         spawner.spawn(async move {
             let end = Box::new(stream.end());
             let opened = stream.opened().await;
@@ -368,7 +374,7 @@
                 let oldest = taken.proved.borrow_mut().pop_front();
                 oldest.iter().for_each(|(_, _, end)| end());
             }
-            answer(&station, stream, &*handler).await;
+            answer(&endpoint, stream, &*handler).await;
             Taken::drop(&taken.proved, id);
         });
     }
@@ -384,7 +390,7 @@
     }
 }
 
-async fn answer<H, F>(station: &Station, stream: Stream, handler: &H)
+async fn answer<H, F>(endpoint: &Endpoint, stream: Stream, handler: &H)
 where
     H: Fn(String, Vec<u8>) -> F,
     F: Future<Output = Vec<u8>> + 'static,
@@ -394,7 +400,7 @@
     while let Some(record) = stream.recv().await {
         let Some((CALL, number, says)) = heard(&record) else { break };
         let (calls, octets) = in_hand.get();
-        if calls >= AT_ONCE || octets + says.len() > WAITING.1 {
+        if calls >= AT_ONCE || octets + says.len() > MAX_QUEUED_BYTES {
             reply(&stream, REFUSED, number, &[]).await;
             continue;
         }
@@ -402,9 +408,9 @@
         let held = InHand(in_hand.clone(), says.len());
         let work = handler(stream.peer().name.clone(), says.to_vec());
         let stream = stream.clone();
-        station.spawn(async move {
+        endpoint.spawn(async move {
             let answer = work.await;
-            if answer.len() > RECORD {
+            if answer.len() > MAX_RECORD_BYTES {
                 reply(&stream, TOO_LONG, number, &[]).await;
             } else {
                 reply(&stream, ANSWER, number, &answer).await;
@@ -417,7 +423,7 @@
 
 /// Sends an answer once there is room for it; gives up with the stream.
 async fn reply(stream: &Stream, tag: u8, number: u32, says: &[u8]) {
-    while stream.send(&said(tag, number, says)) == Err(Unsent::Full) {
-        stream.less().await;
+    while stream.send(&said(tag, number, says)) == Err(SendError::QueueFull) {
+        stream.wait_for_space().await;
     }
 }
--- a/crates/transport/src/sockets/stream.rs
+++ b/crates/transport/src/sockets/stream.rs
@@ -10,9 +10,9 @@
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use violetward_net::{Alarm, Clock};
 
-use super::Station;
-use crate::session::{Ended, Me, Session};
-use crate::{Micros, Records, Unsent, RECORD};
+use super::Endpoint;
+use crate::session::{CloseReason, Identity, Session};
+use crate::{Micros, Records, SendError, MAX_RECORD_BYTES};
 
 /// Octets read at once.
 const READ: usize = 16 << 10;
@@ -35,12 +35,12 @@
     pub(super) fn touch<T>(&self, act: impl FnOnce(&mut Session, Micros) -> T) -> T {
         let mut session = self.session.borrow_mut();
         let result = act(&mut session, self.clock.now());
-        if session.ended().is_some() {
+        if session.close_reason().is_some() {
             for event in [&self.over, &self.come, &self.less] {
                 event.notify(usize::MAX);
             }
         }
-        if session.has_out() {
+        if session.has_output() {
             self.more.notify(1);
         }
         if !session.is_full() {
@@ -57,8 +57,9 @@
     async fn run(self: Rc<Self>, socket: Async<TcpStream>) {
         socket.get_ref().set_nodelay(true).ok();
         let work = future::or(self.read(&socket), self.write(&socket));
-        let why = future::or(self.until(&self.over, Session::ended), future::or(work, self.watch())).await;
-        self.touch(|session, _| session.end(why));
+        let why =
+            future::or(self.until(&self.over, Session::close_reason), future::or(work, self.watch())).await;
+        self.touch(|session, _| session.close(why));
     }
 
     /// Waits on an event until something can be said of the session.
@@ -72,13 +73,13 @@
         }
     }
 
-    async fn read(&self, mut socket: &Async<TcpStream>) -> Ended {
+    async fn read(&self, mut socket: &Async<TcpStream>) -> CloseReason {
         let mut bytes = vec![0; READ];
         loop {
             self.until(&self.room, |session| (!session.is_full()).then_some(())).await;
             match socket.read(&mut bytes).await {
-                Ok(0) | Err(_) => return Ended::Broken,
-                Ok(size) => self.touch(|session, now| session.feed(&bytes[..size], now)),
+                Ok(0) | Err(_) => return CloseReason::Disconnected,
+                Ok(size) => self.touch(|session, now| session.receive(&bytes[..size], now)),
             }
             self.come.notify(usize::MAX);
             // A flood must not keep the thread's other tasks waiting.
@@ -86,16 +87,16 @@
         }
     }
 
-    async fn write(&self, mut socket: &Async<TcpStream>) -> Ended {
+    async fn write(&self, mut socket: &Async<TcpStream>) -> CloseReason {
         loop {
-            self.until(&self.more, |session| session.has_out().then_some(())).await;
-            let bytes = self.touch(Session::out);
+            self.until(&self.more, |session| session.has_output().then_some(())).await;
+            let bytes = self.touch(Session::take_output);
             let mut rest = &bytes[..];
             while !rest.is_empty() {
                 match socket.write(rest).await {
-                    Ok(0) | Err(_) => return Ended::Broken,
+                    Ok(0) | Err(_) => return CloseReason::Disconnected,
                     Ok(size) => {
-                        self.touch(|session, now| session.wrote(size, now));
+                        self.touch(|session, now| session.written(size, now));
                         self.less.notify(usize::MAX);
                         rest = &rest[size..];
                     }
@@ -104,10 +105,10 @@
         }
     }
 
-    async fn watch(&self) -> Ended {
+    async fn watch(&self) -> CloseReason {
         loop {
             self.alarm.wait(&self.clock, || Some(self.look(Session::next_wake))).await;
-            self.touch(Session::wake);
+            self.touch(Session::on_timer);
         }
     }
 }
@@ -115,40 +116,40 @@
 /// A stream of records over TCP. It ends when it is dropped.
 pub struct Stream {
     line: Rc<Line>,
-    peer: Me,
+    peer: Identity,
 }
 
-/// Calls a station and proves itself; the other end is proved when this returns well.
+/// Calls a endpoint and proves itself; the other end is proved when this returns well.
 ///
 /// # Errors
 /// Why there is no stream.
-pub async fn dial(station: &Rc<Station>, to: SocketAddr) -> Result<Stream, Ended> {
-    let span = Duration::from_micros(station.patience.prove);
+pub async fn dial(endpoint: &Rc<Endpoint>, to: SocketAddr) -> Result<Stream, CloseReason> {
+    let span = Duration::from_micros(endpoint.timeouts.handshake);
     let connected = violetward_net::timeout(span, Async::<TcpStream>::connect(to)).await;
-    let socket = connected.ok_or(Ended::Silent)?.map_err(|_| Ended::Broken)?;
-    start(station, socket, true).opened().await
+    let socket = connected.ok_or(CloseReason::TimedOut)?.map_err(|_| CloseReason::Disconnected)?;
+    start(endpoint, socket, true).opened().await
 }
 
 /// Proves itself on a connection that came in; the other end is proved when this returns well.
 ///
 /// # Errors
 /// Why there is no stream.
-pub async fn accept(station: &Rc<Station>, socket: Async<TcpStream>) -> Result<Stream, Ended> {
-    accepted(station, socket).opened().await
+pub async fn accept(endpoint: &Rc<Endpoint>, socket: Async<TcpStream>) -> Result<Stream, CloseReason> {
+    accepted(endpoint, socket).opened().await
 }
 
 /// The end of a connection that came in, not proved yet.
-pub(super) fn accepted(station: &Rc<Station>, socket: Async<TcpStream>) -> Unproved {
-    start(station, socket, false)
+pub(super) fn accepted(endpoint: &Rc<Endpoint>, socket: Async<TcpStream>) -> Unproved {
+    start(endpoint, socket, false)
 }
 
-fn start(station: &Rc<Station>, socket: Async<TcpStream>, calls: bool) -> Unproved {
-    let make = if calls { Session::call } else { Session::answer };
-    let (me, keys) = (station.me.clone(), station.keys.borrow().clone());
-    let session = make(me, keys, station.patience, rand::random(), station.clock.now());
+fn start(endpoint: &Rc<Endpoint>, socket: Async<TcpStream>, calls: bool) -> Unproved {
+    let make = if calls { Session::connect } else { Session::accept };
+    let (identity, keys) = (endpoint.identity.clone(), endpoint.keys.borrow().clone());
+    let session = make(identity, keys, endpoint.timeouts, rand::random(), endpoint.clock.now());
     let line = Rc::new(Line {
         session: RefCell::new(session),
-        clock: station.clock,
+        clock: endpoint.clock,
         alarm: Alarm::default(),
         more: Event::new(),
         less: Event::new(),
@@ -156,10 +157,10 @@
         room: Event::new(),
         over: Event::new(),
     });
-    let mut streams = station.streams.borrow_mut();
+    let mut streams = endpoint.streams.borrow_mut();
     streams.retain(|line| line.strong_count() > 0);
     streams.push(Rc::downgrade(&line));
-    station.spawn(line.clone().run(socket));
+    endpoint.spawn(line.clone().run(socket));
     Unproved(line)
 }
 
@@ -168,8 +169,8 @@
 
 impl Unproved {
     /// Waits for the proof.
-    pub(super) async fn opened(self) -> Result<Stream, Ended> {
-        let proved = |session: &Session| match (session.ended(), session.peer()) {
+    pub(super) async fn opened(self) -> Result<Stream, CloseReason> {
+        let proved = |session: &Session| match (session.close_reason(), session.peer()) {
             (Some(why), _) => Some(Err(why)),
             (None, Some(peer)) if session.is_open() => Some(Ok(peer.clone())),
             _ => None,
@@ -183,7 +184,7 @@
         let line = Rc::downgrade(&self.0);
         move || {
             if let Some(line) = line.upgrade() {
-                line.touch(|session, _| session.end(Ended::Closed));
+                line.touch(|session, _| session.close(CloseReason::Closed));
             }
         }
     }
@@ -194,10 +195,10 @@
     pub async fn recv(&self) -> Option<Vec<u8>> {
         loop {
             let come = self.line.come.listen();
-            if let Some(record) = self.line.touch(|session, _| session.record()) {
+            if let Some(record) = self.line.touch(|session, _| session.next_record()) {
                 return Some(record);
             }
-            if self.line.look(Session::ended).is_some() {
+            if self.line.look(Session::close_reason).is_some() {
                 return None;
             }
             come.await;
@@ -208,36 +209,36 @@
     ///
     /// # Errors
     /// Why it is not taken.
-    pub fn send(&self, record: &[u8]) -> Result<(), Unsent> {
+    pub fn send(&self, record: &[u8]) -> Result<(), SendError> {
         self.line.touch(|session, _| session.send(record))
     }
 
     /// Waits until the other end has taken something more, or the stream is over.
-    pub async fn less(&self) {
+    pub async fn wait_for_space(&self) {
         let less = self.line.less.listen();
-        if self.ended().is_none() {
+        if self.close_reason().is_none() {
             less.await;
         }
     }
 
     /// Octets that wait for the other end to take them.
-    pub fn waiting(&self) -> usize {
-        self.line.look(Session::waiting)
+    pub fn queued_bytes(&self) -> usize {
+        self.line.look(Session::queued_bytes)
     }
 
     /// Who is at the other end.
-    pub fn peer(&self) -> &Me {
+    pub fn peer(&self) -> &Identity {
         &self.peer
     }
 
     /// Why it is over, if it is.
-    pub fn ended(&self) -> Option<Ended> {
-        self.line.look(Session::ended)
+    pub fn close_reason(&self) -> Option<CloseReason> {
+        self.line.look(Session::close_reason)
     }
 
     /// Ends it; what has come and was not taken can still be taken.
     pub fn close(&self) {
-        self.line.touch(|session, _| session.end(Ended::Closed));
+        self.line.touch(|session, _| session.close(CloseReason::Closed));
     }
 }
 
@@ -248,15 +249,15 @@
 }
 
 impl Records for Stream {
-    fn send(&mut self, record: &[u8]) -> Result<(), Unsent> {
-        if record.len() > RECORD {
-            return Err(Unsent::TooLong);
+    fn send(&mut self, record: &[u8]) -> Result<(), SendError> {
+        if record.len() > MAX_RECORD_BYTES {
+            return Err(SendError::TooLong);
         }
         Stream::send(self, record)
     }
 
     fn next(&mut self) -> Option<Vec<u8>> {
-        self.line.touch(|session, _| session.record())
+        self.line.touch(|session, _| session.next_record())
     }
 
     fn peer(&self) -> &str {
@@ -264,6 +265,6 @@
     }
 
     fn is_closed(&self) -> bool {
-        self.ended().is_some()
+        self.close_reason().is_some()
     }
 }
--- a/crates/transport/tests/sockets.rs
+++ b/crates/transport/tests/sockets.rs
@@ -10,9 +10,11 @@
 use async_io::Async;
 use futures_lite::future;
 use violetward_net::{sleep, Clock};
-use violetward_transport::session::{Ended, Me, Patience};
-use violetward_transport::sockets::{bind, dial, serve, CallError, Caller, Datagrams, Post, Station, Why};
-use violetward_transport::{Key, Keys, Messages, Records, RECORD};
+use violetward_transport::session::{CloseReason, Identity, Timeouts};
+use violetward_transport::sockets::{
+    bind, dial, serve, CallError, CallFailure, Caller, Datagrams, Endpoint, Mailbox,
+};
+use violetward_transport::{Key, Keys, Messages, Records, MAX_RECORD_BYTES};
 
 const LONG: Duration = Duration::from_secs(20);
 const BRIEF: Duration = Duration::from_millis(5);
@@ -25,15 +27,15 @@
 
 type Executor = Rc<LocalExecutor<'static>>;
 
-fn station(executor: &Executor, name: &str, keys: &[&str]) -> Rc<Station> {
-    let patience = Patience { prove: 1_000_000, beat: 200_000, silent: 2_000_000 };
-    let me = Me { name: name.into(), life: 7 };
-    Station::new(executor.clone(), Clock::new(), me, ring(keys), patience)
+fn endpoint(executor: &Executor, name: &str, keys: &[&str]) -> Rc<Endpoint> {
+    let timeouts = Timeouts { handshake: 1_000_000, keepalive: 200_000, idle: 2_000_000 };
+    let identity = Identity { name: name.into(), incarnation: 7 };
+    Endpoint::new(executor.clone(), Clock::new(), identity, ring(keys), timeouts)
 }
 
-/// A station that answers with the caller's name and what it said; what begins with `hold` it never answers.
-fn echo(executor: &Executor, name: &str, keys: &[&str]) -> (Rc<Station>, SocketAddr, Datagrams) {
-    let station = station(executor, name, keys);
+/// A endpoint that answers with the caller's name and what it said; what begins with `hold` it never answers.
+fn echo(executor: &Executor, name: &str, keys: &[&str]) -> (Rc<Endpoint>, SocketAddr, Datagrams) {
+    let endpoint = endpoint(executor, name, keys);
     let (datagrams, listener) = bind(([127, 0, 0, 1], 0).into()).expect("two sockets");
     let address = datagrams.address().expect("its address");
     assert_eq!(listener.get_ref().local_addr().expect("its address"), address);
@@ -43,8 +45,8 @@
         }
         [from.into_bytes(), says].concat()
     };
-    executor.spawn(serve(station.clone(), listener, handler)).detach();
-    (station, address, datagrams)
+    executor.spawn(serve(endpoint.clone(), listener, handler)).detach();
+    (endpoint, address, datagrams)
 }
 
 fn run<F: Future<Output = ()>>(test: impl FnOnce(Executor) -> F) {
@@ -56,17 +58,19 @@
 fn many_calls_at_once_get_their_own_answers() {
     run(|executor| async move {
         let (_g2, to, _) = echo(&executor, "g2", &["new", "old"]);
-        let caller = Rc::new(Caller::new(&station(&executor, "g1", &["old", "new"])));
+        let caller = Rc::new(Caller::new(&endpoint(&executor, "g1", &["old", "new"])));
         let calls: Vec<_> = (0..400_usize)
             .map(|n| {
                 let caller = caller.clone();
-                let record = vec![n as u8; if n % 100 == 0 { RECORD - 2 } else { n }];
+                let record = vec![n as u8; if n % 100 == 0 { MAX_RECORD_BYTES - 2 } else { n }];
                 executor.spawn(async move {
                     loop {
                         match caller.call_named("g2", to, &record, LONG).await {
                             Ok(answer) => break assert!(answer[..2] == *b"g1" && answer[2..] == record[..]),
                             // More at once than may be out, or be in hand there: surely not delivered, so sent again.
-                            Err(CallError::NotDelivered(Why::Full | Why::Busy)) => sleep(BRIEF).await,
+                            Err(CallError::NotDelivered(
+                                CallFailure::QueueFull | CallFailure::Overloaded,
+                            )) => sleep(BRIEF).await,
                             Err(other) => panic!("{other}"),
                         }
                     }
@@ -76,8 +80,8 @@
         for call in calls {
             call.await;
         }
-        let too_long = caller.call(to, &vec![0; RECORD + 1], LONG).await;
-        assert_eq!(too_long, Err(CallError::NotDelivered(Why::TooLong)));
+        let too_long = caller.call(to, &vec![0; MAX_RECORD_BYTES + 1], LONG).await;
+        assert_eq!(too_long, Err(CallError::NotDelivered(CallFailure::TooLong)));
     });
 }
 
@@ -85,29 +89,35 @@
 fn what_was_surely_not_delivered_is_told_apart_from_what_may_have_been() {
     run(|executor| async move {
         let (g2, to, _) = echo(&executor, "g2", &["key"]);
-        let caller = Caller::new(&station(&executor, "g1", &["key"]));
+        let caller = Caller::new(&endpoint(&executor, "g1", &["key"]));
         let free = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
         let nobody = caller.call(free, b"x", LONG).await;
-        assert_eq!(nobody, Err(CallError::NotDelivered(Why::Unreached(Ended::Broken))));
+        assert_eq!(nobody, Err(CallError::NotDelivered(CallFailure::Unreachable(CloseReason::Disconnected))));
         let other = caller.call_named("g3", to, b"x", LONG).await;
-        assert_eq!(other, Err(CallError::NotDelivered(Why::Other("g2".into()))));
-        let stranger = Caller::new(&station(&executor, "g9", &["another"]));
-        assert!(stranger.call(to, b"x", LONG).await.expect_err("its key is not believed").surely_not());
+        assert_eq!(other, Err(CallError::NotDelivered(CallFailure::WrongGateway("g2".into()))));
+        let stranger = Caller::new(&endpoint(&executor, "g9", &["another"]));
+        assert!(stranger.call(to, b"x", LONG).await.expect_err("its key is not believed").is_undelivered());
         // Somebody who takes connections and says nothing: given up in bounded time, and nothing was said to him.
         let mute = TcpListener::bind("127.0.0.1:0").expect("a port");
         let silent = caller.call(mute.local_addr().expect("its address"), b"x", LONG).await;
-        assert_eq!(silent, Err(CallError::NotDelivered(Why::Unreached(Ended::Unproved))));
+        assert_eq!(
+            silent,
+            Err(CallError::NotDelivered(CallFailure::Unreachable(CloseReason::HandshakeTimeout)))
+        );
 
         let late = caller.call(to, b"hold", Duration::from_millis(200)).await;
-        assert_eq!(late, Err(CallError::MayBeDelivered(Why::Late)));
+        assert_eq!(late, Err(CallError::MayBeDelivered(CallFailure::TimedOut)));
         // The ring there has no key of ours any more: the stream ends, and with it what is out on it.
         let cut = async {
             sleep(Duration::from_millis(100)).await;
-            g2.keys(ring(&["another"]));
+            g2.set_keys(ring(&["another"]));
             future::pending().await
         };
         let broken = future::or(caller.call(to, b"hold", LONG), cut).await;
-        assert_eq!(broken, Err(CallError::MayBeDelivered(Why::Ended(Ended::Broken))));
+        assert_eq!(
+            broken,
+            Err(CallError::MayBeDelivered(CallFailure::StreamClosed(CloseReason::Disconnected)))
+        );
     });
 }
 
@@ -130,7 +140,7 @@
         for _ in 0..300 {
             silent.push(Async::<TcpStream>::connect(to).await.expect("a connection"));
         }
-        let caller = Caller::new(&station(&executor, "g1", &["key"]));
+        let caller = Caller::new(&endpoint(&executor, "g1", &["key"]));
         assert_eq!(caller.call(to, b"!", LONG).await.as_deref(), Ok(&b"g1!"[..]));
         for stream in &silent {
             ended(stream.get_ref()).await;
@@ -167,17 +177,17 @@
             }
             (near, far, back)
         });
-        let (g1, g2) = (station(&executor, "g1", &["key"]), station(&executor, "g2", &["key"]));
+        let (g1, g2) = (endpoint(&executor, "g1", &["key"]), endpoint(&executor, "g2", &["key"]));
         executor.spawn(serve(g2, listener, |_, says| async move { says })).detach();
         let mut stream = dial(&g1, by).await.expect("a stream");
         let start = Instant::now();
         let mut most = 0;
         while !stream.is_closed() && start.elapsed() < LONG {
             while Records::send(&mut stream, &[7; 100_000]).is_ok() {}
-            most = most.max(stream.waiting());
+            most = most.max(stream.queued_bytes());
             sleep(Duration::from_millis(20)).await;
         }
-        assert_eq!(stream.ended(), Some(Ended::Silent));
+        assert_eq!(stream.close_reason(), Some(CloseReason::TimedOut));
         assert!(most > 4 << 20 && most <= (8 << 20) + 100, "{most} octets waited");
         drop(stop.join());
     });
@@ -190,12 +200,12 @@
             let key = if name == "g9" { "another" } else { "key" };
             let (datagrams, _) = bind(([127, 0, 0, 1], 0).into()).expect("two sockets");
             let address = datagrams.address().expect("its address");
-            (Post::start(&station(&executor, name, &[key]), datagrams), address)
+            (Mailbox::start(&endpoint(&executor, name, &[key]), datagrams), address)
         });
         let [(mut g1, _), (mut g2, to), (mut g9, _)] = posts;
         for post in [&mut g1, &mut g9] {
-            post.place("g2", to).expect("room");
-            post.place("g3", to).expect("room");
+            post.set_address("g2", to).expect("room");
+            post.set_address("g3", to).expect("room");
         }
         g9.send("g2", b"a stranger's").expect("sent");
         g1.send("g3", b"another's").expect("sent");
--- a/crates/windows/tests/histories.rs
+++ b/crates/windows/tests/histories.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use violetward_agreement::sim::{draw, Fleet};
+use violetward_agreement::sim::{splitmix64, Fleet};
 use violetward_agreement::Outcome;
 use violetward_windows::cover::{Cover, Engine, Part, Spare, Terms as CoverTerms};
 use violetward_windows::find::{Margins, Outlook};
@@ -136,7 +136,7 @@
     }
 
     fn draw(&mut self, of: u64) -> u64 {
-        draw(&mut self.dice) % of
+        splitmix64(&mut self.dice) % of
     }
 
     fn count(&mut self, what: &'static str) {
