--- a/crates/contracts/src/store.rs
+++ b/crates/contracts/src/store.rs
@@ -6,8 +6,8 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use violetward_store::faulty::{Disk, FAULTS};
-use violetward_store::{Kept, Store, StoreError, NAME, VALUE};
+use violetward_store::faulty::{SimulatedDisk, ALL_FAULTS};
+use violetward_store::{Store, StoreError, StoredValue, MAX_NAME_LENGTH, MAX_VALUE_BYTES};
 
 /// What a store is played on. Each play begins with a new one.
 pub trait Stage {
@@ -21,7 +21,7 @@
     fn open(&mut self) -> Result<Self::Store, StoreError>;
 
     /// The disks under it. A stopped one has stopped the process, or the copy on it.
-    fn disks(&self) -> Vec<Disk>;
+    fn disks(&self) -> Vec<SimulatedDisk>;
 
     /// Whether what is put outlasts a process.
     fn lasts(&self) -> bool {
@@ -30,7 +30,7 @@
 
     /// Characters of the longest name, and octets of the longest value.
     fn most(&self) -> (usize, usize) {
-        (NAME, VALUE)
+        (MAX_NAME_LENGTH, MAX_VALUE_BYTES)
     }
 
     /// Time goes by until a process that is gone, or says nothing, counts as gone; what keeps copies starts again.
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone, Default)]
 struct Expected {
     /// What was acknowledged, or read, last.
-    sure: Option<Kept>,
+    sure: Option<StoredValue>,
     /// What may be there in its place: put since, and neither acknowledged nor refused.
     perhaps: Vec<Vec<u8>>,
 }
@@ -84,7 +84,7 @@
 
     /// Whether a fault has stopped something: what fails then says nothing.
     fn stopped(&self) -> bool {
-        self.stage.disks().iter().any(Disk::is_stopped)
+        self.stage.disks().iter().any(SimulatedDisk::is_stopped)
     }
 
     fn open(&mut self) -> Result<(), String> {
@@ -98,20 +98,20 @@
                     return Ok(());
                 }
                 // One planned failure may hit the opening.
-                Err(StoreError::Io(_) | StoreError::Unsure(_)) => {}
+                Err(StoreError::Io(_) | StoreError::Indeterminate(_)) => {}
                 Err(e) => return Err(format!("it cannot be opened: {e}")),
             }
             if self.stopped() {
                 self.crash();
             }
-            self.stage.disks().iter().for_each(Disk::free);
+            self.stage.disks().iter().for_each(SimulatedDisk::free);
         }
         Err("it cannot be opened".into())
     }
 
     fn crash(&mut self) {
         self.store = None;
-        self.stage.disks().iter().for_each(Disk::crash);
+        self.stage.disks().iter().for_each(SimulatedDisk::crash);
         self.stage.wait();
         if !self.stage.lasts() {
             self.model.clear();
@@ -131,9 +131,9 @@
                 if let Some(sure) = expected.sure.as_ref().filter(|sure| sure.writes >= writes) {
                     return Err(format!("count {writes} after {}", sure.writes));
                 }
-                *expected = Expected { sure: Some(Kept { bytes, writes }), perhaps: vec![] };
+                *expected = Expected { sure: Some(StoredValue { bytes, writes }), perhaps: vec![] };
             }
-            Err(StoreError::Unsure(_)) => expected.perhaps.push(bytes),
+            Err(StoreError::Indeterminate(_)) => expected.perhaps.push(bytes),
             Err(StoreError::Io(_)) if stopped => expected.perhaps.push(bytes),
             Err(StoreError::Io(_)) => {}
             Err(e) => return Err(format!("put: {e}")),
@@ -159,7 +159,7 @@
                 *expected = Expected { sure: found, perhaps: vec![] };
                 Ok(true)
             }
-            Err(StoreError::Io(_) | StoreError::Unsure(_)) => Ok(false),
+            Err(StoreError::Io(_) | StoreError::Indeterminate(_)) => Ok(false),
             Err(e) => Err(format!("get: {e}")),
         }
     }
@@ -201,7 +201,7 @@
                     if self.stopped() {
                         self.crash();
                     }
-                    self.stage.disks().iter().for_each(Disk::free);
+                    self.stage.disks().iter().for_each(SimulatedDisk::free);
                     if again > 4 {
                         return Err("nothing can be read any more".into());
                     }
@@ -213,7 +213,7 @@
 }
 
 fn operations<S: Stage>(stage: &S) -> usize {
-    stage.disks().iter().map(Disk::operations).sum()
+    stage.disks().iter().map(SimulatedDisk::operations).sum()
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -242,12 +242,12 @@
     let result = TestRunner::new_with_rng(config, rng).run(&(steps(), any::<u64>()), |(steps, seed)| {
         let mut calm = Play::new(stage(seed));
         calm.run(&steps).map_err(|why| TestCaseError::fail(format!("without a fault: {why}")))?;
-        let counts: Vec<usize> = calm.stage.disks().iter().map(Disk::operations).collect();
+        let counts: Vec<usize> = calm.stage.disks().iter().map(SimulatedDisk::operations).collect();
         let mut now = tried.get();
         now.operations += operations(&calm.stage);
         now.plays += 1;
         for (disk, &count) in counts.iter().enumerate() {
-            for (at, fault) in (0..count).flat_map(|at| FAULTS.map(|fault| (at, fault))) {
+            for (at, fault) in (0..count).flat_map(|at| ALL_FAULTS.map(|fault| (at, fault))) {
                 let mut play = Play::new(stage(seed ^ (at as u64) << 8));
                 play.stage.disks()[disk].plan(at, fault);
                 now.plays += 1;
@@ -303,13 +303,14 @@
     let long = "n".repeat(longest + 1);
     for name in ["", ".", "..", ".a", "A", "a/b", "a~", "a b", "\u{e4}", "a\0", &long] {
         let (put, got) = (store.put(name, b"x"), store.get(name));
-        if !matches!((&put, &got), (Err(StoreError::Unfit(_)), Err(StoreError::Unfit(_)))) {
+        if !matches!((&put, &got), (Err(StoreError::Invalid(_)), Err(StoreError::Invalid(_)))) {
             return Err(format!("{name:?}: {put:?}, {got:?}"));
         }
     }
     let wide = vec![7; value + 1];
     let name = &long[1..];
-    if !matches!(store.put(name, &wide), Err(StoreError::Unfit(_))) || !matches!(store.get(name), Ok(None)) {
+    if !matches!(store.put(name, &wide), Err(StoreError::Invalid(_))) || !matches!(store.get(name), Ok(None))
+    {
         return Err("a value that is too long is taken".into());
     }
     store.put(name, &wide[1..]).map_err(|e| e.to_string())?;
@@ -326,7 +327,7 @@
 /// How it is broken.
 pub fn tells_spoilt<S: Stage>(mut stage: S) -> Result<usize, String> {
     let disk = stage.disks().into_iter().next().ok_or("there is no disk")?;
-    let values = |stage: &mut S| -> Result<Vec<Result<Option<Kept>, StoreError>>, String> {
+    let values = |stage: &mut S| -> Result<Vec<Result<Option<StoredValue>, StoreError>>, String> {
         let mut store = stage.open().map_err(|e| e.to_string())?;
         Ok(NAMES.iter().map(|name| store.get(name)).collect())
     };
@@ -341,7 +342,7 @@
         disk.set_files(files);
         tried += 1;
         match &values(&mut stage)?[spoilt] {
-            Err(StoreError::Spoilt(_)) if what != "foreign" => Ok(()),
+            Err(StoreError::Corrupt(_)) if what != "foreign" => Ok(()),
             Err(StoreError::Foreign(_)) if what == "foreign" => Ok(()),
             other => Err(format!("{what}: {other:?}")),
         }
@@ -379,7 +380,7 @@
     }
     drop(store);
     stage.wait();
-    let old: Vec<_> = stage.disks().iter().map(Disk::files).collect();
+    let old: Vec<_> = stage.disks().iter().map(SimulatedDisk::files).collect();
     let mut store = stage.open().map_err(|e| e.to_string())?;
     let newest = store.put(NAMES[0], b"newest").map_err(|e| e.to_string())?;
     drop(store);
--- a/crates/contracts/tests/store.rs
+++ b/crates/contracts/tests/store.rs
@@ -9,22 +9,23 @@
 
 use violetward_contracts::store::{bounded, keeps, one_opens, tells_old, tells_spoilt, Stage};
 use violetward_store::copies::{
-    Answer, Ask, Copies, Copy, Epoch, Micros, Peers, Request, Terms, SHORTER, SMALLER,
+    Command, Config, Epoch, Micros, Replica, Replicas, ReplicatedStore, Request, Response,
+    MAX_REPLICATED_NAME_LENGTH, MAX_REPLICATED_VALUE_BYTES,
 };
-use violetward_store::faulty::{Disk, Faulty};
-use violetward_store::file::Files;
-use violetward_store::medium::{Folder, Medium};
-use violetward_store::memory::Memory;
-use violetward_store::{Kept, Store, StoreError};
+use violetward_store::faulty::{FaultyMedium, SimulatedDisk};
+use violetward_store::file::FileStore;
+use violetward_store::medium::{Directory, Medium};
+use violetward_store::memory::MemoryStore;
+use violetward_store::{Store, StoreError, StoredValue};
 
 struct InMemory;
 
 impl Stage for InMemory {
-    type Store = Memory;
-    fn open(&mut self) -> Result<Memory, StoreError> {
-        Ok(Memory::default())
+    type Store = MemoryStore;
+    fn open(&mut self) -> Result<MemoryStore, StoreError> {
+        Ok(MemoryStore::default())
     }
-    fn disks(&self) -> Vec<Disk> {
+    fn disks(&self) -> Vec<SimulatedDisk> {
         vec![]
     }
     fn lasts(&self) -> bool {
@@ -34,8 +35,8 @@
 
 /// A store on files, perhaps on a medium or in a wrapper that is broken on purpose.
 struct OnFiles<S> {
-    disk: Disk,
-    make: fn(Faulty) -> Result<S, StoreError>,
+    disk: SimulatedDisk,
+    make: fn(FaultyMedium) -> Result<S, StoreError>,
 }
 
 impl<S: Store> Stage for OnFiles<S> {
@@ -43,13 +44,13 @@
     fn open(&mut self) -> Result<S, StoreError> {
         (self.make)(self.disk.open())
     }
-    fn disks(&self) -> Vec<Disk> {
+    fn disks(&self) -> Vec<SimulatedDisk> {
         vec![self.disk.clone()]
     }
 }
 
-fn on<S: Store>(make: fn(Faulty) -> Result<S, StoreError>) -> impl Fn(u64) -> OnFiles<S> {
-    move |seed| OnFiles { disk: Disk::new(seed), make }
+fn on<S: Store>(make: fn(FaultyMedium) -> Result<S, StoreError>) -> impl Fn(u64) -> OnFiles<S> {
+    move |seed| OnFiles { disk: SimulatedDisk::new(seed), make }
 }
 
 #[test]
@@ -60,7 +61,7 @@
 
 #[test]
 fn the_store_on_files_keeps_its_contracts() {
-    let good = on(Files::on);
+    let good = on(FileStore::on_medium);
     let tried = keeps(1, 120, &good).unwrap();
     println!("{tried:?}");
     assert!(tried.plays > 4 * tried.operations, "{tried:?}");
@@ -89,11 +90,11 @@
 }
 
 impl Stage for InFolder {
-    type Store = Files<Folder>;
-    fn open(&mut self) -> Result<Files<Folder>, StoreError> {
-        Files::open(&self.0)
+    type Store = FileStore<Directory>;
+    fn open(&mut self) -> Result<FileStore<Directory>, StoreError> {
+        FileStore::open(&self.0)
     }
-    fn disks(&self) -> Vec<Disk> {
+    fn disks(&self) -> Vec<SimulatedDisk> {
         vec![]
     }
 }
@@ -116,7 +117,7 @@
     OneRead,
 }
 
-struct Bad(Faulty, Broken);
+struct Bad(FaultyMedium, Broken);
 
 impl Bad {
     fn file<'a>(&self, file: &'a str) -> &'a str {
@@ -165,17 +166,17 @@
     fn remove(&mut self, file: &str) -> io::Result<()> {
         self.0.remove(file)
     }
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         if self.1 == Broken::NoFolderSync {
             return Ok(());
         }
-        self.0.sync_folder()
+        self.0.sync_directory()
     }
 }
 
 macro_rules! bad {
     ($broken:ident) => {
-        on(|medium| Files::on(Bad(medium, Broken::$broken)))
+        on(|medium| FileStore::on_medium(Bad(medium, Broken::$broken)))
     };
 }
 
@@ -195,15 +196,15 @@
 
 /// A store that forgets the count, or acknowledges first and writes later.
 struct Wrapped {
-    store: Files<Faulty>,
+    store: FileStore<FaultyMedium>,
     forgets: bool,
     later: Option<(String, Vec<u8>)>,
     counts: BTreeMap<String, u64>,
 }
 
 impl Wrapped {
-    fn on(medium: Faulty, forgets: bool) -> Result<Wrapped, StoreError> {
-        Ok(Wrapped { store: Files::on(medium)?, forgets, later: None, counts: BTreeMap::new() })
+    fn on(medium: FaultyMedium, forgets: bool) -> Result<Wrapped, StoreError> {
+        Ok(Wrapped { store: FileStore::on_medium(medium)?, forgets, later: None, counts: BTreeMap::new() })
     }
     fn flush(&mut self) {
         let later = self.later.take();
@@ -212,11 +213,11 @@
 }
 
 impl Store for Wrapped {
-    fn get(&mut self, name: &str) -> Result<Option<Kept>, StoreError> {
+    fn get(&mut self, name: &str) -> Result<Option<StoredValue>, StoreError> {
         self.flush();
         let found = self.store.get(name)?;
         let writes = self.counts.get(name).copied().filter(|_| self.forgets);
-        Ok(found.map(|kept| Kept { writes: writes.unwrap_or(kept.writes), ..kept }))
+        Ok(found.map(|kept| StoredValue { writes: writes.unwrap_or(kept.writes), ..kept }))
     }
     fn put(&mut self, name: &str, bytes: &[u8]) -> Result<u64, StoreError> {
         self.flush();
@@ -259,22 +260,22 @@
 
 /// Three copies on disks of their own; the way to some may be cut.
 struct Three {
-    disks: Vec<Disk>,
+    disks: Vec<SimulatedDisk>,
     now: Cell<Micros>,
-    copies: RefCell<Vec<Option<Copy<Files<Faulty>>>>>,
+    copies: RefCell<Vec<Option<Replica<FileStore<FaultyMedium>>>>>,
     cut: RefCell<Vec<usize>>,
     old: RefCell<Vec<usize>>,
     lie: Lie,
 }
 
 impl Three {
-    fn answer(&self, copy: usize, request: &Request) -> Option<Answer> {
+    fn answer(&self, copy: usize, request: &Request) -> Option<Response> {
         let (mut copies, now) = (self.copies.borrow_mut(), self.now.get());
         if copies[copy].is_none() {
-            let store = Files::on(self.disks[copy].open()).ok();
-            copies[copy] = store.map(|store| Copy::new(store, LEASE, now));
+            let store = FileStore::on_medium(self.disks[copy].open()).ok();
+            copies[copy] = store.map(|store| Replica::new(store, LEASE, now));
         }
-        let answer = copies[copy].as_mut().map(|c| c.asked(now, request));
+        let answer = copies[copy].as_mut().map(|c| c.handle(now, request));
         if self.disks[copy].is_stopped() {
             copies[copy] = None;
             self.disks[copy].crash();
@@ -287,32 +288,34 @@
 #[derive(Clone)]
 struct Way(Rc<Three>);
 
-impl Peers for Way {
+impl Replicas for Way {
     fn now(&self) -> Micros {
         self.0.now.get()
     }
-    fn ask(&mut self, copy: usize, request: &Request) -> Option<Answer> {
+    fn request(&mut self, copy: usize, request: &Request) -> Option<Response> {
         self.0.now.set(self.0.now.get() + 100);
         if self.0.cut.borrow().contains(&copy) {
             return None;
         }
-        match (self.0.lie, &request.ask) {
-            (Lie::OneIsRead, Ask::Read(_)) => self.0.answer(0, request),
-            (Lie::OneIsWritten, Ask::Write(..)) if copy > 0 => Some(Answer::Written),
+        match (self.0.lie, &request.command) {
+            (Lie::OneIsRead, Command::Read(_)) => self.0.answer(0, request),
+            (Lie::OneIsWritten, Command::Write(..)) if copy > 0 => Some(Response::Written),
             (Lie::OneEpoch, _) => {
-                let epoch = Epoch { number: 1, life: 1 };
+                let epoch = Epoch { number: 1, incarnation: 1 };
                 self.0.answer(copy, &Request { epoch, ..request.clone() })
             }
-            (lie, ask) => match (self.0.answer(copy, request), ask) {
-                (Some(Answer::Newer(_)), Ask::Write(..)) if lie == Lie::NoFence => Some(Answer::Written),
+            (lie, command) => match (self.0.answer(copy, request), command) {
+                (Some(Response::Superseded(_)), Command::Write(..)) if lie == Lie::NoFence => {
+                    Some(Response::Written)
+                }
                 (answer, _) => answer,
             },
         }
     }
-    fn wait(&mut self, until: Micros) {
+    fn wait_until(&mut self, until: Micros) {
         self.0.now.set(until.max(self.0.now.get()));
     }
-    fn old(&mut self, copy: usize) {
+    fn on_stale(&mut self, copy: usize) {
         self.0.old.borrow_mut().push(copy);
     }
 }
@@ -325,7 +328,7 @@
 impl OnCopies {
     fn new(seed: u64, lie: Lie) -> OnCopies {
         let three = Three {
-            disks: (0..COPIES as u64).map(|n| Disk::new(seed.wrapping_add(n << 32))).collect(),
+            disks: (0..COPIES as u64).map(|n| SimulatedDisk::new(seed.wrapping_add(n << 32))).collect(),
             now: Cell::new(1),
             copies: RefCell::new((0..COPIES).map(|_| None).collect()),
             cut: RefCell::default(),
@@ -337,29 +340,30 @@
 }
 
 impl Stage for OnCopies {
-    type Store = Copies<Way>;
-    fn open(&mut self) -> Result<Copies<Way>, StoreError> {
+    type Store = ReplicatedStore<Way>;
+    fn open(&mut self) -> Result<ReplicatedStore<Way>, StoreError> {
         self.lives += 1;
-        let terms = Terms {
+        let terms = Config {
             owner: "g1".into(),
-            copies: COPIES,
+            replicas: COPIES,
             lease: LEASE,
-            again: LEASE / 20,
-            patience: LEASE / 2,
-            waiting: 8,
+            retry_interval: LEASE / 20,
+            timeout: LEASE / 2,
+            max_pending: 8,
         };
-        Copies::open(terms, self.lives, self.way.clone())
+        ReplicatedStore::open(terms, self.lives, self.way.clone())
     }
-    fn disks(&self) -> Vec<Disk> {
+    fn disks(&self) -> Vec<SimulatedDisk> {
         self.way.0.disks.clone()
     }
     fn most(&self) -> (usize, usize) {
-        (SHORTER, SMALLER)
+        (MAX_REPLICATED_NAME_LENGTH, MAX_REPLICATED_VALUE_BYTES)
     }
     fn wait(&mut self) {
         let three = &self.way.0;
         three.copies.borrow_mut().fill_with(|| None);
-        let nobody = Request { owner: "nobody".into(), epoch: Epoch::default(), number: 0, ask: Ask::Look };
+        let nobody =
+            Request { owner: "nobody".into(), epoch: Epoch::default(), number: 0, command: Command::Probe };
         (0..COPIES).for_each(|copy| drop(three.answer(copy, &nobody)));
         three.now.set(three.now.get() + 2 * LEASE);
     }
@@ -397,7 +401,7 @@
     three.cut.replace(vec![0]);
     assert_eq!(store.put("ends", b"two").unwrap(), 2);
     three.cut.replace(vec![0, 1]);
-    assert!(matches!(store.put("ends", b"three"), Err(StoreError::Unsure(_))));
+    assert!(matches!(store.put("ends", b"three"), Err(StoreError::Indeterminate(_))));
     assert!(matches!(store.get("ends"), Err(StoreError::Io(_))));
     three.cut.replace(vec![2]);
     // The third one alone has what is unsure: what stands is settled without it, and it does not come up later.
--- a/crates/gateway/src/agreement.rs
+++ b/crates/gateway/src/agreement.rs
@@ -16,8 +16,8 @@
 use violetward_agreement::wire::Said;
 use violetward_agreement::{Effect, EngineState, Fitness, Kept, ListEffect, Member, MemberTerms, Outcome};
 use violetward_net::Alarm;
-use violetward_store::file::Whole;
-use violetward_store::medium::Folder;
+use violetward_store::file::AtomicFiles;
+use violetward_store::medium::Directory;
 use violetward_store::StoreError;
 use violetward_windows::held::Grant;
 
@@ -52,7 +52,7 @@
     due: Event,
     waiting: RefCell<Option<async_channel::Sender<Outcome>>>,
     /// Where a voter's file is; held as long as this lives.
-    folder: Option<Arc<Mutex<Whole<Folder>>>>,
+    folder: Option<Arc<Mutex<AtomicFiles<Directory>>>>,
     /// The file cannot be used, or is an old copy: it stays as it is.
     stays: Cell<bool>,
     trouble: RefCell<Option<String>>,
--- a/crates/gateway/src/agreement/disk.rs
+++ b/crates/gateway/src/agreement/disk.rs
@@ -8,8 +8,8 @@
 
 use violetward_agreement::wire::{self, Spoilt};
 use violetward_agreement::Kept;
-use violetward_store::file::Whole;
-use violetward_store::medium::Folder;
+use violetward_store::file::AtomicFiles;
+use violetward_store::medium::Directory;
 use violetward_store::StoreError;
 
 use super::asking::fetch_status_since;
@@ -26,8 +26,8 @@
 const WRITE_AGAIN: Duration = Duration::from_secs(1);
 
 /// Takes the folder for this process alone.
-pub(super) fn open(terms: &AgreementTerms) -> Result<Whole<Folder>, StoreError> {
-    Whole::open(Folder::new(&terms.folder, LOCK)?)
+pub(super) fn open(terms: &AgreementTerms) -> Result<AtomicFiles<Directory>, StoreError> {
+    AtomicFiles::open(Directory::new(&terms.folder, LOCK)?)
 }
 
 /// What keeps a folder's file from being used.
@@ -84,7 +84,10 @@
 }
 
 /// Reads what was kept; what keeps this one from voting, if something does.
-pub(super) fn read(folder: &mut Whole<Folder>, terms: &AgreementTerms) -> Result<(Kept, u64), String> {
+pub(super) fn read(
+    folder: &mut AtomicFiles<Directory>,
+    terms: &AgreementTerms,
+) -> Result<(Kept, u64), String> {
     let file = terms.folder.join(KEPT);
     let shown = file.display();
     let bytes = folder.read(KEPT, LONGEST).map_err(|e| format!("{shown}: {e}"))?.ok_or_else(|| {
--- a/crates/gateway/src/custody.rs
+++ b/crates/gateway/src/custody.rs
@@ -21,8 +21,8 @@
 use violetward_statement::pages::Ending;
 use violetward_statement::results::PageRef;
 use violetward_statement::session::{decode, encode};
-use violetward_store::file::Files;
-use violetward_store::medium::Folder;
+use violetward_store::file::FileStore;
+use violetward_store::medium::Directory;
 use violetward_store::{Store, StoreError};
 use violetward_transport::sockets::{self, Caller, Endpoint};
 use violetward_transport::{name_hash, Keys};
@@ -244,7 +244,7 @@
         let peers = host.peers().ok_or_else(|| std::io::Error::other("custody needs membership"))?;
         let unusable =
             |why: &dyn std::fmt::Display| std::io::Error::other(format!("{}: {why}", terms.folder.display()));
-        let mut store = Files::open(&terms.folder).map_err(|why| unusable(&why))?;
+        let mut store = FileStore::open(&terms.folder).map_err(|why| unusable(&why))?;
         let ends = store.get(KEPT).map_err(|why| unusable(&why))?.map(|kept| kept.bytes);
         let (me, site) = peers.me();
         let known = Settings {
@@ -667,7 +667,7 @@
     async fn keep(
         self: Rc<Self>,
         host: Rc<Host>,
-        mut store: Files<Folder>,
+        mut store: FileStore<Directory>,
         kept: async_channel::Receiver<Vec<u8>>,
     ) {
         while let Ok(mut bytes) = kept.recv().await {
@@ -911,7 +911,10 @@
 }
 
 /// Puts on a thread of its own; gives the store back with what came of it.
-async fn write(mut store: Files<Folder>, bytes: Vec<u8>) -> Option<(Files<Folder>, Result<u64, StoreError>)> {
+async fn write(
+    mut store: FileStore<Directory>,
+    bytes: Vec<u8>,
+) -> Option<(FileStore<Directory>, Result<u64, StoreError>)> {
     let (done, wait) = async_channel::bounded(1);
     let work = move || {
         let put = store.put(KEPT, &bytes);
--- a/crates/gateway/src/windows.rs
+++ b/crates/gateway/src/windows.rs
@@ -10,8 +10,8 @@
 
 use serde::{Deserialize, Serialize};
 use violetward::{Class, Listed, Settings};
-use violetward_store::file::Files;
-use violetward_store::medium::Folder;
+use violetward_store::file::FileStore;
+use violetward_store::medium::Directory;
 use violetward_store::Store;
 use violetward_windows::cover::{Cover, Engine, Placement};
 use violetward_windows::find::Outlook;
@@ -56,7 +56,7 @@
     place: Option<u64>,
     held: RefCell<Held>,
     profile: RefCell<Profile>,
-    store: Option<Arc<Mutex<Files<Folder>>>>,
+    store: Option<Arc<Mutex<FileStore<Directory>>>>,
     /// What is wrong with the profile's store.
     trouble: RefCell<Option<String>>,
     fleet: RefCell<Fleet>,
@@ -161,7 +161,7 @@
     pub fn start(host: &Rc<Host>, terms: &WindowTerms) -> std::io::Result<Rc<Windows>> {
         let agreement = host.config.agreement.as_ref();
         let drift = agreement.map_or(1_000, |a| a.drift_ppm);
-        let mut store = Files::open(&terms.folder)
+        let mut store = FileStore::open(&terms.folder)
             .map_err(|e| std::io::Error::other(format!("{}: {e}", terms.folder.display())))?;
         let (profile, trouble) = kept(&mut store, terms);
         let fleet = Fleet { engines: vec![], out: BTreeSet::new(), classes: vec![], sites: BTreeMap::new() };
@@ -436,7 +436,7 @@
 }
 
 /// The profile that was kept, or an empty one, which is sure of nothing, with what is wrong with the kept one.
-fn kept(store: &mut Files<Folder>, terms: &WindowTerms) -> (Profile, Option<String>) {
+fn kept(store: &mut FileStore<Directory>, terms: &WindowTerms) -> (Profile, Option<String>) {
     let read = match store.get(KEPT) {
         Ok(None) => return (Profile::new(terms.profile), None),
         Ok(Some(kept)) => Profile::read(&kept.bytes, terms.profile).map_err(|e| e.to_string()),
@@ -483,7 +483,7 @@
     fn a_profile_outlasts_its_process_and_one_that_is_spoilt_is_put_aside_and_sure_of_nothing() {
         let terms = terms("kept");
         let at = 3_000 * WEEK;
-        let open = || Files::open(&terms.folder).expect("a store");
+        let open = || FileStore::open(&terms.folder).expect("a store");
         {
             let (mut profile, trouble) = kept(&mut open(), &terms);
             assert_eq!(trouble, None);
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -6,7 +6,7 @@
 
 use violetward_agreement::{wire, Kept};
 use violetward_gateway::{config, timestamp, windows};
-use violetward_store::file::Files;
+use violetward_store::file::FileStore;
 use violetward_store::Store;
 use violetward_windows::profile::{Profile, QUARTER, WEEK};
 use violetward_windows::Cell;
@@ -208,7 +208,7 @@
             profile.sample(quarter * QUARTER, &[(cell(0), 2.0), (cell(1), 1.0)]);
         }
     }
-    let store = Files::open(&folder.0.join("profiles"));
+    let store = FileStore::open(&folder.0.join("profiles"));
     store.and_then(|mut store| store.put("profile", &profile.write())).expect("it is kept");
     let (_gateway, at) = serve(&folder, &configuration);
     listed(&at);
--- a/crates/lab/src/cluster/windows.rs
+++ b/crates/lab/src/cluster/windows.rs
@@ -8,7 +8,7 @@
 use violetward_gateway::timestamp;
 use violetward_gateway::windows::Standing;
 use violetward_standin::journal::What;
-use violetward_store::file::Files;
+use violetward_store::file::FileStore;
 use violetward_store::Store;
 use violetward_windows::cover::{Cover, Engine, Part, Placement, Spare, Terms};
 use violetward_windows::profile::{Profile, Terms as Learning, QUARTER, WEEK};
@@ -111,7 +111,10 @@
         }
     }
     let error = |e: violetward_store::StoreError| std::io::Error::other(e.to_string());
-    Files::open(folder).and_then(|mut store| store.put("profile", &profile.write())).map_err(error).map(drop)
+    FileStore::open(folder)
+        .and_then(|mut store| store.put("profile", &profile.write()))
+        .map_err(error)
+        .map(drop)
 }
 
 /// A version with one more window; those that are over are left out.
--- a/crates/store/examples/puts.rs
+++ b/crates/store/examples/puts.rs
@@ -2,12 +2,12 @@
 
 use std::time::Instant;
 
-use violetward_store::file::Files;
+use violetward_store::file::FileStore;
 use violetward_store::Store;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let folder = std::env::args().nth(1).ok_or("which folder?")?;
-    let mut store = Files::open(folder.as_ref())?;
+    let mut store = FileStore::open(folder.as_ref())?;
     for (name, length) in [("small", 1_000), ("large", 64_000)] {
         let (mut puts, mut gets) = (vec![], vec![]);
         for n in 0..500u32 {
--- a/crates/store/src/faulty.rs
+++ b/crates/store/src/faulty.rs
@@ -26,7 +26,7 @@
 }
 
 /// All faults.
-pub const FAULTS: [Fault; 4] = [Fault::StopBefore, Fault::StopAfter, Fault::Fail, Fault::Full];
+pub const ALL_FAULTS: [Fault; 4] = [Fault::StopBefore, Fault::StopAfter, Fault::Fail, Fault::Full];
 
 #[derive(Debug, Default)]
 struct Octets {
@@ -114,19 +114,19 @@
 
 /// The disk itself: what is on it outlasts those that use it.
 #[derive(Debug, Clone, Default)]
-pub struct Disk(Rc<RefCell<State>>);
+pub struct SimulatedDisk(Rc<RefCell<State>>);
 
-impl Disk {
+impl SimulatedDisk {
     /// An empty disk. Half of all seeds read short.
-    pub fn new(seed: u64) -> Disk {
-        Disk(Rc::new(RefCell::new(State { seed, short: seed & 1 == 1, ..State::default() })))
+    pub fn new(seed: u64) -> SimulatedDisk {
+        SimulatedDisk(Rc::new(RefCell::new(State { seed, short: seed & 1 == 1, ..State::default() })))
     }
 
     /// A process that uses it.
-    pub fn open(&self) -> Faulty {
+    pub fn open(&self) -> FaultyMedium {
         let mut state = self.0.borrow_mut();
         state.openings += 1;
-        Faulty { disk: self.clone(), opening: state.openings }
+        FaultyMedium { disk: self.clone(), opening: state.openings }
     }
 
     /// How many operations there were since the disk was made.
@@ -191,14 +191,14 @@
     }
 }
 
-/// A [`Medium`] on a [`Disk`].
+/// A [`Medium`] on a [`SimulatedDisk`].
 #[derive(Debug)]
-pub struct Faulty {
-    disk: Disk,
+pub struct FaultyMedium {
+    disk: SimulatedDisk,
     opening: u64,
 }
 
-impl Faulty {
+impl FaultyMedium {
     /// Does an operation as planned: `act` is told whether to fail.
     fn operation<T>(&mut self, act: impl FnOnce(&mut State, bool) -> io::Result<T>) -> io::Result<T> {
         let state = &mut *self.disk.0.borrow_mut();
@@ -227,7 +227,7 @@
     }
 }
 
-impl Drop for Faulty {
+impl Drop for FaultyMedium {
     fn drop(&mut self) {
         let mut state = self.disk.0.borrow_mut();
         if state.held == Some(self.opening) {
@@ -236,7 +236,7 @@
     }
 }
 
-impl Medium for Faulty {
+impl Medium for FaultyMedium {
     fn lock(&mut self) -> io::Result<bool> {
         let opening = self.opening;
         self.operation(|state, fails| {
@@ -322,7 +322,7 @@
         })
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         self.operation(|state, fails| {
             if !fails {
                 state.changes.clear();
--- a/crates/store/src/medium.rs
+++ b/crates/store/src/medium.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 /// A folder. Nothing outlasts a loss of power before it is synced: a file's octets by [`Medium::sync`], the names of files by
-/// [`Medium::sync_folder`].
+/// [`Medium::sync_directory`].
 pub trait Medium {
     /// Takes the folder for this one alone, as long as this value lives; `false` if another one has it.
     ///
@@ -56,12 +56,12 @@
     ///
     /// # Errors
     /// Why they may not.
-    fn sync_folder(&mut self) -> io::Result<()>;
+    fn sync_directory(&mut self) -> io::Result<()>;
 }
 
 /// A folder of this machine.
 #[derive(Debug)]
-pub struct Folder {
+pub struct Directory {
     path: PathBuf,
     lock: String,
     held: Option<File>,
@@ -69,12 +69,12 @@
     written: Option<(String, File)>,
 }
 
-impl Folder {
+impl Directory {
     /// A folder, made if it is not there, and the file in it whose lock stands for the whole of it.
     ///
     /// # Errors
     /// Why it cannot be made.
-    pub fn new(path: &Path, lock: &str) -> io::Result<Folder> {
+    pub fn new(path: &Path, lock: &str) -> io::Result<Directory> {
         if !path.is_dir() {
             std::fs::create_dir_all(path)?;
             // Its own name too must outlive a loss of power.
@@ -82,7 +82,7 @@
                 File::open(above)?.sync_all()?;
             }
         }
-        Ok(Folder { path: path.to_owned(), lock: lock.to_owned(), held: None, written: None })
+        Ok(Directory { path: path.to_owned(), lock: lock.to_owned(), held: None, written: None })
     }
 
     /// Where a file of it is.
@@ -91,7 +91,7 @@
     }
 }
 
-impl Medium for Folder {
+impl Medium for Directory {
     fn lock(&mut self) -> io::Result<bool> {
         let file = File::create(self.path(&self.lock))?;
         match rustix::fs::flock(&file, rustix::fs::FlockOperation::NonBlockingLockExclusive) {
@@ -134,7 +134,7 @@
         std::fs::remove_file(self.path(file))
     }
 
-    fn sync_folder(&mut self) -> io::Result<()> {
+    fn sync_directory(&mut self) -> io::Result<()> {
         File::open(&self.path)?.sync_all()
     }
 }
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -2,27 +2,27 @@
 
 use std::collections::BTreeMap;
 
-use crate::{fits, Kept, Store, StoreError, NAMES};
+use crate::{validate, Store, StoreError, StoredValue, MAX_VALUES};
 
 /// A store that keeps all promises but the one that matters: it outlasts nothing.
 #[derive(Debug, Default)]
-pub struct Memory {
-    values: BTreeMap<String, Kept>,
+pub struct MemoryStore {
+    values: BTreeMap<String, StoredValue>,
 }
 
-impl Store for Memory {
-    fn get(&mut self, name: &str) -> Result<Option<Kept>, StoreError> {
-        fits(name, 0)?;
+impl Store for MemoryStore {
+    fn get(&mut self, name: &str) -> Result<Option<StoredValue>, StoreError> {
+        validate(name, 0)?;
         Ok(self.values.get(name).cloned())
     }
 
     fn put(&mut self, name: &str, bytes: &[u8]) -> Result<u64, StoreError> {
-        fits(name, bytes.len())?;
-        if !self.values.contains_key(name) && self.values.len() >= NAMES {
-            return Err(StoreError::Unfit("there are too many values"));
+        validate(name, bytes.len())?;
+        if !self.values.contains_key(name) && self.values.len() >= MAX_VALUES {
+            return Err(StoreError::Invalid("there are too many values"));
         }
         let writes = self.values.get(name).map_or(0, |kept| kept.writes) + 1;
-        self.values.insert(name.to_owned(), Kept { bytes: bytes.to_vec(), writes });
+        self.values.insert(name.to_owned(), StoredValue { bytes: bytes.to_vec(), writes });
         Ok(writes)
     }
 }
--- a/crates/store/tests/copies.rs
+++ b/crates/store/tests/copies.rs
@@ -4,9 +4,11 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use violetward_store::copies::{Answer, Copy, Done, Effect, Keeper, Micros, Request, Standing, Terms};
-use violetward_store::memory::Memory;
-use violetward_store::{Kept, Store, StoreError};
+use violetward_store::copies::{
+    ClaimState, Config, Coordinator, Effect, Micros, Outcome, Replica, Request, Response,
+};
+use violetward_store::memory::MemoryStore;
+use violetward_store::{Store, StoreError, StoredValue};
 
 const MS: Micros = 1_000;
 const LEASE: Micros = 2_000 * MS;
@@ -14,10 +16,10 @@
 
 /// A store that outlasts the copy on it.
 #[derive(Clone, Default)]
-struct Lasting(Rc<RefCell<Memory>>);
+struct Lasting(Rc<RefCell<MemoryStore>>);
 
 impl Store for Lasting {
-    fn get(&mut self, name: &str) -> Result<Option<Kept>, StoreError> {
+    fn get(&mut self, name: &str) -> Result<Option<StoredValue>, StoreError> {
         self.0.borrow_mut().get(name)
     }
     fn put(&mut self, name: &str, bytes: &[u8]) -> Result<u64, StoreError> {
@@ -27,7 +29,7 @@
 
 enum Event {
     Asked(usize, usize, Request),
-    Answered(usize, usize, u64, Answer),
+    Answered(usize, usize, u64, Response),
 }
 
 /// What ended well: from, to, whether it was put, its count, and what it was.
@@ -41,11 +43,11 @@
     seed: u64,
     events: BTreeMap<(Micros, u64), Event>,
     sent: u64,
-    keepers: Vec<Keeper>,
+    keepers: Vec<Coordinator>,
     /// Until when one stands still.
     still: Vec<Micros>,
     begun: Vec<BTreeMap<u64, Begun>>,
-    copies: Vec<(Lasting, Copy<Lasting>)>,
+    copies: Vec<(Lasting, Replica<Lasting>)>,
     ended: Vec<Ended>,
 }
 
@@ -53,7 +55,7 @@
     fn new(seed: u64) -> World {
         let copy = |_| {
             let store = Lasting::default();
-            (store.clone(), Copy::new(store, LEASE, 0))
+            (store.clone(), Replica::new(store, LEASE, 0))
         };
         World {
             now: 0,
@@ -74,15 +76,15 @@
     }
 
     fn start(&mut self) {
-        let terms = Terms {
+        let terms = Config {
             owner: "g1".into(),
-            copies: COPIES,
+            replicas: COPIES,
             lease: LEASE,
-            again: 100 * MS,
-            patience: 3_000 * MS,
-            waiting: 8,
+            retry_interval: 100 * MS,
+            timeout: 3_000 * MS,
+            max_pending: 8,
         };
-        self.keepers.push(Keeper::new(terms, self.keepers.len() as u64 + 1, self.now).unwrap());
+        self.keepers.push(Coordinator::new(terms, self.keepers.len() as u64 + 1, self.now).unwrap());
         self.still.push(0);
         self.begun.push(BTreeMap::new());
     }
@@ -101,21 +103,21 @@
     }
 
     fn effects(&mut self, k: usize) {
-        while let Some(effect) = self.keepers[k].effect() {
+        while let Some(effect) = self.keepers[k].next_effect() {
             match effect {
-                Effect::Ask(copy, request) => self.send(|| Event::Asked(k, copy, request.clone())),
-                Effect::Done(ticket, done) => {
+                Effect::Send(copy, request) => self.send(|| Event::Asked(k, copy, request.clone())),
+                Effect::Completed(ticket, done) => {
                     let (from, put) = self.begun[k].remove(&ticket).unwrap();
                     match done {
-                        Ok(Done::Put(writes)) => self.ended.push((from, self.now, true, writes, put)),
-                        Ok(Done::Got(kept)) => {
+                        Ok(Outcome::Put(writes)) => self.ended.push((from, self.now, true, writes, put)),
+                        Ok(Outcome::Got(kept)) => {
                             let writes = kept.as_ref().map_or(0, |kept| kept.writes);
                             self.ended.push((from, self.now, false, writes, kept.map(|kept| kept.bytes)));
                         }
                         Err(_) => {}
                     }
                 }
-                Effect::Old(copy) => panic!("copy {copy} has forgotten nothing"),
+                Effect::StaleReplica(copy) => panic!("copy {copy} has forgotten nothing"),
             }
         }
     }
@@ -125,9 +127,9 @@
             self.now += MS;
             for k in (0..self.keepers.len()).filter(|&k| self.still[k] <= self.now).collect::<Vec<_>>() {
                 if self.keepers[k].next_wake().is_some_and(|at| at <= self.now) {
-                    self.keepers[k].wake(self.now);
+                    self.keepers[k].on_timer(self.now);
                 }
-                if self.keepers[k].standing() == Standing::Holds && self.draw(20) == 0 {
+                if self.keepers[k].state() == ClaimState::Holding && self.draw(20) == 0 {
                     let put = (self.draw(2) == 0).then(|| format!("{k} at {}", self.now).into_bytes());
                     let ticket = match &put {
                         Some(bytes) => self.keepers[k].put(self.now, "x", bytes),
@@ -142,11 +144,11 @@
             while let Some(entry) = self.events.first_entry().filter(|e| e.key().0 <= self.now) {
                 match entry.remove() {
                     Event::Asked(k, copy, request) => {
-                        let answer = self.copies[copy].1.asked(self.now, &request);
+                        let answer = self.copies[copy].1.handle(self.now, &request);
                         self.send(|| Event::Answered(k, copy, request.number, answer.clone()));
                     }
                     Event::Answered(k, copy, number, answer) if self.still[k] <= self.now => {
-                        self.keepers[k].heard(self.now, copy, number, answer);
+                        self.keepers[k].on_response(self.now, copy, number, answer);
                         self.effects(k);
                     }
                     // It hears of it when it goes on.
@@ -183,12 +185,12 @@
         world.run(3 * LEASE);
         for round in 0..4 {
             let copy = world.draw(COPIES as u64) as usize;
-            world.copies[copy].1 = Copy::new(world.copies[copy].0.clone(), LEASE, world.now);
+            world.copies[copy].1 = Replica::new(world.copies[copy].0.clone(), LEASE, world.now);
             world.start();
             world.run(world.now + LEASE);
             // Whoever has the name stands still for longer than its lease, and then goes on.
             let pause = world.now + LEASE + world.draw(3_000) * MS;
-            let holds = (0..world.keepers.len()).filter(|&k| world.keepers[k].standing() == Standing::Holds);
+            let holds = (0..world.keepers.len()).filter(|&k| world.keepers[k].state() == ClaimState::Holding);
             let holds: Vec<usize> = holds.collect();
             assert!(holds.len() <= 2, "{seed}.{round}: {holds:?}");
             holds.into_iter().for_each(|k| world.still[k] = pause);
@@ -196,7 +198,7 @@
         }
         world.check();
         ended += world.ended.len();
-        lost += world.keepers.iter().filter(|k| k.standing() == Standing::Lost).count();
+        lost += world.keepers.iter().filter(|k| k.state() == ClaimState::Lost).count();
     }
     println!("{ended} ended well, {lost} holders outdone");
     assert!(ended > 2_000 && lost > 20, "{ended} ended, {lost} lost");
@@ -210,22 +212,22 @@
     world.start();
     // The first copy has not heard of the holder for a lease, and the second process reaches that copy alone.
     let ask = |world: &mut World, k: usize, reach: &[usize]| {
-        while let Some(effect) = world.keepers[k].effect() {
-            let Effect::Ask(copy, request) = effect else { continue };
+        while let Some(effect) = world.keepers[k].next_effect() {
+            let Effect::Send(copy, request) = effect else { continue };
             if reach.contains(&copy) {
-                let answer = world.copies[copy].1.asked(world.now, &request);
-                world.keepers[k].heard(world.now, copy, request.number, answer);
+                let answer = world.copies[copy].1.handle(world.now, &request);
+                world.keepers[k].on_response(world.now, copy, request.number, answer);
             }
         }
     };
     for _ in 0..100 {
         world.now += 100 * MS;
         for (k, reach) in [(0, &[1, 2][..]), (1, &[0])] {
-            world.keepers[k].wake(world.now);
+            world.keepers[k].on_timer(world.now);
             ask(&mut world, k, reach);
         }
     }
-    world.keepers[0].wake(world.now + LEASE);
+    world.keepers[0].on_timer(world.now + LEASE);
     ask(&mut world, 0, &[0, 1, 2]);
-    assert_eq!([0, 1].map(|k| world.keepers[k].standing()), [Standing::Holds, Standing::Claims]);
+    assert_eq!([0, 1].map(|k| world.keepers[k].state()), [ClaimState::Holding, ClaimState::Claiming]);
 }
