--- a/crates/transport/src/local.rs
+++ b/crates/transport/src/local.rs
@@ -1,5 +1,5 @@
-//! Messages and streams within one process, for gateways that share it: queues behind one lock, which may be used by several
-//! threads. What is sent has come at once. Nobody stands in between, so nothing is signed: names are given by the [`Hub`].
+//! Messages and streams between gateways within one process: queues behind locks, usable from several threads. Delivery is
+//! immediate. Nothing is signed, because no untrusted party can interfere; the [`Hub`] assigns the names.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
@@ -8,35 +8,36 @@
     Messages, Records, SendError, MAX_MESSAGE_BYTES, MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, MAX_RECORD_BYTES,
 };
 
-type Come = Mutex<VecDeque<(String, Vec<u8>)>>;
+/// Received messages with the names of their senders.
+type Inbox = Mutex<VecDeque<(String, Vec<u8>)>>;
 
-/// Where the gateways of a process find each other. Copies are handles of the same one.
+/// The registry through which the gateways of a process find each other. Clones share the same registry.
 #[derive(Debug, Clone, Default)]
-pub struct Hub(Arc<Mutex<BTreeMap<String, Weak<Come>>>>);
+pub struct Hub(Arc<Mutex<BTreeMap<String, Weak<Inbox>>>>);
 
-/// Nothing that is done under a lock here can panic half way.
+/// Locks `shared`, ignoring poisoning: no code that holds one of these locks can panic halfway through a change.
 fn lock<T>(shared: &Mutex<T>) -> MutexGuard<'_, T> {
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Hub {
-    /// A gateway's messages, until this is dropped. One of the same name takes the place of an earlier one.
+    /// Registers a gateway for messages until the mailbox is dropped. It replaces an earlier one of the same name.
     pub fn mailbox(&self, name: &str) -> Mailbox {
-        let come = Arc::<Come>::default();
+        let inbox = Arc::<Inbox>::default();
         let mut known = lock(&self.0);
-        known.retain(|_, come| come.strong_count() > 0);
-        known.insert(name.to_owned(), Arc::downgrade(&come));
-        Mailbox { hub: self.clone(), name: name.to_owned(), come }
+        known.retain(|_, inbox| inbox.strong_count() > 0);
+        known.insert(name.to_owned(), Arc::downgrade(&inbox));
+        Mailbox { hub: self.clone(), name: name.to_owned(), inbox }
     }
 
-    fn find(&self, name: &str) -> Result<Arc<Come>, SendError> {
+    fn find(&self, name: &str) -> Result<Arc<Inbox>, SendError> {
         lock(&self.0).get(name).and_then(Weak::upgrade).ok_or(SendError::UnknownGateway)
     }
 
-    /// A stream between two gateways: the calling end and the other one.
+    /// Opens a stream between two gateways and returns the connecting end and the accepting one.
     ///
     /// # Errors
-    /// If one of them is not there.
+    /// If one of them is not registered.
     pub fn connect(&self, from: &str, to: &str) -> Result<(Stream, Stream), SendError> {
         self.find(from).and(self.find(to))?;
         let pipe = Arc::new(Mutex::new(Pipe::default()));
@@ -45,12 +46,12 @@
     }
 }
 
-/// A gateway's messages on a [`Hub`].
+/// Sends and receives the messages of one gateway on a [`Hub`].
 #[derive(Debug)]
 pub struct Mailbox {
     hub: Hub,
     name: String,
-    come: Arc<Come>,
+    inbox: Arc<Inbox>,
 }
 
 impl Messages for Mailbox {
@@ -58,31 +59,40 @@
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(SendError::TooLong);
         }
-        let come = self.hub.find(to)?;
-        let mut come = lock(&come);
-        if come.len() >= MAX_QUEUED_MESSAGES {
-            come.pop_front();
+        let inbox = self.hub.find(to)?;
+        let mut inbox = lock(&inbox);
+        if inbox.len() >= MAX_QUEUED_MESSAGES {
+            inbox.pop_front();
         }
-        come.push_back((self.name.clone(), bytes.to_vec()));
+        inbox.push_back((self.name.clone(), bytes.to_vec()));
         Ok(())
     }
 
     fn next(&mut self) -> Option<(String, Vec<u8>)> {
-        lock(&self.come).pop_front()
+        lock(&self.inbox).pop_front()
     }
 }
 
-/// Records on their way to each end, and their octets.
+/// Records that one end has not yet taken.
+#[derive(Debug, Default)]
+struct ReceiveQueue {
+    records: VecDeque<Vec<u8>>,
+    bytes: usize,
+}
+
+/// The state that both ends of a stream share, with the receive queue of each end.
 #[derive(Debug, Default)]
 struct Pipe {
-    come: [(VecDeque<Vec<u8>>, usize); 2],
+    queues: [ReceiveQueue; 2],
     is_closed: bool,
 }
 
-/// One end of a stream within a process. It ends when it is dropped; what has come can still be taken at the other end.
+/// One end of a stream within a process. Dropping it closes the stream; the other end can still take the records that it has
+/// received.
 #[derive(Debug)]
 pub struct Stream {
     pipe: Arc<Mutex<Pipe>>,
+    /// Index of this end's receive queue.
     end: usize,
     peer: String,
 }
@@ -102,20 +112,20 @@
         if pipe.is_closed {
             return Err(SendError::Closed);
         }
-        let (come, octets) = &mut pipe.come[1 - self.end];
-        if *octets + record.len() > MAX_QUEUED_BYTES || come.len() >= MAX_QUEUED_MESSAGES {
+        let queue = &mut pipe.queues[1 - self.end];
+        if queue.bytes + record.len() > MAX_QUEUED_BYTES || queue.records.len() >= MAX_QUEUED_MESSAGES {
             return Err(SendError::QueueFull);
         }
-        *octets += record.len();
-        come.push_back(record.to_vec());
+        queue.bytes += record.len();
+        queue.records.push_back(record.to_vec());
         Ok(())
     }
 
     fn next(&mut self) -> Option<Vec<u8>> {
         let mut pipe = lock(&self.pipe);
-        let (come, octets) = &mut pipe.come[self.end];
-        let record = come.pop_front()?;
-        *octets -= record.len();
+        let queue = &mut pipe.queues[self.end];
+        let record = queue.records.pop_front()?;
+        queue.bytes -= record.len();
         Some(record)
     }
 
--- a/crates/transport/src/session.rs
+++ b/crates/transport/src/session.rs
@@ -1,47 +1,50 @@
-//! One end of a stream of records, free of I/O and clock: octets and wake-ups in, octets and records out.
+//! One end of an authenticated record stream, without I/O or clock: received bytes and timer events go in, bytes to send and
+//! received records come out.
 //!
-//! Both ends say `version | key | nonce | life | name`, the caller first. From the secret of its own first key and all that was
-//! said each end derives the code key of its direction, so codes fit one stream and one direction only. Frames follow:
-//! `length 4 | kind 1 | body | code 16`, the code over the frame's number in its direction, kind and body. The answering end's
-//! greeting is its first frame, the caller's an empty one: who holds none of the fleet's keys proves nothing and is let go. What
-//! is altered, left out, repeated, moved or sent back breaks the numbers or the codes and ends the stream.
+//! Both ends send a hello, `version | key id | nonce | incarnation | name`, the connecting end first. Each end derives the MAC key
+//! for its own direction from its signing key and both hellos, so a MAC is valid on one stream and in one direction only.
+//! Frames follow: `length 4 | kind 1 | body | MAC 16`, sizes in bytes; the MAC covers the frame's sequence number in its
+//! direction, its kind and its body. The accepting end authenticates itself with the MAC appended to its hello, which counts as
+//! its first frame, the connecting end with an empty frame. An end without one of the shared keys is disconnected. Altered,
+//! omitted, repeated, reordered or reflected frames don't match the sequence number or the MAC and end the stream.
 
 use std::collections::VecDeque;
 use std::fmt;
 
 use hmac::Mac;
 
-use crate::seal::{name, CODE, NAME};
+use crate::seal::{split_name, MAC_BYTES, MAX_NAME_BYTES};
 use crate::{
     name_hash, Key, Keys, Micros, SendError, MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, MAX_RECORD_BYTES,
 };
 
-/// Octets by which a record of what stands on a stream may be longer than [`MAX_RECORD_BYTES`].
-pub(crate) const HEAD: usize = 16;
+/// Bytes by which a record may exceed [`MAX_RECORD_BYTES`], for the header of a protocol on top of the stream.
+pub(crate) const MAX_HEADER_BYTES: usize = 16;
 
 const VERSION: u8 = 1;
-const USE: &[u8] = b"violetward stream";
-const NONCE: usize = 32;
-/// Octets of a greeting at most; nothing longer is read of an end that has proved nothing.
-const GREETING: usize = 1 + 4 + NONCE + 8 + 1 + NAME + CODE;
+/// Separates the MACs of streams from those of messages.
+const MAC_CONTEXT: &[u8] = b"violetward stream";
+const NONCE_BYTES: usize = 32;
+/// Most bytes in a frame from an end that is not authenticated yet.
+const MAX_HELLO_BYTES: usize = 1 + 4 + NONCE_BYTES + 8 + 1 + MAX_NAME_BYTES + MAC_BYTES;
 
-/// Who this end is.
+/// Identifies one process of a gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Identity {
-    /// Its name, the same after a restart; 48 octets at most.
+    /// The gateway's name, which stays the same across restarts; at most [`MAX_NAME_BYTES`].
     pub name: String,
-    /// Which process of that name.
+    /// Differs between processes of the same name.
     pub incarnation: u64,
 }
 
-/// Spans after which an end is given up, in microseconds.
+/// Timeouts of a stream, in microseconds.
 #[derive(Debug, Clone, Copy)]
 pub struct Timeouts {
-    /// Until the other end has proved itself.
+    /// For the other end to authenticate itself.
     pub handshake: Micros,
-    /// An end that has said nothing for so long says that it is still there.
+    /// A keepalive frame is sent after this long without other output.
     pub keepalive: Micros,
-    /// Without a whole frame from the other end, or without it taking any octet of what waits for it.
+    /// The stream ends after this long without bytes from the other end, or without progress in sending queued bytes.
     pub idle: Micros,
 }
 
@@ -56,92 +59,93 @@
 pub enum CloseReason {
     /// This end closed it.
     Closed,
-    /// The other end closed it, or the way broke.
+    /// The other end closed it, or the connection failed.
     Disconnected,
-    /// The other end said nothing, or took nothing, for too long.
+    /// The other end sent nothing, or accepted nothing, for [`Timeouts::idle`].
     TimedOut,
-    /// The other end did not prove itself in time.
+    /// The other end did not authenticate itself within [`Timeouts::handshake`].
     HandshakeTimeout,
-    /// The other end's key is not believed here, or not any more.
+    /// The other end's key is not accepted, or no longer.
     UntrustedKey,
-    /// A frame is not what the other end sent in its place.
+    /// A frame's MAC does not match.
     InvalidMac,
-    /// What came is no frame, or of another version.
+    /// The received bytes are not a valid frame, or have another version.
     Malformed,
 }
 
 impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            CloseReason::Closed => "it was closed",
-            CloseReason::Disconnected => "the other end closed it, or the way broke",
-            CloseReason::TimedOut => "the other end said or took nothing for too long",
-            CloseReason::HandshakeTimeout => "the other end did not prove itself in time",
-            CloseReason::UntrustedKey => "the other end's key is not believed",
-            CloseReason::InvalidMac => "a frame was not what the other end sent",
-            CloseReason::Malformed => "what came is no frame",
+            CloseReason::Closed => "closed by this end",
+            CloseReason::Disconnected => "closed by the other end, or the connection failed",
+            CloseReason::TimedOut => "the other end timed out",
+            CloseReason::HandshakeTimeout => "the other end did not authenticate itself in time",
+            CloseReason::UntrustedKey => "the other end's key is not accepted",
+            CloseReason::InvalidMac => "a frame's MAC does not match",
+            CloseReason::Malformed => "received a malformed frame",
         })
     }
 }
 
 impl std::error::Error for CloseReason {}
 
-/// What a frame is.
+/// The kind of a frame; the numbers are part of the wire format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
-enum Kind {
-    /// The code of a greeting.
-    Greeting,
-    /// A record.
+enum FrameKind {
+    /// Authenticates the handshake.
+    Hello,
     Record,
-    /// "I am still here."
-    Beat,
+    Keepalive,
 }
 
-/// One direction: its code key and the number of its next frame.
-struct Way {
+/// One direction of a stream: its MAC key and the sequence number of its next frame.
+struct Direction {
     key: Key,
     next: u64,
 }
 
-impl Way {
-    /// The direction away from the end that said `hello` first, or towards it.
-    fn new(key: &Key, back: bool, hello: &[u8], welcome: &[u8]) -> Way {
-        let length = (hello.len() as u32).to_be_bytes();
-        let secret = key.mac(&[USE, &[u8::from(back)], &length, hello, welcome]).finalize().into_bytes();
-        Way { key: Key { name: String::new(), secret: secret.to_vec() }, next: 0 }
+impl Direction {
+    /// Derives the key of a direction from `key` and both hellos. `to_connector` tells the two directions apart.
+    fn new(key: &Key, to_connector: bool, connector_hello: &[u8], acceptor_hello: &[u8]) -> Direction {
+        let length = (connector_hello.len() as u32).to_be_bytes();
+        let parts = [MAC_CONTEXT, &[u8::from(to_connector)], &length, connector_hello, acceptor_hello];
+        let secret = key.mac(&parts).finalize().into_bytes();
+        Direction { key: Key { name: String::new(), secret: secret.to_vec() }, next: 0 }
     }
 
-    fn code(&self, kind: u8, body: &[u8]) -> hmac::Hmac<sha2::Sha256> {
+    fn mac(&self, kind: u8, body: &[u8]) -> hmac::Hmac<sha2::Sha256> {
         self.key.mac(&[&self.next.to_be_bytes(), &[kind], body])
     }
 
-    fn seal(&mut self, kind: Kind, body: &[u8], out: &mut Vec<u8>) {
-        let code = self.code(kind as u8, body).finalize().into_bytes();
-        out.extend_from_slice(&((1 + body.len() + CODE) as u32).to_be_bytes());
+    /// Appends the next frame to `out`.
+    fn seal(&mut self, kind: FrameKind, body: &[u8], out: &mut Vec<u8>) {
+        let mac = self.mac(kind as u8, body).finalize().into_bytes();
+        out.extend_from_slice(&((1 + body.len() + MAC_BYTES) as u32).to_be_bytes());
         out.push(kind as u8);
         out.extend_from_slice(body);
-        out.extend_from_slice(&code[..CODE]);
+        out.extend_from_slice(&mac[..MAC_BYTES]);
         self.next += 1;
     }
 
-    fn open(&mut self, kind: u8, body: &[u8], code: &[u8]) -> bool {
-        let good = self.code(kind, body).verify_truncated_left(code).is_ok();
-        self.next += u64::from(good);
-        good
+    /// Verifies the next frame and advances the sequence number if it is authentic.
+    fn verify(&mut self, kind: u8, body: &[u8], mac: &[u8]) -> bool {
+        let verified = self.mac(kind, body).verify_truncated_left(mac).is_ok();
+        self.next += u64::from(verified);
+        verified
     }
 }
 
 enum Stage {
-    /// The caller waits for the answer to its greeting.
-    Called(Vec<u8>),
-    /// The other end waits for a greeting.
-    Awaits,
-    /// It has answered, and waits for proof under one of the keys that the greeting may mean.
-    Answered(Vec<(Key, Way)>, Identity),
-    /// Both are proved.
-    Open(Key, Way),
-    Over(CloseReason),
+    /// The connecting end has sent this hello and awaits the response.
+    HelloSent(Vec<u8>),
+    /// The accepting end awaits a hello.
+    AwaitingHello,
+    /// The accepting end has responded and awaits the other end's MAC under one of the keys that its key id may mean.
+    AwaitingMac(Vec<(Key, Direction)>, Identity),
+    /// Both ends are authenticated. The other end's key and the receiving direction.
+    Open(Key, Direction),
+    Closed(CloseReason),
 }
 
 /// One end of a stream.
@@ -149,27 +153,32 @@
     identity: Identity,
     keys: Keys,
     timeouts: Timeouts,
-    nonce: [u8; NONCE],
+    nonce: [u8; NONCE_BYTES],
     stage: Stage,
-    /// The direction away from here, once there is one.
-    away: Option<Way>,
+    /// The sending direction, once its key is derived.
+    sending: Option<Direction>,
     peer: Option<Identity>,
-    come: Vec<u8>,
-    out: Vec<u8>,
-    /// Octets that were handed out to be written and are not yet.
-    writing: usize,
+    /// Received bytes that are not a complete frame yet.
+    input: Vec<u8>,
+    output: Vec<u8>,
+    /// Bytes that were handed out by [`Session::take_output`] and not yet reported as written.
+    writing_bytes: usize,
+    /// Received records that were not taken yet, and their size.
     records: VecDeque<Vec<u8>>,
-    kept: usize,
-    began: Micros,
-    heard: Micros,
-    said: Micros,
-    /// When the way last took octets, or had none to take.
-    taken: Micros,
-    due: Micros,
+    records_bytes: usize,
+    started_at: Micros,
+    /// When bytes were last received.
+    received_at: Micros,
+    /// When output was last handed out.
+    sent_at: Micros,
+    /// When the connection last accepted bytes, or had none to accept.
+    write_progress_at: Micros,
+    /// When [`Session::on_timer`] is due.
+    timer_at: Micros,
 }
 
 impl Session {
-    /// The end that calls. `nonce` is fresh and drawn by chance.
+    /// The connecting end. `nonce` must be random and never reused.
     pub fn connect(
         identity: Identity,
         keys: Keys,
@@ -178,14 +187,14 @@
         now: Micros,
     ) -> Session {
         let mut session = Session::accept(identity, keys, timeouts, nonce, now);
-        let hello = session.greeting();
-        session.out.extend_from_slice(&(hello.len() as u32).to_be_bytes());
-        session.out.extend_from_slice(&hello);
-        session.stage = Stage::Called(hello);
+        let hello = session.hello();
+        session.output.extend_from_slice(&(hello.len() as u32).to_be_bytes());
+        session.output.extend_from_slice(&hello);
+        session.stage = Stage::HelloSent(hello);
         session
     }
 
-    /// The end that is called.
+    /// The accepting end. `nonce` must be random and never reused.
     pub fn accept(
         identity: Identity,
         keys: Keys,
@@ -198,224 +207,235 @@
             keys,
             timeouts,
             nonce,
-            stage: Stage::Awaits,
-            away: None,
+            stage: Stage::AwaitingHello,
+            sending: None,
             peer: None,
-            come: Vec::new(),
-            out: Vec::new(),
-            writing: 0,
+            input: Vec::new(),
+            output: Vec::new(),
+            writing_bytes: 0,
             records: VecDeque::new(),
-            kept: 0,
-            began: now,
-            heard: now,
-            said: now,
-            taken: now,
-            due: now + timeouts.keepalive,
+            records_bytes: 0,
+            started_at: now,
+            received_at: now,
+            sent_at: now,
+            write_progress_at: now,
+            timer_at: now + timeouts.keepalive,
         }
     }
 
-    fn greeting(&self) -> Vec<u8> {
+    fn hello(&self) -> Vec<u8> {
         let mut out = vec![VERSION];
         out.extend_from_slice(&name_hash(&self.keys.signing_key().name).to_be_bytes());
         out.extend_from_slice(&self.nonce);
         out.extend_from_slice(&self.identity.incarnation.to_be_bytes());
-        let name = &self.identity.name.as_bytes()[..self.identity.name.len().min(NAME)];
+        let name = &self.identity.name.as_bytes()[..self.identity.name.len().min(MAX_NAME_BYTES)];
         out.push(name.len() as u8);
         out.extend_from_slice(name);
         out
     }
 
-    /// Octets have come. They are not looked at any more once the stream is over.
+    /// Processes received bytes. They are ignored once the stream has ended.
     pub fn receive(&mut self, bytes: &[u8], now: Micros) {
-        if matches!(self.stage, Stage::Over(_)) {
+        if matches!(self.stage, Stage::Closed(_)) {
             return;
         }
-        let mut come = std::mem::take(&mut self.come);
-        come.extend_from_slice(bytes);
-        let mut rest = &come[..];
-        while let Some((length, behind)) = rest.split_first_chunk::<4>() {
+        let mut input = std::mem::take(&mut self.input);
+        input.extend_from_slice(bytes);
+        let mut rest = &input[..];
+        while let Some((length, after_length)) = rest.split_first_chunk::<4>() {
             let length = u32::from_be_bytes(*length) as usize;
-            let most = if self.is_open() { 1 + MAX_RECORD_BYTES + HEAD + CODE } else { GREETING };
-            if length > most {
-                // Guards the memory: nothing is gathered that nobody of ours sends.
+            let max_length = if self.is_open() {
+                1 + MAX_RECORD_BYTES + MAX_HEADER_BYTES + MAC_BYTES
+            } else {
+                MAX_HELLO_BYTES
+            };
+            if length > max_length {
+                // Bounds the memory: a longer frame is never sent by a valid peer and is not buffered.
                 return self.close(CloseReason::Malformed);
             }
-            let Some((frame, behind)) = behind.split_at_checked(length) else { break };
-            if let Err(why) = self.frame(frame) {
-                return self.close(why);
+            let Some((frame, after_frame)) = after_length.split_at_checked(length) else { break };
+            if let Err(reason) = self.on_frame(frame) {
+                return self.close(reason);
             }
-            rest = behind;
+            rest = after_frame;
         }
-        self.heard = now;
-        // A long record's room is given back: what is left is copied.
-        self.come = rest.to_vec();
+        self.received_at = now;
+        // Copies the rest, so that the buffer of a long record is freed.
+        self.input = rest.to_vec();
     }
 
-    fn frame(&mut self, frame: &[u8]) -> Result<(), CloseReason> {
-        match std::mem::replace(&mut self.stage, Stage::Awaits) {
-            Stage::Awaits => {
-                let (id, peer) = read_greeting(frame).ok_or(CloseReason::Malformed)?;
-                let welcome = self.greeting();
-                let ways: Vec<(Key, Way)> =
-                    self.keys.with_id(id).map(|k| (k.clone(), Way::new(k, false, frame, &welcome))).collect();
-                if ways.is_empty() {
+    fn on_frame(&mut self, frame: &[u8]) -> Result<(), CloseReason> {
+        match std::mem::replace(&mut self.stage, Stage::AwaitingHello) {
+            Stage::AwaitingHello => {
+                let (key_id, peer) = parse_hello(frame).ok_or(CloseReason::Malformed)?;
+                let own_hello = self.hello();
+                let candidates: Vec<(Key, Direction)> = self
+                    .keys
+                    .with_id(key_id)
+                    .map(|k| (k.clone(), Direction::new(k, false, frame, &own_hello)))
+                    .collect();
+                if candidates.is_empty() {
                     return Err(CloseReason::UntrustedKey);
                 }
-                let mut away = Way::new(self.keys.signing_key(), true, frame, &welcome);
-                let code = away.code(Kind::Greeting as u8, &[]).finalize().into_bytes();
-                away.next += 1;
-                self.out.extend_from_slice(&((welcome.len() + CODE) as u32).to_be_bytes());
-                self.out.extend_from_slice(&welcome);
-                self.out.extend_from_slice(&code[..CODE]);
-                self.away = Some(away);
-                self.stage = Stage::Answered(ways, peer);
+                let mut sending = Direction::new(self.keys.signing_key(), true, frame, &own_hello);
+                let mac = sending.mac(FrameKind::Hello as u8, &[]).finalize().into_bytes();
+                sending.next += 1;
+                self.output.extend_from_slice(&((own_hello.len() + MAC_BYTES) as u32).to_be_bytes());
+                self.output.extend_from_slice(&own_hello);
+                self.output.extend_from_slice(&mac[..MAC_BYTES]);
+                self.sending = Some(sending);
+                self.stage = Stage::AwaitingMac(candidates, peer);
             }
-            Stage::Called(hello) => {
-                let at = frame.len().checked_sub(CODE).ok_or(CloseReason::Malformed)?;
-                let (welcome, code) = frame.split_at(at);
-                let (id, peer) = read_greeting(welcome).ok_or(CloseReason::Malformed)?;
-                let mut ways =
-                    self.keys.with_id(id).map(|k| (k, Way::new(k, true, &hello, welcome))).peekable();
-                ways.peek().ok_or(CloseReason::UntrustedKey)?;
-                let proved = ways.find_map(|(key, mut way)| {
-                    way.open(Kind::Greeting as u8, &[], code).then(|| (key.clone(), way))
+            Stage::HelloSent(own_hello) => {
+                let at = frame.len().checked_sub(MAC_BYTES).ok_or(CloseReason::Malformed)?;
+                let (hello, mac) = frame.split_at(at);
+                let (key_id, peer) = parse_hello(hello).ok_or(CloseReason::Malformed)?;
+                let mut candidates = self
+                    .keys
+                    .with_id(key_id)
+                    .map(|k| (k, Direction::new(k, true, &own_hello, hello)))
+                    .peekable();
+                candidates.peek().ok_or(CloseReason::UntrustedKey)?;
+                let authenticated = candidates.find_map(|(key, mut direction)| {
+                    direction.verify(FrameKind::Hello as u8, &[], mac).then(|| (key.clone(), direction))
                 });
-                let (key, way) = proved.ok_or(CloseReason::InvalidMac)?;
-                let mut away = Way::new(self.keys.signing_key(), false, &hello, welcome);
-                away.seal(Kind::Greeting, &[], &mut self.out);
-                self.away = Some(away);
+                let (key, direction) = authenticated.ok_or(CloseReason::InvalidMac)?;
+                let mut sending = Direction::new(self.keys.signing_key(), false, &own_hello, hello);
+                sending.seal(FrameKind::Hello, &[], &mut self.output);
+                self.sending = Some(sending);
                 self.peer = Some(peer);
-                self.stage = Stage::Open(key, way);
+                self.stage = Stage::Open(key, direction);
             }
-            Stage::Answered(ways, peer) => {
-                let (kind, body, code) = parts(frame).ok_or(CloseReason::Malformed)?;
-                let proved = ways.into_iter().find_map(|(key, mut way)| {
-                    (kind == Kind::Greeting as u8 && way.open(kind, body, code)).then_some((key, way))
+            Stage::AwaitingMac(candidates, peer) => {
+                let (kind, body, mac) = split_frame(frame).ok_or(CloseReason::Malformed)?;
+                let authenticated = candidates.into_iter().find_map(|(key, mut direction)| {
+                    (kind == FrameKind::Hello as u8 && direction.verify(kind, body, mac))
+                        .then_some((key, direction))
                 });
-                let (key, way) = proved.ok_or(CloseReason::InvalidMac)?;
+                let (key, direction) = authenticated.ok_or(CloseReason::InvalidMac)?;
                 self.peer = Some(peer);
-                self.stage = Stage::Open(key, way);
+                self.stage = Stage::Open(key, direction);
             }
-            Stage::Open(key, mut way) => {
-                let (kind, body, code) = parts(frame).ok_or(CloseReason::Malformed)?;
-                if !way.open(kind, body, code) {
+            Stage::Open(key, mut direction) => {
+                let (kind, body, mac) = split_frame(frame).ok_or(CloseReason::Malformed)?;
+                if !direction.verify(kind, body, mac) {
                     return Err(CloseReason::InvalidMac);
                 }
-                if kind == Kind::Record as u8 {
-                    self.kept += body.len();
+                if kind == FrameKind::Record as u8 {
+                    self.records_bytes += body.len();
                     self.records.push_back(body.to_vec());
                 }
-                self.stage = Stage::Open(key, way);
+                self.stage = Stage::Open(key, direction);
             }
-            over @ Stage::Over(_) => self.stage = over,
+            closed @ Stage::Closed(_) => self.stage = closed,
         }
         Ok(())
     }
 
-    /// Sends a record.
+    /// Queues a record for sending.
     ///
     /// # Errors
-    /// Why it is not taken.
+    /// Why it was not accepted.
     pub fn send(&mut self, record: &[u8]) -> Result<(), SendError> {
-        if record.len() > MAX_RECORD_BYTES + HEAD {
+        if record.len() > MAX_RECORD_BYTES + MAX_HEADER_BYTES {
             return Err(SendError::TooLong);
         }
-        match (&self.stage, &mut self.away) {
-            (Stage::Open(..), Some(away)) => {
-                if self.out.len() + self.writing + record.len() > MAX_QUEUED_BYTES {
+        match (&self.stage, &mut self.sending) {
+            (Stage::Open(..), Some(sending)) => {
+                if self.output.len() + self.writing_bytes + record.len() > MAX_QUEUED_BYTES {
                     return Err(SendError::QueueFull);
                 }
-                away.seal(Kind::Record, record, &mut self.out);
+                sending.seal(FrameKind::Record, record, &mut self.output);
                 Ok(())
             }
-            (Stage::Over(_), _) => Err(SendError::Closed),
+            (Stage::Closed(_), _) => Err(SendError::Closed),
             _ => Err(SendError::UnknownGateway),
         }
     }
 
-    /// The next record that has come. What came whole before the end is still given after it.
+    /// Takes the next received record. Records received before the stream ended can still be taken afterwards.
     pub fn next_record(&mut self) -> Option<Vec<u8>> {
         let record = self.records.pop_front()?;
-        self.kept -= record.len();
+        self.records_bytes -= record.len();
         Some(record)
     }
 
-    /// So much waits to be taken that nothing more is to be read.
+    /// Whether the queue of received records is full. The caller should stop reading until records are taken.
     pub fn is_full(&self) -> bool {
-        self.kept >= MAX_QUEUED_BYTES || self.records.len() >= MAX_QUEUED_MESSAGES
+        self.records_bytes >= MAX_QUEUED_BYTES || self.records.len() >= MAX_QUEUED_MESSAGES
     }
 
-    /// Octets to be written; [`Session::written`] tells when they are.
+    /// Takes the bytes to write to the connection; report them with [`Session::written`].
     pub fn take_output(&mut self, now: Micros) -> Vec<u8> {
-        let out = std::mem::take(&mut self.out);
-        if !out.is_empty() {
-            self.said = now;
+        let output = std::mem::take(&mut self.output);
+        if !output.is_empty() {
+            self.sent_at = now;
         }
-        if self.writing == 0 {
-            self.taken = now;
+        if self.writing_bytes == 0 {
+            self.write_progress_at = now;
         }
-        self.writing += out.len();
-        out
+        self.writing_bytes += output.len();
+        output
     }
 
-    /// The way took octets that were handed out.
-    pub fn written(&mut self, octets: usize, now: Micros) {
-        self.writing = self.writing.saturating_sub(octets);
-        self.taken = now;
+    /// Reports that the connection has accepted `bytes` of the output.
+    pub fn written(&mut self, bytes: usize, now: Micros) {
+        self.writing_bytes = self.writing_bytes.saturating_sub(bytes);
+        self.write_progress_at = now;
     }
 
-    /// There is something to be handed out.
+    /// Whether there is output to take.
     pub fn has_output(&self) -> bool {
-        !self.out.is_empty()
+        !self.output.is_empty()
     }
 
-    /// Octets that wait to be written or are being written.
+    /// Bytes that are queued for writing or being written.
     pub fn queued_bytes(&self) -> usize {
-        self.out.len() + self.writing
+        self.output.len() + self.writing_bytes
     }
 
-    /// Time has passed.
+    /// Checks the timeouts and sends a keepalive if one is due.
     pub fn on_timer(&mut self, now: Micros) {
-        // Who stood still cannot blame the other end for it: what came meanwhile has not been read yet.
-        let late = now.saturating_sub(self.due);
+        // If this process was paused, the other end is not at fault: what it sent meanwhile has not been read yet.
+        let late = now.saturating_sub(self.timer_at);
         if late > self.timeouts.keepalive {
-            for at in [&mut self.began, &mut self.heard, &mut self.taken] {
+            for at in [&mut self.started_at, &mut self.received_at, &mut self.write_progress_at] {
                 *at += late;
             }
         }
         if self.is_full() {
-            // Nothing is read just now.
-            self.heard = now;
+            // Reading is suspended, so no frames can be received.
+            self.received_at = now;
         }
         let timeouts = self.timeouts;
         match &self.stage {
-            Stage::Over(_) => {}
+            Stage::Closed(_) => {}
             Stage::Open(..) => {
-                let stuck = self.writing > 0 && now >= self.taken + timeouts.idle;
-                if now >= self.heard + timeouts.idle || stuck {
+                let is_stuck = self.writing_bytes > 0 && now >= self.write_progress_at + timeouts.idle;
+                if now >= self.received_at + timeouts.idle || is_stuck {
                     self.close(CloseReason::TimedOut);
-                } else if now >= self.said + timeouts.keepalive && self.queued_bytes() == 0 {
-                    if let Some(away) = &mut self.away {
-                        away.seal(Kind::Beat, &[], &mut self.out);
+                } else if now >= self.sent_at + timeouts.keepalive && self.queued_bytes() == 0 {
+                    if let Some(sending) = &mut self.sending {
+                        sending.seal(FrameKind::Keepalive, &[], &mut self.output);
                     }
                 }
             }
-            _ if now >= self.began + timeouts.handshake => self.close(CloseReason::HandshakeTimeout),
+            _ if now >= self.started_at + timeouts.handshake => self.close(CloseReason::HandshakeTimeout),
             _ => {}
         }
-        self.due = now + timeouts.keepalive / 2;
+        self.timer_at = now + timeouts.keepalive / 2;
     }
 
-    /// When it wants to be woken.
+    /// When to call [`Session::on_timer`] next.
     pub fn next_wake(&self) -> Micros {
-        if matches!(self.stage, Stage::Over(_)) {
+        if matches!(self.stage, Stage::Closed(_)) {
             Micros::MAX
         } else {
-            self.due
+            self.timer_at
         }
     }
 
-    /// The ring is this now: an end whose key is not in it any more is let go.
+    /// Replaces the accepted keys. The stream ends if the other end's key is no longer among them.
     pub fn set_keys(&mut self, keys: &Keys) {
         if matches!(&self.stage, Stage::Open(key, _) if !keys.contains(key)) {
             self.close(CloseReason::UntrustedKey);
@@ -423,48 +443,48 @@
         self.keys = keys.clone();
     }
 
-    /// Ends the stream.
-    pub fn close(&mut self, why: CloseReason) {
-        if !matches!(self.stage, Stage::Over(_)) {
-            self.stage = Stage::Over(why);
-            self.come = Vec::new();
-            self.out = Vec::new();
+    /// Ends the stream, unless it has ended already.
+    pub fn close(&mut self, reason: CloseReason) {
+        if !matches!(self.stage, Stage::Closed(_)) {
+            self.stage = Stage::Closed(reason);
+            self.input = Vec::new();
+            self.output = Vec::new();
         }
     }
 
-    /// Both ends are proved, and it has not ended.
+    /// Whether this end has authenticated the other one and the stream has not ended.
     pub fn is_open(&self) -> bool {
         matches!(self.stage, Stage::Open(..))
     }
 
-    /// Why it has ended, if it has.
+    /// Why the stream has ended, if it has.
     pub fn close_reason(&self) -> Option<CloseReason> {
         match self.stage {
-            Stage::Over(why) => Some(why),
+            Stage::Closed(reason) => Some(reason),
             _ => None,
         }
     }
 
-    /// Who is at the other end, if it has been proved.
+    /// The other end, once it is authenticated.
     pub fn peer(&self) -> Option<&Identity> {
         self.peer.as_ref()
     }
 }
 
-/// The mark of a greeting's key, and whose it is.
-fn read_greeting(bytes: &[u8]) -> Option<(u32, Identity)> {
+/// Parses a hello into the key id and the sender's identity.
+fn parse_hello(bytes: &[u8]) -> Option<(u32, Identity)> {
     let (version, rest) = bytes.split_first()?;
-    let (id, rest) = rest.split_first_chunk::<4>()?;
-    let (_, rest) = rest.split_first_chunk::<NONCE>()?;
+    let (key_id, rest) = rest.split_first_chunk::<4>()?;
+    let (_, rest) = rest.split_first_chunk::<NONCE_BYTES>()?;
     let (incarnation, rest) = rest.split_first_chunk::<8>()?;
-    let (name, rest) = name(rest)?;
+    let (name, rest) = split_name(rest)?;
     let peer = Identity { name: name.to_owned(), incarnation: u64::from_be_bytes(*incarnation) };
-    (*version == VERSION && rest.is_empty()).then_some((u32::from_be_bytes(*id), peer))
+    (*version == VERSION && rest.is_empty()).then_some((u32::from_be_bytes(*key_id), peer))
 }
 
-/// Kind, body and code of a frame.
-fn parts(frame: &[u8]) -> Option<(u8, &[u8], &[u8])> {
+/// Splits a frame into kind, body and MAC.
+fn split_frame(frame: &[u8]) -> Option<(u8, &[u8], &[u8])> {
     let (kind, rest) = frame.split_first()?;
-    let (body, code) = rest.split_at_checked(rest.len().checked_sub(CODE)?)?;
-    Some((*kind, body, code))
+    let (body, mac) = rest.split_at_checked(rest.len().checked_sub(MAC_BYTES)?)?;
+    Some((*kind, body, mac))
 }
--- a/crates/transport/src/sockets.rs
+++ b/crates/transport/src/sockets.rs
@@ -1,5 +1,5 @@
-//! Datagrams and streams over UDP and TCP, on async-io and one thread. Moves octets; what they mean is decided by
-//! [`crate::session`], [`crate::seal`] and whoever stands on them.
+//! Messages and streams over UDP and TCP, with async-io on one thread. This module only moves bytes; their formats are defined
+//! by [`crate::session`], [`crate::seal`] and the protocols on top.
 
 mod call;
 mod stream;
@@ -20,27 +20,30 @@
 pub use call::{serve, CallError, CallFailure, Caller};
 pub use stream::{accept, dial, Stream};
 
-use crate::seal::{self, AROUND};
+use crate::seal::{self, MAX_OVERHEAD_BYTES};
 use crate::session::{Identity, Timeouts};
 use crate::{Keys, Messages, SendError, MAX_MESSAGE_BYTES, MAX_QUEUED_MESSAGES};
 
-/// Names whose addresses a [`Mailbox`] knows at most.
-const PLACES: usize = 4_096;
-/// Ports tried until one is free for datagrams and streams alike.
-const TRIES: usize = 16;
+/// Most gateways whose addresses a [`Mailbox`] holds.
+const MAX_ADDRESSES: usize = 4_096;
+/// Pause after an error in receiving.
+const RECEIVE_ERROR_PAUSE: Duration = Duration::from_millis(1);
+/// Further ports to try until one is free for both UDP and TCP.
+const MAX_BIND_RETRIES: usize = 16;
 
-/// What all sockets of one gateway share.
+/// The state that all sockets of one gateway share: its identity, keys and timeouts, and the executor of its tasks.
 pub struct Endpoint {
     executor: Rc<LocalExecutor<'static>>,
     clock: Clock,
     identity: Identity,
     keys: RefCell<Keys>,
     timeouts: Timeouts,
-    streams: RefCell<Vec<Weak<stream::Line>>>,
+    /// All streams, so that a change of keys reaches them.
+    streams: RefCell<Vec<Weak<stream::Connection>>>,
 }
 
 impl Endpoint {
-    /// A endpoint. Its tasks run as long as the executor does.
+    /// Creates an endpoint, whose tasks run on `executor`.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         clock: Clock,
@@ -58,14 +61,14 @@
         })
     }
 
-    /// The ring of keys is this now. Streams to ends whose key is not in it any more are let go.
+    /// Replaces the accepted keys. Streams whose other end used a key that is no longer accepted are closed.
     pub fn set_keys(&self, keys: Keys) {
         *self.keys.borrow_mut() = keys.clone();
-        let lines: Vec<_> = self.streams.borrow().iter().filter_map(Weak::upgrade).collect();
-        lines.iter().for_each(|line| line.touch(|session, _| session.set_keys(&keys)));
+        let connections: Vec<_> = self.streams.borrow().iter().filter_map(Weak::upgrade).collect();
+        connections.iter().for_each(|connection| connection.update(|session, _| session.set_keys(&keys)));
     }
 
-    /// Who this is.
+    /// The name and incarnation of this gateway.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
@@ -75,113 +78,116 @@
     }
 }
 
-/// Opens a socket for datagrams and one for streams on the same address and port; port 0 takes a free one.
+/// Binds a UDP and a TCP socket to the same address and port; port 0 picks a free one.
 ///
 /// # Errors
-/// If it cannot listen on both.
+/// If the port is not available for both.
 pub fn bind(listen: SocketAddr) -> io::Result<(Datagrams, Async<TcpListener>)> {
-    let mut tries = 0;
+    let mut retries = 0;
     loop {
         let datagrams = Datagrams::bind(listen)?;
         match Async::<TcpListener>::bind(datagrams.address()?) {
             Ok(listener) => return Ok((datagrams, listener)),
-            Err(e) if listen.port() != 0 || tries == TRIES => return Err(e),
-            Err(_) => tries += 1,
+            Err(e) if listen.port() != 0 || retries == MAX_BIND_RETRIES => return Err(e),
+            Err(_) => retries += 1,
         }
     }
 }
 
-/// Datagrams by address, as they are: for what signs its own, as membership does.
+/// Plain datagrams by address, for protocols that authenticate their own, such as membership.
 pub struct Datagrams {
     socket: Async<UdpSocket>,
 }
 
 impl Datagrams {
-    /// Opens a socket.
+    /// Binds a UDP socket.
     ///
     /// # Errors
-    /// If it cannot listen.
+    /// If the address is not available.
     pub fn bind(listen: SocketAddr) -> io::Result<Datagrams> {
         Ok(Datagrams { socket: Async::<UdpSocket>::bind(listen)? })
     }
 
-    /// Where it listens.
+    /// The local address.
     ///
     /// # Errors
-    /// The socket's.
+    /// If the socket does not report it.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.socket.get_ref().local_addr()
     }
 
-    /// Sends one. A full buffer, or a port that nobody listens on, is a datagram lost.
+    /// Sends a datagram. It is lost if the send buffer is full or nobody listens on the port.
     pub fn send(&self, to: SocketAddr, bytes: &[u8]) {
         self.socket.get_ref().send_to(bytes, to).ok();
     }
 
-    /// The next one: its octets, as many as fit, and where it says that it comes from. Others get their turn before it.
+    /// Receives the next datagram: its unverified source address and its content, truncated to the length of `bytes`. Yields to
+    /// other tasks first.
     pub async fn next<'a>(&self, bytes: &'a mut [u8]) -> (SocketAddr, &'a [u8]) {
-        // A flood must not keep the thread's other tasks waiting.
+        // Otherwise a flood of datagrams would starve the other tasks of the thread.
         future::yield_now().await;
         loop {
             match self.socket.recv_from(bytes).await {
                 Ok((size, from)) => return (from, &bytes[..size]),
-                // An earlier datagram found nobody: told here by some systems.
-                Err(_) => violetward_net::sleep(Duration::from_millis(1)).await,
+                // Some systems report here that an earlier datagram was undeliverable. The pause keeps a persistent error
+                // from busy-looping.
+                Err(_) => violetward_net::sleep(RECEIVE_ERROR_PAUSE).await,
             }
         }
     }
 }
 
-type Come = RefCell<VecDeque<(String, Vec<u8>)>>;
+/// Received messages with the names of their senders.
+type Inbox = RefCell<VecDeque<(String, Vec<u8>)>>;
 
-/// Messages by name over datagrams.
+/// Sends and receives messages by gateway name, as datagrams.
 pub struct Mailbox {
     endpoint: Rc<Endpoint>,
     datagrams: Rc<Datagrams>,
-    places: BTreeMap<String, SocketAddr>,
-    come: Rc<Come>,
+    addresses: BTreeMap<String, SocketAddr>,
+    inbox: Rc<Inbox>,
 }
 
 impl Mailbox {
-    /// Takes messages from now on, until it is dropped.
+    /// Receives messages until it is dropped.
     pub fn start(endpoint: &Rc<Endpoint>, datagrams: Datagrams) -> Mailbox {
-        let (datagrams, come) = (Rc::new(datagrams), Rc::<Come>::default());
-        endpoint.spawn(read(Rc::downgrade(endpoint), datagrams.clone(), Rc::downgrade(&come)));
-        Mailbox { endpoint: endpoint.clone(), datagrams, places: BTreeMap::new(), come }
+        let (datagrams, inbox) = (Rc::new(datagrams), Rc::<Inbox>::default());
+        endpoint.spawn(receive(Rc::downgrade(endpoint), datagrams.clone(), Rc::downgrade(&inbox)));
+        Mailbox { endpoint: endpoint.clone(), datagrams, addresses: BTreeMap::new(), inbox }
     }
 
-    /// Where a gateway is reached from now on.
+    /// Sets the address of a gateway.
     ///
     /// # Errors
-    /// [`SendError::QueueFull`] if as many are known already as may.
+    /// [`SendError::QueueFull`] if too many addresses are held already.
     pub fn set_address(&mut self, name: &str, address: SocketAddr) -> Result<(), SendError> {
-        if self.places.len() >= PLACES && !self.places.contains_key(name) {
+        if self.addresses.len() >= MAX_ADDRESSES && !self.addresses.contains_key(name) {
             return Err(SendError::QueueFull);
         }
-        self.places.insert(name.to_owned(), address);
+        self.addresses.insert(name.to_owned(), address);
         Ok(())
     }
 
-    /// A gateway is not known any more.
+    /// Removes the address of a gateway.
     pub fn remove_address(&mut self, name: &str) {
-        self.places.remove(name);
+        self.addresses.remove(name);
     }
 }
 
-async fn read(endpoint: Weak<Endpoint>, datagrams: Rc<Datagrams>, come: Weak<Come>) {
-    // One octet more than any good one tells a longer one.
-    let mut bytes = vec![0; MAX_MESSAGE_BYTES + AROUND + 1];
+async fn receive(endpoint: Weak<Endpoint>, datagrams: Rc<Datagrams>, inbox: Weak<Inbox>) {
+    // One byte more than the longest valid message, so that a longer one is not truncated to a valid length.
+    let mut bytes = vec![0; MAX_MESSAGE_BYTES + MAX_OVERHEAD_BYTES + 1];
     loop {
         let (_, bytes) = datagrams.next(&mut bytes).await;
-        let (Some(endpoint), Some(come)) = (endpoint.upgrade(), come.upgrade()) else { return };
+        let (Some(endpoint), Some(inbox)) = (endpoint.upgrade(), inbox.upgrade()) else { return };
         let Some(message) = seal::open(&endpoint.keys.borrow(), &endpoint.identity.name, bytes) else {
             continue;
         };
-        let mut come = come.borrow_mut();
-        if come.len() >= MAX_QUEUED_MESSAGES {
-            come.pop_front();
+        let mut inbox = inbox.borrow_mut();
+        if inbox.len() >= MAX_QUEUED_MESSAGES {
+            inbox.pop_front();
         }
-        come.push_back(message);
+        inbox.push_back(message);
     }
 }
 
@@ -189,11 +195,11 @@
     fn send(&mut self, to: &str, bytes: &[u8]) -> Result<(), SendError> {
         let keys = self.endpoint.keys.borrow();
         let sealed = seal::seal(&keys, &self.endpoint.identity.name, to, bytes).ok_or(SendError::TooLong)?;
-        self.datagrams.send(*self.places.get(to).ok_or(SendError::UnknownGateway)?, &sealed);
+        self.datagrams.send(*self.addresses.get(to).ok_or(SendError::UnknownGateway)?, &sealed);
         Ok(())
     }
 
     fn next(&mut self) -> Option<(String, Vec<u8>)> {
-        self.come.borrow_mut().pop_front()
+        self.inbox.borrow_mut().pop_front()
     }
 }
--- a/crates/transport/src/sockets/call.rs
+++ b/crates/transport/src/sockets/call.rs
@@ -1,4 +1,4 @@
-//! Calls and answers: records of streams, `tag 1 | number 4 | what is said`.
+//! Calls with responses over streams. Each is a record `tag 1 | call number 4 | content`, sizes in bytes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, VecDeque};
@@ -12,132 +12,139 @@
 use event_listener::Event;
 use futures_lite::future;
 
-use super::stream::{accepted, dial};
+use super::stream::{dial, start_accept};
 use super::{Endpoint, Stream};
 use crate::session::CloseReason;
 use crate::{SendError, MAX_QUEUED_BYTES, MAX_RECORD_BYTES};
 
-/// Calls that are out on one stream at once, on either side.
-const AT_ONCE: usize = 256;
-/// Streams to one address; a further one is opened once so many octets wait on those there are.
-const STREAMS: usize = 2;
-const BUSY: usize = 64 << 10;
-/// Addresses to which there are streams.
-const ADDRESSES: usize = 1_024;
-/// After how long without a call a stream is closed.
-const IDLE: Duration = Duration::from_secs(30);
-/// Streams taken of one gateway, of all, and of ends that have not proved themselves; the oldest give way.
-const OF_ONE: usize = 4;
-const OF_ALL: usize = 2_048;
-const UNPROVED: usize = 256;
-/// After a connection could not be taken.
-const REST: Duration = Duration::from_millis(20);
-
-const CALL: u8 = 1;
-const ANSWER: u8 = 2;
-const REFUSED: u8 = 3;
-const TOO_LONG: u8 = 4;
-
-/// Why there is no answer.
+/// Most pending calls on one stream, on the calling and on the serving end.
+const MAX_PENDING_CALLS: usize = 256;
+/// Most outgoing streams to one address.
+const MAX_STREAMS_PER_ADDRESS: usize = 2;
+/// A further stream to an address is opened once this many bytes are queued on the existing ones.
+const BUSY_QUEUE_BYTES: usize = 64 << 10;
+/// Most addresses with outgoing streams.
+const MAX_ADDRESSES: usize = 1_024;
+/// An outgoing stream without pending calls is closed after this time.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+/// Most incoming streams from one gateway; the oldest are closed first, as for the two limits below.
+const MAX_INCOMING_PER_GATEWAY: usize = 4;
+/// Most incoming streams from all gateways together.
+const MAX_INCOMING: usize = 2_048;
+/// Most incoming streams whose other end is not authenticated yet.
+const MAX_INCOMING_HANDSHAKES: usize = 256;
+/// Pause after a connection could not be accepted.
+const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(20);
+
+const TAG_CALL: u8 = 1;
+const TAG_RESPONSE: u8 = 2;
+/// The serving end has too many pending calls and did not pass this one to its handler.
+const TAG_OVERLOADED: u8 = 3;
+/// The handler's response is longer than [`MAX_RECORD_BYTES`].
+const TAG_RESPONSE_TOO_LONG: u8 = 4;
+
+/// Why a call got no response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 #[non_exhaustive]
 pub enum CallFailure {
     /// The record is longer than [`MAX_RECORD_BYTES`].
     TooLong,
-    /// As much is out already as may be.
+    /// Too many calls are pending, or too many bytes are queued.
     QueueFull,
-    /// There is no stream to that address, and none could be opened.
+    /// No stream to that address is open, and none could be opened.
     Unreachable(CloseReason),
-    /// Another gateway is there, of this name.
+    /// The gateway at that address has this name instead of the expected one.
     WrongGateway(String),
-    /// The other end has as much in hand as it takes.
+    /// The other end has too many pending calls.
     Overloaded,
-    /// The time is over.
+    /// No response arrived in time.
     TimedOut,
-    /// The stream ended while the call was out.
+    /// The stream ended while the call was pending.
     StreamClosed(CloseReason),
-    /// The answer was too long to be sent.
-    AnswerTooLong,
+    /// The response is longer than [`MAX_RECORD_BYTES`].
+    ResponseTooLong,
 }
 
 impl fmt::Display for CallFailure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             CallFailure::TooLong => f.write_str("the record is too long"),
-            CallFailure::QueueFull => f.write_str("too much is out already"),
-            CallFailure::Unreachable(why) => write!(f, "no stream could be opened: {why}"),
-            CallFailure::WrongGateway(name) => write!(f, "it is {name} that is reached there"),
-            CallFailure::Overloaded => f.write_str("the other end has too much in hand"),
-            CallFailure::TimedOut => f.write_str("the time is over"),
-            CallFailure::StreamClosed(why) => write!(f, "the stream ended: {why}"),
-            CallFailure::AnswerTooLong => f.write_str("the answer was too long"),
+            CallFailure::QueueFull => f.write_str("too many calls are pending"),
+            CallFailure::Unreachable(reason) => write!(f, "no stream could be opened: {reason}"),
+            CallFailure::WrongGateway(name) => write!(f, "the gateway at that address is {name}"),
+            CallFailure::Overloaded => f.write_str("the other end is overloaded"),
+            CallFailure::TimedOut => f.write_str("timed out"),
+            CallFailure::StreamClosed(reason) => write!(f, "the stream ended: {reason}"),
+            CallFailure::ResponseTooLong => f.write_str("the response is too long"),
         }
     }
 }
 
-/// A call that brought no answer.
+/// A call that got no response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallError {
-    /// The record was surely not given to the other end's handler, and never will be.
+    /// The record has not been passed to the other end's handler and never will be.
     NotDelivered(CallFailure),
-    /// It may have been, or may be yet.
+    /// The record may have been passed to the other end's handler, or may still be.
     MayBeDelivered(CallFailure),
 }
 
 impl CallError {
-    /// The record was surely not given to the other end's handler, and never will be.
+    /// Whether the record has certainly not been passed to the other end's handler and never will be.
     pub fn is_undelivered(&self) -> bool {
         matches!(self, CallError::NotDelivered(_))
     }
 
-    /// Why.
-    pub fn why(&self) -> &CallFailure {
-        let (CallError::NotDelivered(why) | CallError::MayBeDelivered(why)) = self;
-        why
+    /// Why there is no response.
+    pub fn failure(&self) -> &CallFailure {
+        let (CallError::NotDelivered(failure) | CallError::MayBeDelivered(failure)) = self;
+        failure
     }
 }
 
 impl fmt::Display for CallError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CallError::NotDelivered(why) => write!(f, "not delivered: {why}"),
-            CallError::MayBeDelivered(why) => write!(f, "it may have been delivered: {why}"),
+            CallError::NotDelivered(failure) => write!(f, "not delivered: {failure}"),
+            CallError::MayBeDelivered(failure) => write!(f, "it may have been delivered: {failure}"),
         }
     }
 }
 
 impl std::error::Error for CallError {}
 
-type Answer = Result<Vec<u8>, CallError>;
+type CallResult = Result<Vec<u8>, CallError>;
 
-/// A stream with the calls that are out on it.
-struct Line {
+/// An outgoing stream with its pending calls.
+struct Connection {
     stream: Stream,
-    out: RefCell<HashMap<u32, async_channel::Sender<Answer>>>,
-    next: Cell<u32>,
+    /// Pending calls by number. Dropping a sender tells its call that the stream has ended.
+    pending: RefCell<HashMap<u32, async_channel::Sender<CallResult>>>,
+    next_number: Cell<u32>,
 }
 
-/// A call that is out: its number is free again when this goes.
-struct Out<'a>(&'a Line, u32);
+/// Removes a call from the pending ones when dropped.
+struct PendingCall<'a>(&'a Connection, u32);
 
-impl Drop for Out<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
-        self.0.out.borrow_mut().remove(&self.1);
+        self.0.pending.borrow_mut().remove(&self.1);
     }
 }
 
-impl Line {
-    fn is_free(&self) -> bool {
-        self.stream.close_reason().is_none() && self.out.borrow().len() < AT_ONCE
+impl Connection {
+    fn is_available(&self) -> bool {
+        self.stream.close_reason().is_none() && self.pending.borrow().len() < MAX_PENDING_CALLS
     }
 
-    async fn call(&self, record: &[u8], sent: &Cell<bool>) -> Answer {
-        let number = self.next.replace(self.next.get().wrapping_add(1));
+    /// Sends a call and waits for its response; sets `is_sent` once the record may be delivered.
+    async fn call(&self, record: &[u8], is_sent: &Cell<bool>) -> CallResult {
+        let number = self.next_number.replace(self.next_number.get().wrapping_add(1));
         let (sender, receiver) = async_channel::bounded(1);
-        self.out.borrow_mut().insert(number, sender);
-        let _out = Out(self, number);
-        self.stream.send(&said(CALL, number, record)).map_err(|unsent| {
-            CallError::NotDelivered(match unsent {
+        self.pending.borrow_mut().insert(number, sender);
+        let _pending = PendingCall(self, number);
+        self.stream.send(&encode(TAG_CALL, number, record)).map_err(|error| {
+            CallError::NotDelivered(match error {
                 SendError::TooLong => CallFailure::TooLong,
                 SendError::QueueFull => CallFailure::QueueFull,
                 _ => {
@@ -145,285 +152,325 @@
                 }
             })
         })?;
-        sent.set(true);
-        let lost = || {
-            CallError::MayBeDelivered(CallFailure::StreamClosed(
-                self.stream.close_reason().unwrap_or(CloseReason::Disconnected),
-            ))
+        is_sent.set(true);
+        let stream_closed = || {
+            let reason = self.stream.close_reason().unwrap_or(CloseReason::Disconnected);
+            CallError::MayBeDelivered(CallFailure::StreamClosed(reason))
         };
-        receiver.recv().await.unwrap_or_else(|_| Err(lost()))
+        receiver.recv().await.unwrap_or_else(|_| Err(stream_closed()))
     }
 
-    /// Gives answers to their calls until the stream is over or nobody needs it.
-    async fn read(&self) {
+    /// Passes responses to their calls until the stream ends or has been idle for too long.
+    async fn receive(&self) {
         loop {
-            match violetward_net::timeout(IDLE, self.stream.recv()).await {
+            match violetward_net::timeout(IDLE_TIMEOUT, self.stream.recv()).await {
                 Some(Some(record)) => {
-                    let Some((tag, number, says)) = heard(&record) else { break };
-                    let answer = match tag {
-                        ANSWER => Ok(says.to_vec()),
-                        REFUSED => Err(CallError::NotDelivered(CallFailure::Overloaded)),
-                        TOO_LONG => Err(CallError::MayBeDelivered(CallFailure::AnswerTooLong)),
+                    let Some((tag, number, content)) = decode(&record) else { break };
+                    let result = match tag {
+                        TAG_RESPONSE => Ok(content.to_vec()),
+                        TAG_OVERLOADED => Err(CallError::NotDelivered(CallFailure::Overloaded)),
+                        TAG_RESPONSE_TOO_LONG => Err(CallError::MayBeDelivered(CallFailure::ResponseTooLong)),
                         _ => break,
                     };
-                    // One that nobody waits for any more is let go.
-                    if let Some(sender) = self.out.borrow_mut().remove(&number) {
-                        sender.try_send(answer).ok();
+                    // The response to a call that was given up is dropped.
+                    if let Some(sender) = self.pending.borrow_mut().remove(&number) {
+                        sender.try_send(result).ok();
                     }
                 }
                 Some(None) => break,
-                None if self.out.borrow().is_empty() => break,
+                None if self.pending.borrow().is_empty() => break,
                 None => {}
             }
         }
         self.stream.close();
-        // Whoever still waits learns it by the end of his channel.
-        self.out.borrow_mut().clear();
+        // Closes the channels of the pending calls, which tells them that the stream has ended.
+        self.pending.borrow_mut().clear();
     }
 }
 
-/// Streams to one address.
+/// The outgoing streams to one address.
 #[derive(Default)]
-struct Place {
-    lines: RefCell<Vec<Rc<Line>>>,
-    dialing: Cell<bool>,
-    /// How often no stream could be opened, and why at last.
-    failed: Cell<(u64, Option<CloseReason>)>,
+struct ConnectionPool {
+    connections: RefCell<Vec<Rc<Connection>>>,
+    is_dialing: Cell<bool>,
+    /// How many times no stream could be opened, and why the last time.
+    failures: Cell<(u64, Option<CloseReason>)>,
+    /// A stream was opened or has ended, or could not be opened.
     changed: Event,
 }
 
-impl Place {
-    /// The stream with the least to do.
-    fn free(&self) -> Option<Rc<Line>> {
-        let lines = self.lines.borrow();
-        lines.iter().filter(|line| line.is_free()).min_by_key(|line| line.stream.queued_bytes()).cloned()
+impl ConnectionPool {
+    /// The available stream with the fewest queued bytes.
+    fn least_loaded(&self) -> Option<Rc<Connection>> {
+        let connections = self.connections.borrow();
+        connections
+            .iter()
+            .filter(|connection| connection.is_available())
+            .min_by_key(|connection| connection.stream.queued_bytes())
+            .cloned()
     }
 }
 
-/// Calls other gateways, over a few streams to each that are kept while they are used.
+/// Calls other gateways, over a few streams to each that stay open while they are used.
 pub struct Caller {
     endpoint: Rc<Endpoint>,
-    places: RefCell<HashMap<SocketAddr, Rc<Place>>>,
+    pools: RefCell<HashMap<SocketAddr, Rc<ConnectionPool>>>,
 }
 
 impl Caller {
-    /// A caller.
+    /// Creates a caller without open streams.
     pub fn new(endpoint: &Rc<Endpoint>) -> Self {
-        Caller { endpoint: endpoint.clone(), places: RefCell::default() }
+        Caller { endpoint: endpoint.clone(), pools: RefCell::default() }
     }
 
-    /// Sends a record to whichever gateway is there and waits for its answer.
+    /// Sends a record to the gateway at an address, whatever its name, and waits for the response.
     ///
     /// # Errors
-    /// Why there is none in that time, and whether the record may have been delivered.
-    pub async fn call(&self, to: SocketAddr, record: &[u8], within: Duration) -> Answer {
-        self.within(None, to, record, within).await
+    /// Why no response arrived within the time limit, and whether the record may have been delivered.
+    pub async fn call(&self, to: SocketAddr, record: &[u8], time_limit: Duration) -> CallResult {
+        self.call_with_limit(None, to, record, time_limit).await
     }
 
-    /// The same, if the gateway there has this name.
+    /// As [`Caller::call`], but only if the gateway at the address has this name.
     ///
     /// # Errors
-    /// See [`Caller::call`]; [`CallFailure::WrongGateway`] if it has another one.
-    pub async fn call_named(&self, name: &str, to: SocketAddr, record: &[u8], within: Duration) -> Answer {
-        self.within(Some(name), to, record, within).await
+    /// As for [`Caller::call`]; [`CallFailure::WrongGateway`] if it has another name.
+    pub async fn call_named(
+        &self,
+        name: &str,
+        to: SocketAddr,
+        record: &[u8],
+        time_limit: Duration,
+    ) -> CallResult {
+        self.call_with_limit(Some(name), to, record, time_limit).await
     }
 
-    async fn within(&self, name: Option<&str>, to: SocketAddr, record: &[u8], within: Duration) -> Answer {
+    async fn call_with_limit(
+        &self,
+        name: Option<&str>,
+        to: SocketAddr,
+        record: &[u8],
+        time_limit: Duration,
+    ) -> CallResult {
         if record.len() > MAX_RECORD_BYTES {
             return Err(CallError::NotDelivered(CallFailure::TooLong));
         }
-        let sent = Cell::new(false);
-        let work = async {
-            let line = self.line(to).await.map_err(CallError::NotDelivered)?;
-            let other = &line.stream.peer().name;
-            if name.is_some_and(|name| name != other) {
-                return Err(CallError::NotDelivered(CallFailure::WrongGateway(other.clone())));
+        let is_sent = Cell::new(false);
+        let call = async {
+            let connection = self.connection(to).await.map_err(CallError::NotDelivered)?;
+            let peer_name = &connection.stream.peer().name;
+            if name.is_some_and(|name| name != peer_name) {
+                return Err(CallError::NotDelivered(CallFailure::WrongGateway(peer_name.clone())));
             }
-            line.call(record, &sent).await
+            connection.call(record, &is_sent).await
         };
-        let late = || if sent.get() { CallError::MayBeDelivered } else { CallError::NotDelivered };
-        violetward_net::timeout(within, work).await.unwrap_or_else(|| Err(late()(CallFailure::TimedOut)))
+        let error = || if is_sent.get() { CallError::MayBeDelivered } else { CallError::NotDelivered };
+        violetward_net::timeout(time_limit, call).await.unwrap_or_else(|| Err(error()(CallFailure::TimedOut)))
     }
 
-    /// A stream to an address, opened if there is none.
-    async fn line(&self, to: SocketAddr) -> Result<Rc<Line>, CallFailure> {
-        let place = self.place(to)?;
-        let failed = place.failed.get().0;
+    /// An available stream to an address. Opens one if there is none or if all of them are busy.
+    async fn connection(&self, to: SocketAddr) -> Result<Rc<Connection>, CallFailure> {
+        let pool = self.pool(to)?;
+        let failures_before = pool.failures.get().0;
         loop {
-            let changed = place.changed.listen();
-            let line = place.free();
-            let there = place.lines.borrow().len();
-            let wanted = line.as_ref().is_none_or(|line| line.stream.queued_bytes() > BUSY);
-            if wanted && there < STREAMS && !place.dialing.replace(true) {
-                self.endpoint.spawn(open(self.endpoint.clone(), place.clone(), to));
+            let changed = pool.changed.listen();
+            let available = pool.least_loaded();
+            let open_count = pool.connections.borrow().len();
+            let is_busy = |c: &Rc<Connection>| c.stream.queued_bytes() > BUSY_QUEUE_BYTES;
+            let needs_stream = available.as_ref().is_none_or(is_busy);
+            if needs_stream && open_count < MAX_STREAMS_PER_ADDRESS && !pool.is_dialing.replace(true) {
+                self.endpoint.spawn(run_connection(self.endpoint.clone(), pool.clone(), to));
             }
-            match (line, place.failed.get()) {
-                (Some(line), _) => return Ok(line),
-                (None, (count, Some(why))) if count > failed => return Err(CallFailure::Unreachable(why)),
-                (None, _) if there == STREAMS => return Err(CallFailure::QueueFull),
+            match (available, pool.failures.get()) {
+                (Some(connection), _) => return Ok(connection),
+                (None, (count, Some(reason))) if count > failures_before => {
+                    return Err(CallFailure::Unreachable(reason));
+                }
+                (None, _) if open_count == MAX_STREAMS_PER_ADDRESS => return Err(CallFailure::QueueFull),
                 _ => changed.await,
             }
         }
     }
 
-    fn place(&self, to: SocketAddr) -> Result<Rc<Place>, CallFailure> {
-        let mut places = self.places.borrow_mut();
-        if places.len() >= ADDRESSES && !places.contains_key(&to) {
-            places.retain(|_, place| Rc::strong_count(place) > 1 || !place.lines.borrow().is_empty());
-            if places.len() >= ADDRESSES {
+    /// The pool of an address. Drops unused pools if there are too many.
+    fn pool(&self, to: SocketAddr) -> Result<Rc<ConnectionPool>, CallFailure> {
+        let mut pools = self.pools.borrow_mut();
+        if pools.len() >= MAX_ADDRESSES && !pools.contains_key(&to) {
+            pools.retain(|_, pool| Rc::strong_count(pool) > 1 || !pool.connections.borrow().is_empty());
+            if pools.len() >= MAX_ADDRESSES {
                 return Err(CallFailure::QueueFull);
             }
         }
-        Ok(places.entry(to).or_default().clone())
+        Ok(pools.entry(to).or_default().clone())
     }
 }
 
-/// Opens a stream, and keeps it among those of its address until it is over.
-async fn open(endpoint: Rc<Endpoint>, place: Rc<Place>, to: SocketAddr) {
+/// Opens a stream and keeps it in the pool of its address until it ends.
+async fn run_connection(endpoint: Rc<Endpoint>, pool: Rc<ConnectionPool>, to: SocketAddr) {
     let dialed = dial(&endpoint, to).await;
-    place.dialing.set(false);
+    pool.is_dialing.set(false);
     match dialed {
         Ok(stream) => {
-            let line = Rc::new(Line { stream, out: RefCell::default(), next: Cell::new(0) });
-            place.lines.borrow_mut().push(line.clone());
-            place.changed.notify(usize::MAX);
-            line.read().await;
-            place.lines.borrow_mut().retain(|kept| !Rc::ptr_eq(kept, &line));
+            let connection =
+                Rc::new(Connection { stream, pending: RefCell::default(), next_number: Cell::new(0) });
+            pool.connections.borrow_mut().push(connection.clone());
+            pool.changed.notify(usize::MAX);
+            connection.receive().await;
+            pool.connections.borrow_mut().retain(|other| !Rc::ptr_eq(other, &connection));
         }
-        Err(why) => place.failed.set((place.failed.get().0 + 1, Some(why))),
+        Err(reason) => pool.failures.set((pool.failures.get().0 + 1, Some(reason))),
     }
-    place.changed.notify(usize::MAX);
+    pool.changed.notify(usize::MAX);
 }
 
-fn said(tag: u8, number: u32, says: &[u8]) -> Vec<u8> {
-    let mut out = Vec::with_capacity(5 + says.len());
+fn encode(tag: u8, number: u32, content: &[u8]) -> Vec<u8> {
+    let mut out = Vec::with_capacity(5 + content.len());
     out.push(tag);
     out.extend_from_slice(&number.to_be_bytes());
-    out.extend_from_slice(says);
+    out.extend_from_slice(content);
     out
 }
 
-fn heard(record: &[u8]) -> Option<(u8, u32, &[u8])> {
+/// Splits a record into tag, call number and content.
+fn decode(record: &[u8]) -> Option<(u8, u32, &[u8])> {
     let (&tag, rest) = record.split_first()?;
-    let (number, says) = rest.split_first_chunk::<4>()?;
-    Some((tag, u32::from_be_bytes(*number), says))
+    let (number, content) = rest.split_first_chunk::<4>()?;
+    Some((tag, u32::from_be_bytes(*number), content))
+}
+
+/// An incoming stream, with a function that closes it. The name is empty until the other end is authenticated.
+struct Incoming {
+    name: String,
+    id: u64,
+    close: Box<dyn Fn()>,
 }
 
-/// What ends a stream, and of whom it is.
-type Held = RefCell<VecDeque<(String, u64, Box<dyn Fn()>)>>;
+/// Incoming streams, the oldest first.
+type IncomingQueue = RefCell<VecDeque<Incoming>>;
 
-/// Streams that were taken.
+/// All incoming streams.
 #[derive(Default)]
-struct Taken {
-    next: Cell<u64>,
-    unproved: Held,
-    proved: Held,
+struct IncomingStreams {
+    next_id: Cell<u64>,
+    handshaking: IncomingQueue,
+    authenticated: IncomingQueue,
 }
 
-impl Taken {
-    /// Holds a stream; ends the oldest one past `most`, of those that `like` says.
-    fn hold(held: &Held, entry: (String, u64, Box<dyn Fn()>), most: usize, like: impl Fn(&str) -> bool) {
-        let mut held = held.borrow_mut();
-        held.push_back(entry);
-        if held.iter().filter(|entry| like(&entry.0)).count() > most {
-            let oldest = held.iter().position(|entry| like(&entry.0)).and_then(|at| held.remove(at));
-            drop(held);
-            if let Some((_, _, end)) = oldest {
-                end();
+impl IncomingStreams {
+    /// Adds a stream. If more than `limit` streams match `is_counted` then, closes the oldest of them.
+    fn add(queue: &IncomingQueue, stream: Incoming, limit: usize, is_counted: impl Fn(&str) -> bool) {
+        let mut queue = queue.borrow_mut();
+        queue.push_back(stream);
+        if queue.iter().filter(|stream| is_counted(&stream.name)).count() > limit {
+            let position = queue.iter().position(|stream| is_counted(&stream.name));
+            let oldest = position.and_then(|at| queue.remove(at));
+            drop(queue);
+            if let Some(oldest) = oldest {
+                (oldest.close)();
             }
         }
     }
 
-    fn drop(held: &Held, id: u64) {
-        held.borrow_mut().retain(|entry| entry.1 != id);
+    fn remove(queue: &IncomingQueue, id: u64) {
+        queue.borrow_mut().retain(|stream| stream.id != id);
     }
 }
 
-/// Takes calls until it is dropped: each goes to `handler` with the name of the gateway that it comes from, and what that
-/// returns is the answer. Calls are handled at once and answered as they are done, at most 256 of a stream and 8 MiB; what is past
-/// that is refused. What was begun is done even if its caller is gone.
+/// Accepts calls until it is dropped. Each is passed to `handler` with the name of the calling gateway, and the handler's
+/// return value is the response. Calls run concurrently and are answered as they complete, at most 256 per stream with 8 MiB of
+/// content together; further ones are rejected as [`CallFailure::Overloaded`]. A handler runs to completion even if the caller
+/// has disconnected.
 pub async fn serve<H, F>(endpoint: Rc<Endpoint>, listener: Async<TcpListener>, handler: H)
 where
     H: Fn(String, Vec<u8>) -> F + 'static,
     F: Future<Output = Vec<u8>> + 'static,
 {
-    let (handler, taken) = (Rc::new(handler), Rc::new(Taken::default()));
+    let (handler, incoming) = (Rc::new(handler), Rc::new(IncomingStreams::default()));
     loop {
-        // A flood must not keep the thread's other tasks waiting.
+        // Otherwise a flood of connections would starve the other tasks of the thread.
         future::yield_now().await;
         let Ok((socket, _)) = listener.accept().await else {
-            // No socket is free, or the caller is gone already.
-            violetward_net::sleep(REST).await;
+            // No file descriptor is free, or the caller has disconnected already.
+            violetward_net::sleep(ACCEPT_ERROR_PAUSE).await;
             continue;
         };
-        let stream = accepted(&endpoint, socket);
-        let id = taken.next.replace(taken.next.get() + 1);
-        // Guards against ends that connect and prove nothing: the oldest of them give way to new ones.
-        Taken::hold(&taken.unproved, (String::new(), id, Box::new(stream.end())), UNPROVED, |_| true);
-        let (endpoint, handler, taken) = (endpoint.clone(), handler.clone(), taken.clone());
+        let handshake = start_accept(&endpoint, socket);
+        let id = incoming.next_id.replace(incoming.next_id.get() + 1);
+        // Bounds the connections of ends that never authenticate: new ones displace the oldest.
+        let entry = Incoming { name: String::new(), id, close: Box::new(handshake.closer()) };
+        IncomingStreams::add(&incoming.handshaking, entry, MAX_INCOMING_HANDSHAKES, |_| true);
+        let (endpoint, handler, incoming) = (endpoint.clone(), handler.clone(), incoming.clone());
         let spawner = endpoint.clone();
         spawner.spawn(async move {
-            let end = Box::new(stream.end());
-            let opened = stream.opened().await;
-            Taken::drop(&taken.unproved, id);
-            let Ok(stream) = opened else { return };
+            let close = Box::new(handshake.closer());
+            let completed = handshake.complete().await;
+            IncomingStreams::remove(&incoming.handshaking, id);
+            let Ok(stream) = completed else { return };
             let name = stream.peer().name.clone();
-            let entry = (name.clone(), id, end as Box<dyn Fn()>);
-            Taken::hold(&taken.proved, entry, OF_ONE, |other| other == name);
-            if taken.proved.borrow().len() > OF_ALL {
-                let oldest = taken.proved.borrow_mut().pop_front();
-                oldest.iter().for_each(|(_, _, end)| end());
+            let entry = Incoming { name: name.clone(), id, close };
+            let is_same_gateway = |other: &str| other == name;
+            IncomingStreams::add(&incoming.authenticated, entry, MAX_INCOMING_PER_GATEWAY, is_same_gateway);
+            if incoming.authenticated.borrow().len() > MAX_INCOMING {
+                let oldest = incoming.authenticated.borrow_mut().pop_front();
+                oldest.iter().for_each(|stream| (stream.close)());
             }
-            answer(&endpoint, stream, &*handler).await;
-            Taken::drop(&taken.proved, id);
+            serve_stream(&endpoint, stream, &*handler).await;
+            IncomingStreams::remove(&incoming.authenticated, id);
         });
     }
 }
 
-/// What of a stream is in hand: calls and their octets.
-struct InHand(Rc<Cell<(usize, usize)>>, usize);
+/// The number of pending calls of an incoming stream and the bytes of their content.
+#[derive(Clone, Copy, Default)]
+struct PendingLoad {
+    calls: usize,
+    bytes: usize,
+}
+
+/// Subtracts a call with this many bytes from the load when dropped.
+struct LoadGuard(Rc<Cell<PendingLoad>>, usize);
 
-impl Drop for InHand {
+impl Drop for LoadGuard {
     fn drop(&mut self) {
-        let (calls, octets) = self.0.get();
-        self.0.set((calls - 1, octets - self.1));
+        let load = self.0.get();
+        self.0.set(PendingLoad { calls: load.calls - 1, bytes: load.bytes - self.1 });
     }
 }
 
-async fn answer<H, F>(endpoint: &Endpoint, stream: Stream, handler: &H)
+async fn serve_stream<H, F>(endpoint: &Endpoint, stream: Stream, handler: &H)
 where
     H: Fn(String, Vec<u8>) -> F,
     F: Future<Output = Vec<u8>> + 'static,
 {
     let stream = Rc::new(stream);
-    let in_hand = Rc::new(Cell::new((0, 0)));
+    let pending_load = Rc::new(Cell::new(PendingLoad::default()));
     while let Some(record) = stream.recv().await {
-        let Some((CALL, number, says)) = heard(&record) else { break };
-        let (calls, octets) = in_hand.get();
-        if calls >= AT_ONCE || octets + says.len() > MAX_QUEUED_BYTES {
-            reply(&stream, REFUSED, number, &[]).await;
+        let Some((TAG_CALL, number, content)) = decode(&record) else { break };
+        let load = pending_load.get();
+        if load.calls >= MAX_PENDING_CALLS || load.bytes + content.len() > MAX_QUEUED_BYTES {
+            respond(&stream, TAG_OVERLOADED, number, &[]).await;
             continue;
         }
-        in_hand.set((calls + 1, octets + says.len()));
-        let held = InHand(in_hand.clone(), says.len());
-        let work = handler(stream.peer().name.clone(), says.to_vec());
+        pending_load.set(PendingLoad { calls: load.calls + 1, bytes: load.bytes + content.len() });
+        let guard = LoadGuard(pending_load.clone(), content.len());
+        let handling = handler(stream.peer().name.clone(), content.to_vec());
         let stream = stream.clone();
         endpoint.spawn(async move {
-            let answer = work.await;
-            if answer.len() > MAX_RECORD_BYTES {
-                reply(&stream, TOO_LONG, number, &[]).await;
+            let response = handling.await;
+            if response.len() > MAX_RECORD_BYTES {
+                respond(&stream, TAG_RESPONSE_TOO_LONG, number, &[]).await;
             } else {
-                reply(&stream, ANSWER, number, &answer).await;
+                respond(&stream, TAG_RESPONSE, number, &response).await;
             }
-            drop(held);
+            drop(guard);
         });
     }
     stream.close();
 }
 
-/// Sends an answer once there is room for it; gives up with the stream.
-async fn reply(stream: &Stream, tag: u8, number: u32, says: &[u8]) {
-    while stream.send(&said(tag, number, says)) == Err(SendError::QueueFull) {
+/// Sends a response, waiting for space in the send queue; gives up when the stream ends.
+async fn respond(stream: &Stream, tag: u8, number: u32, content: &[u8]) {
+    while stream.send(&encode(tag, number, content)) == Err(SendError::QueueFull) {
         stream.wait_for_space().await;
     }
 }
--- a/crates/transport/src/sockets/stream.rs
+++ b/crates/transport/src/sockets/stream.rs
@@ -14,59 +14,65 @@
 use crate::session::{CloseReason, Identity, Session};
 use crate::{Micros, Records, SendError, MAX_RECORD_BYTES};
 
-/// Octets read at once.
-const READ: usize = 16 << 10;
+/// Most bytes in one read.
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// What the task of a stream and its owner share.
-pub(super) struct Line {
+/// The state that the task of a stream and its owner share.
+pub(super) struct Connection {
     session: RefCell<Session>,
     clock: Clock,
     alarm: Alarm,
-    /// There is something to write; something was written; something has come; there is room to read; it is over.
-    more: Event,
-    less: Event,
-    come: Event,
-    room: Event,
-    over: Event,
+    /// There is output to write.
+    output_ready: Event,
+    /// Output was written, or the stream has ended.
+    output_written: Event,
+    /// Bytes were received, or the stream has ended.
+    received: Event,
+    /// The queue of received records has space.
+    receive_space: Event,
+    ended: Event,
 }
 
-impl Line {
-    /// Acts on the session and wakes whoever waits for what follows.
-    pub(super) fn touch<T>(&self, act: impl FnOnce(&mut Session, Micros) -> T) -> T {
+impl Connection {
+    /// Changes the session and notifies the tasks that wait for the result.
+    pub(super) fn update<T>(&self, act: impl FnOnce(&mut Session, Micros) -> T) -> T {
         let mut session = self.session.borrow_mut();
         let result = act(&mut session, self.clock.now());
         if session.close_reason().is_some() {
-            for event in [&self.over, &self.come, &self.less] {
+            for event in [&self.ended, &self.received, &self.output_written] {
                 event.notify(usize::MAX);
             }
         }
         if session.has_output() {
-            self.more.notify(1);
+            self.output_ready.notify(1);
         }
         if !session.is_full() {
-            self.room.notify(1);
+            self.receive_space.notify(1);
         }
         self.alarm.set(Some(session.next_wake()));
         result
     }
 
-    fn look<T>(&self, look: impl FnOnce(&Session) -> T) -> T {
-        look(&self.session.borrow())
+    fn inspect<T>(&self, inspect: impl FnOnce(&Session) -> T) -> T {
+        inspect(&self.session.borrow())
     }
 
     async fn run(self: Rc<Self>, socket: Async<TcpStream>) {
         socket.get_ref().set_nodelay(true).ok();
         let work = future::or(self.read(&socket), self.write(&socket));
-        let why =
-            future::or(self.until(&self.over, Session::close_reason), future::or(work, self.watch())).await;
-        self.touch(|session, _| session.close(why));
+        let reason = future::or(
+            self.wait_until(&self.ended, Session::close_reason),
+            future::or(work, self.run_timer()),
+        )
+        .await;
+        self.update(|session, _| session.close(reason));
     }
 
-    /// Waits on an event until something can be said of the session.
-    async fn until<T>(&self, event: &Event, look: impl Fn(&Session) -> Option<T>) -> T {
+    /// Waits until `condition` returns a value, checking it after each `event`.
+    async fn wait_until<T>(&self, event: &Event, condition: impl Fn(&Session) -> Option<T>) -> T {
         loop {
             let listener = event.listen();
-            if let Some(found) = self.look(&look) {
+            if let Some(found) = self.inspect(&condition) {
                 return found;
             }
             listener.await;
@@ -74,30 +80,30 @@
     }
 
     async fn read(&self, mut socket: &Async<TcpStream>) -> CloseReason {
-        let mut bytes = vec![0; READ];
+        let mut bytes = vec![0; READ_BUFFER_BYTES];
         loop {
-            self.until(&self.room, |session| (!session.is_full()).then_some(())).await;
+            self.wait_until(&self.receive_space, |session| (!session.is_full()).then_some(())).await;
             match socket.read(&mut bytes).await {
                 Ok(0) | Err(_) => return CloseReason::Disconnected,
-                Ok(size) => self.touch(|session, now| session.receive(&bytes[..size], now)),
+                Ok(size) => self.update(|session, now| session.receive(&bytes[..size], now)),
             }
-            self.come.notify(usize::MAX);
-            // A flood must not keep the thread's other tasks waiting.
+            self.received.notify(usize::MAX);
+            // Otherwise a fast sender would starve the other tasks of the thread.
             future::yield_now().await;
         }
     }
 
     async fn write(&self, mut socket: &Async<TcpStream>) -> CloseReason {
         loop {
-            self.until(&self.more, |session| session.has_output().then_some(())).await;
-            let bytes = self.touch(Session::take_output);
+            self.wait_until(&self.output_ready, |session| session.has_output().then_some(())).await;
+            let bytes = self.update(Session::take_output);
             let mut rest = &bytes[..];
             while !rest.is_empty() {
                 match socket.write(rest).await {
                     Ok(0) | Err(_) => return CloseReason::Disconnected,
                     Ok(size) => {
-                        self.touch(|session, now| session.written(size, now));
-                        self.less.notify(usize::MAX);
+                        self.update(|session, now| session.written(size, now));
+                        self.output_written.notify(usize::MAX);
                         rest = &rest[size..];
                     }
                 }
@@ -105,140 +111,140 @@
         }
     }
 
-    async fn watch(&self) -> CloseReason {
+    async fn run_timer(&self) -> CloseReason {
         loop {
-            self.alarm.wait(&self.clock, || Some(self.look(Session::next_wake))).await;
-            self.touch(Session::on_timer);
+            self.alarm.wait(&self.clock, || Some(self.inspect(Session::next_wake))).await;
+            self.update(Session::on_timer);
         }
     }
 }
 
-/// A stream of records over TCP. It ends when it is dropped.
+/// A record stream over TCP. Dropping it closes the stream.
 pub struct Stream {
-    line: Rc<Line>,
+    connection: Rc<Connection>,
     peer: Identity,
 }
 
-/// Calls a endpoint and proves itself; the other end is proved when this returns well.
+/// Connects to another gateway and returns the stream once that gateway is authenticated.
 ///
 /// # Errors
-/// Why there is no stream.
+/// Why no stream could be opened.
 pub async fn dial(endpoint: &Rc<Endpoint>, to: SocketAddr) -> Result<Stream, CloseReason> {
-    let span = Duration::from_micros(endpoint.timeouts.handshake);
-    let connected = violetward_net::timeout(span, Async::<TcpStream>::connect(to)).await;
+    let timeout = Duration::from_micros(endpoint.timeouts.handshake);
+    let connected = violetward_net::timeout(timeout, Async::<TcpStream>::connect(to)).await;
     let socket = connected.ok_or(CloseReason::TimedOut)?.map_err(|_| CloseReason::Disconnected)?;
-    start(endpoint, socket, true).opened().await
+    start_handshake(endpoint, socket, true).complete().await
 }
 
-/// Proves itself on a connection that came in; the other end is proved when this returns well.
+/// Opens a stream on an accepted connection and returns it once the other end is authenticated.
 ///
 /// # Errors
-/// Why there is no stream.
+/// Why no stream could be opened.
 pub async fn accept(endpoint: &Rc<Endpoint>, socket: Async<TcpStream>) -> Result<Stream, CloseReason> {
-    accepted(endpoint, socket).opened().await
+    start_accept(endpoint, socket).complete().await
 }
 
-/// The end of a connection that came in, not proved yet.
-pub(super) fn accepted(endpoint: &Rc<Endpoint>, socket: Async<TcpStream>) -> Unproved {
-    start(endpoint, socket, false)
+/// Starts the handshake on an accepted connection.
+pub(super) fn start_accept(endpoint: &Rc<Endpoint>, socket: Async<TcpStream>) -> Handshake {
+    start_handshake(endpoint, socket, false)
 }
 
-fn start(endpoint: &Rc<Endpoint>, socket: Async<TcpStream>, calls: bool) -> Unproved {
-    let make = if calls { Session::connect } else { Session::accept };
+fn start_handshake(endpoint: &Rc<Endpoint>, socket: Async<TcpStream>, connects: bool) -> Handshake {
+    let make = if connects { Session::connect } else { Session::accept };
     let (identity, keys) = (endpoint.identity.clone(), endpoint.keys.borrow().clone());
     let session = make(identity, keys, endpoint.timeouts, rand::random(), endpoint.clock.now());
-    let line = Rc::new(Line {
+    let connection = Rc::new(Connection {
         session: RefCell::new(session),
         clock: endpoint.clock,
         alarm: Alarm::default(),
-        more: Event::new(),
-        less: Event::new(),
-        come: Event::new(),
-        room: Event::new(),
-        over: Event::new(),
+        output_ready: Event::new(),
+        output_written: Event::new(),
+        received: Event::new(),
+        receive_space: Event::new(),
+        ended: Event::new(),
     });
     let mut streams = endpoint.streams.borrow_mut();
-    streams.retain(|line| line.strong_count() > 0);
-    streams.push(Rc::downgrade(&line));
-    endpoint.spawn(line.clone().run(socket));
-    Unproved(line)
+    streams.retain(|connection| connection.strong_count() > 0);
+    streams.push(Rc::downgrade(&connection));
+    endpoint.spawn(connection.clone().run(socket));
+    Handshake(connection)
 }
 
-/// A stream whose other end has not proved itself yet.
-pub(super) struct Unproved(Rc<Line>);
+/// A stream whose other end is not authenticated yet.
+pub(super) struct Handshake(Rc<Connection>);
 
-impl Unproved {
-    /// Waits for the proof.
-    pub(super) async fn opened(self) -> Result<Stream, CloseReason> {
-        let proved = |session: &Session| match (session.close_reason(), session.peer()) {
-            (Some(why), _) => Some(Err(why)),
+impl Handshake {
+    /// Waits until the other end is authenticated.
+    pub(super) async fn complete(self) -> Result<Stream, CloseReason> {
+        let outcome = |session: &Session| match (session.close_reason(), session.peer()) {
+            (Some(reason), _) => Some(Err(reason)),
             (None, Some(peer)) if session.is_open() => Some(Ok(peer.clone())),
             _ => None,
         };
-        let peer = self.0.until(&self.0.come, proved).await?;
-        Ok(Stream { line: self.0.clone(), peer })
+        let peer = self.0.wait_until(&self.0.received, outcome).await?;
+        Ok(Stream { connection: self.0.clone(), peer })
     }
 
-    /// What ends it from elsewhere.
-    pub(super) fn end(&self) -> impl Fn() {
-        let line = Rc::downgrade(&self.0);
+    /// A function that closes the stream, if it still exists.
+    pub(super) fn closer(&self) -> impl Fn() {
+        let connection = Rc::downgrade(&self.0);
         move || {
-            if let Some(line) = line.upgrade() {
-                line.touch(|session, _| session.close(CloseReason::Closed));
+            if let Some(connection) = connection.upgrade() {
+                connection.update(|session, _| session.close(CloseReason::Closed));
             }
         }
     }
 }
 
 impl Stream {
-    /// Waits for the next record; `None` once the stream is over.
+    /// Waits for the next record; `None` once the stream has ended and all received records were taken.
     pub async fn recv(&self) -> Option<Vec<u8>> {
         loop {
-            let come = self.line.come.listen();
-            if let Some(record) = self.line.touch(|session, _| session.next_record()) {
+            let received = self.connection.received.listen();
+            if let Some(record) = self.connection.update(|session, _| session.next_record()) {
                 return Some(record);
             }
-            if self.line.look(Session::close_reason).is_some() {
+            if self.connection.inspect(Session::close_reason).is_some() {
                 return None;
             }
-            come.await;
+            received.await;
         }
     }
 
-    /// Sends a record, as [`Records::send`] does.
+    /// Queues a record for sending, as [`Records::send`] does.
     ///
     /// # Errors
-    /// Why it is not taken.
+    /// Why it was not accepted.
     pub fn send(&self, record: &[u8]) -> Result<(), SendError> {
-        self.line.touch(|session, _| session.send(record))
+        self.connection.update(|session, _| session.send(record))
     }
 
-    /// Waits until the other end has taken something more, or the stream is over.
+    /// Waits until some output was written, or the stream has ended.
     pub async fn wait_for_space(&self) {
-        let less = self.line.less.listen();
+        let written = self.connection.output_written.listen();
         if self.close_reason().is_none() {
-            less.await;
+            written.await;
         }
     }
 
-    /// Octets that wait for the other end to take them.
+    /// Bytes that are queued for sending.
     pub fn queued_bytes(&self) -> usize {
-        self.line.look(Session::queued_bytes)
+        self.connection.inspect(Session::queued_bytes)
     }
 
-    /// Who is at the other end.
+    /// The authenticated identity of the other end.
     pub fn peer(&self) -> &Identity {
         &self.peer
     }
 
-    /// Why it is over, if it is.
+    /// Why the stream has ended, if it has.
     pub fn close_reason(&self) -> Option<CloseReason> {
-        self.line.look(Session::close_reason)
+        self.connection.inspect(Session::close_reason)
     }
 
-    /// Ends it; what has come and was not taken can still be taken.
+    /// Closes the stream. Records that were received can still be taken.
     pub fn close(&self) {
-        self.line.touch(|session, _| session.close(CloseReason::Closed));
+        self.connection.update(|session, _| session.close(CloseReason::Closed));
     }
 }
 
@@ -257,7 +263,7 @@
     }
 
     fn next(&mut self) -> Option<Vec<u8>> {
-        self.line.touch(|session, _| session.next_record())
+        self.connection.update(|session, _| session.next_record())
     }
 
     fn peer(&self) -> &str {
