--- a/crates/store/examples/puts.rs
+++ b/crates/store/examples/puts.rs
@@ -1,4 +1,5 @@
-//! How long a put and a get take: `cargo run --release -p violetward-store --example puts -- FOLDER`.
+//! Measures the latency of writes and reads in a directory: `cargo run --release -p violetward-store
+//! --example puts -- DIRECTORY`.
 
 use std::time::Instant;
 
@@ -6,23 +7,27 @@
 use violetward_store::Store;
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let folder = std::env::args().nth(1).ok_or("which folder?")?;
-    let mut store = FileStore::open(folder.as_ref())?;
+    let directory = std::env::args().nth(1).ok_or("usage: puts DIRECTORY")?;
+    let mut store = FileStore::open(directory.as_ref())?;
     for (name, length) in [("small", 1_000), ("large", 64_000)] {
-        let (mut puts, mut gets) = (vec![], vec![]);
+        let (mut put_times, mut get_times) = (vec![], vec![]);
         for n in 0..500u32 {
             let bytes = vec![n as u8; length];
-            let begun = Instant::now();
+            let started = Instant::now();
             store.put(name, &bytes)?;
-            puts.push(begun.elapsed().as_micros());
-            let begun = Instant::now();
+            put_times.push(started.elapsed().as_micros());
+            let started = Instant::now();
             store.get(name)?;
-            gets.push(begun.elapsed().as_micros());
+            get_times.push(started.elapsed().as_micros());
         }
-        for (what, mut times) in [("put", puts), ("get", gets)] {
+        for (operation, mut times) in [("put", put_times), ("get", get_times)] {
             times.sort_unstable();
-            let at = |part: usize| times[times.len() * part / 100];
-            println!("{what} of {length} octets: median {} us, 99th {} us", at(50), at(99));
+            let percentile = |percent: usize| times[times.len() * percent / 100];
+            println!(
+                "{operation} of {length} bytes: median {} us, 99th percentile {} us",
+                percentile(50),
+                percentile(99)
+            );
         }
     }
     Ok(())
--- a/crates/store/src/copies.rs
+++ b/crates/store/src/copies.rs
@@ -1,138 +1,144 @@
-//! Values that several others keep. [`Coordinator`] is the part of the one whose values they are, [`struct@Replica`] that of each other; both are
-//! free of I/O and clock. [`ReplicatedStore`] is a [`Store`] made of them where a question can be waited for.
+//! Replicated values. A [`Coordinator`] runs at the owner of the values and a [`Replica`] at each process
+//! that holds them; both are free of I/O and clock. [`ReplicatedStore`] is a blocking [`Store`] on top of a
+//! coordinator.
 //!
-//! A process grants its name with an *epoch* greater than any that a copy has promised; a replica writes the promise down and takes
-//! nothing of a lower one. What is put is acknowledged by a quorum before it is reported; what is got is the newest that a quorum
-//! knows, written back under the own epoch if it was not known to be safe. Two quorums share a replica: what was acknowledged is
-//! seen by every later claim, and a claimed quorum takes nothing more from the one before.
+//! A process claims the owner's name with an *epoch* greater than any that a replica has promised. A replica
+//! stores the promise and rejects requests with a lower epoch. A write is acknowledged by a quorum before it
+//! is reported as done. A read returns the newest value that a quorum holds, after writing it back under the
+//! reader's own epoch unless a quorum is known to hold it. Any two quorums have a replica in common, so every
+//! later claim sees the acknowledged writes, and once a quorum has granted a claim, the previous holder can't
+//! complete a write.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 
 use crate::{validate, Store, StoreError, StoredValue, MAX_NAME_LENGTH, MAX_VALUES, MAX_VALUE_BYTES};
 
-/// Microseconds of a clock that never goes back.
+/// A time in microseconds of a monotonic clock.
 pub type Micros = u64;
 
-/// Characters of the longest name of an owner: as for values, but without `.`.
+/// Longest name of an owner, in characters; as for names of values, but without `.`.
 pub const MAX_OWNER_LENGTH: usize = 24;
-/// Characters of the longest name of a value.
+/// Longest name of a replicated value, in characters. It shares [`MAX_NAME_LENGTH`] with the owner's name and
+/// `.v.`.
 pub const MAX_REPLICATED_NAME_LENGTH: usize = MAX_NAME_LENGTH - MAX_OWNER_LENGTH - 3;
-/// ReplicatedStore there may be of one store.
+/// Most replicas of a store.
 pub const MAX_REPLICAS: usize = 9;
-/// Octets of the longest value.
-pub const MAX_REPLICATED_VALUE_BYTES: usize = MAX_VALUE_BYTES - 26 - MAX_REPLICAS * VERSION_BYTES;
+/// Longest replicated value, in bytes. It shares [`MAX_VALUE_BYTES`] with the header of a [`VersionedValue`].
+pub const MAX_REPLICATED_VALUE_BYTES: usize = MAX_VALUE_BYTES - 2 - (1 + MAX_REPLICAS) * VERSION_BYTES;
+/// Length of an encoded [`Version`].
 const VERSION_BYTES: usize = 24;
 
-/// Who may write: the greater one wins.
+/// Orders the claims of an owner's name: the process with the greatest epoch may write.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Epoch {
-    /// Counts grants.
+    /// Increases with each claim.
     pub number: u64,
-    /// Which process: drawn at its start.
+    /// Random number of the claiming process, which breaks ties.
     pub incarnation: u64,
 }
 
-/// Which writing of a value: the greater one is the newer.
+/// Orders the writes of a value: the greatest version is the newest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version {
-    /// By whom.
+    /// The epoch of the writing process.
     pub epoch: Epoch,
-    /// Its count of writes.
+    /// Counts the writes of the value.
     pub writes: u64,
 }
 
-/// What a replica holds under a name.
+/// A value as a replica holds it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct VersionedValue {
-    /// Which writing it is.
+    /// Orders this value among the writes of its name.
     pub version: Version,
-    /// What each replica had acknowledged before it.
+    /// The newest version that each replica had acknowledged before this write.
     pub acknowledged: Vec<Version>,
-    /// The value; `None` says that there is none, for good.
+    /// `None` records that there is no value.
     pub bytes: Option<Vec<u8>>,
 }
 
-/// What a replica is handle.
+/// What a coordinator asks of a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Whether it would grant a claim. It promises nothing yet: one that reaches too few copies must not end the process that
-    /// has the name.
+    /// Asks whether a claim would be granted, without a promise. A process that reaches too few replicas for
+    /// a claim must not displace the current holder.
     Probe,
-    /// To take nothing more of lower epochs.
+    /// Asks for the promise to reject lower epochs from now on.
     Claim,
-    /// What it holds under a name.
+    /// Asks for the value of a name.
     Read(String),
-    /// To hold this.
+    /// Asks to store a value.
     Write(String, VersionedValue),
 }
 
-/// A question to a replica. Each may be handle again.
+/// A request to a replica. Repeating one is harmless.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Whose values these are.
+    /// The owner of the values.
     pub owner: String,
-    /// Its process.
+    /// The epoch of the owner's process.
     pub epoch: Epoch,
-    /// Which question of this process.
+    /// Identifies the request among those of its process.
     pub number: u64,
-    /// The question.
+    /// What the replica is asked for.
     pub command: Command,
 }
 
-/// What a replica answers.
+/// A replica's response to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Response {
-    /// It has promised, or would.
+    /// The claim is granted, or would be after a [`Command::Probe`].
     Granted,
-    /// Another process that was heard of lately has the name.
+    /// Another process holds the name: the replica heard from it within the lease.
     Held,
-    /// It has promised to take nothing of that epoch, for this one.
+    /// Rejected because the replica has promised this greater epoch.
     Superseded(Epoch),
-    /// What it holds.
+    /// The value it holds.
     Value(VersionedValue),
-    /// It holds it, for good.
+    /// The value, or a newer one, is stored durably.
     Written,
-    /// It cannot: its own store fails.
+    /// The replica's own store failed.
     Failed(String),
 }
 
-/// The copies of others' values that one keeps, in a store of its own.
+/// Holds replicas of the values of other processes, in a store of its own.
 #[derive(Debug)]
 pub struct Replica<S> {
     store: S,
     lease: Micros,
-    started: Micros,
-    /// Epochs promised, and when each owner was last heard.
+    started_at: Micros,
+    /// Per owner: the promised epoch and when the owner was last heard from.
     owners: BTreeMap<String, (Epoch, Micros)>,
 }
 
 impl<S: Store> Replica<S> {
-    /// ReplicatedStore in a store. An owner that was heard of within the lease keeps its name.
+    /// Holds replicas in `store`. A process that was heard from within `lease` keeps its name.
     pub fn new(store: S, lease: Micros, now: Micros) -> Replica<S> {
-        Replica { store, lease, started: now, owners: BTreeMap::new() }
+        Replica { store, lease, started_at: now, owners: BTreeMap::new() }
     }
 
-    /// Answers a question.
+    /// Handles a request.
     pub fn handle(&mut self, now: Micros, request: &Request) -> Response {
-        self.answer(now, request).unwrap_or_else(|e| Response::Failed(e.to_string()))
+        self.try_handle(now, request).unwrap_or_else(|e| Response::Failed(e.to_string()))
     }
 
-    fn answer(&mut self, now: Micros, request: &Request) -> Result<Response, StoreError> {
+    fn try_handle(&mut self, now: Micros, request: &Request) -> Result<Response, StoreError> {
         let Request { owner, epoch, command, .. } = request;
         validate_owner(owner)?;
-        let (promised, heard) = match self.owners.get(owner) {
+        let (promised, last_heard) = match self.owners.get(owner) {
             Some(&known) => known,
-            // Who was heard before its own start it does not know: then all were, just now.
-            None => (self.stored_promise(owner)?, self.started),
+            // After a restart it is unknown when the owner was last heard from: assumes that it was just
+            // before the start.
+            None => (self.stored_promise(owner)?, self.started_at),
         };
         if *epoch < promised {
             return Ok(Response::Superseded(promised));
         }
-        let lives = promised != Epoch::default() && now < heard.saturating_add(self.lease);
+        let has_live_holder = promised != Epoch::default() && now < last_heard.saturating_add(self.lease);
         if matches!(command, Command::Probe | Command::Claim)
             && promised.incarnation != epoch.incarnation
-            && lives
+            && has_live_holder
         {
             return Ok(Response::Held);
         }
@@ -153,9 +159,9 @@
             Command::Probe | Command::Claim => Ok(Response::Granted),
             Command::Read(name) => Ok(Response::Value(self.stored_value(owner, name)?)),
             Command::Write(name, new) => {
-                // A question that came late must not undo a later one.
+                // A delayed request must not overwrite a later write.
                 if self.stored_value(owner, name)?.version < new.version {
-                    self.store.put(&format!("{owner}.v.{name}"), &new.write())?;
+                    self.store.put(&format!("{owner}.v.{name}"), &new.encode())?;
                 }
                 Ok(Response::Written)
             }
@@ -163,64 +169,65 @@
     }
 
     fn stored_promise(&mut self, owner: &str) -> Result<Epoch, StoreError> {
-        let Some(kept) = self.store.get(&format!("{owner}.c"))? else { return Ok(Epoch::default()) };
-        let mut rest = &kept.bytes[..];
+        let Some(stored) = self.store.get(&format!("{owner}.c"))? else { return Ok(Epoch::default()) };
+        let mut rest = &stored.bytes[..];
         Ok(Epoch { number: read_u64(&mut rest)?, incarnation: read_u64(&mut rest)? })
     }
 
     fn stored_value(&mut self, owner: &str, name: &str) -> Result<VersionedValue, StoreError> {
-        let kept = self.store.get(&format!("{owner}.v.{name}"))?;
-        kept.map_or(Ok(VersionedValue::default()), |kept| VersionedValue::read(&kept.bytes))
+        let stored = self.store.get(&format!("{owner}.v.{name}"))?;
+        stored.map_or(Ok(VersionedValue::default()), |stored| VersionedValue::decode(&stored.bytes))
     }
 }
 
 fn validate_owner(owner: &str) -> Result<(), StoreError> {
     validate(owner, 0)?;
     if owner.len() > MAX_OWNER_LENGTH || owner.contains('.') {
-        return Err(StoreError::Invalid("an owner's name has 24 characters at most, and no ."));
+        return Err(StoreError::Invalid("an owner's name has at most 24 characters and no ."));
     }
     Ok(())
 }
 
 fn read_u64(rest: &mut &[u8]) -> Result<u64, StoreError> {
-    let (taken, left) = rest.split_first_chunk().ok_or(StoreError::Corrupt("a copy is cut off"))?;
+    let (taken, left) =
+        rest.split_first_chunk().ok_or(StoreError::Corrupt("a replicated value is truncated"))?;
     *rest = left;
     Ok(u64::from_be_bytes(*taken))
 }
 
 impl Version {
-    fn write(self, out: &mut Vec<u8>) {
+    fn encode(self, out: &mut Vec<u8>) {
         out.extend([self.epoch.number, self.epoch.incarnation, self.writes].map(u64::to_be_bytes).concat());
     }
 
-    fn read(rest: &mut &[u8]) -> Result<Version, StoreError> {
+    fn decode(rest: &mut &[u8]) -> Result<Version, StoreError> {
         let epoch = Epoch { number: read_u64(rest)?, incarnation: read_u64(rest)? };
         Ok(Version { epoch, writes: read_u64(rest)? })
     }
 }
 
 impl VersionedValue {
-    /// It in octets.
-    pub fn write(&self) -> Vec<u8> {
+    /// Encodes the value with its version.
+    pub fn encode(&self) -> Vec<u8> {
         let mut out = vec![self.acknowledged.len() as u8, u8::from(self.bytes.is_some())];
-        self.version.write(&mut out);
-        self.acknowledged.iter().for_each(|version| version.write(&mut out));
+        self.version.encode(&mut out);
+        self.acknowledged.iter().for_each(|version| version.encode(&mut out));
         out.extend_from_slice(self.bytes.as_deref().unwrap_or_default());
         out
     }
 
-    /// Reads it.
+    /// Decodes a value with its version.
     ///
     /// # Errors
-    /// If it is cut off.
-    pub fn read(bytes: &[u8]) -> Result<VersionedValue, StoreError> {
+    /// If it is truncated, or lists more than [`MAX_REPLICAS`] replicas.
+    pub fn decode(bytes: &[u8]) -> Result<VersionedValue, StoreError> {
         let (&[count, some], mut rest) =
-            bytes.split_first_chunk().ok_or(StoreError::Corrupt("a copy is cut off"))?;
+            bytes.split_first_chunk().ok_or(StoreError::Corrupt("a replicated value is truncated"))?;
         if usize::from(count) > MAX_REPLICAS {
-            return Err(StoreError::Foreign("it tells of more copies than there may be"));
+            return Err(StoreError::Foreign("it lists more replicas than the maximum"));
         }
-        let version = Version::read(&mut rest)?;
-        let acknowledged = (0..count).map(|_| Version::read(&mut rest)).collect::<Result<_, _>>()?;
+        let version = Version::decode(&mut rest)?;
+        let acknowledged = (0..count).map(|_| Version::decode(&mut rest)).collect::<Result<_, _>>()?;
         Ok(VersionedValue { version, acknowledged, bytes: (some != 0).then(|| rest.to_vec()) })
     }
 }
@@ -228,60 +235,61 @@
 /// The settings of a [`Coordinator`].
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Whose values these are.
+    /// The owner of the values.
     pub owner: String,
-    /// How many copies there are, at most [`MAX_REPLICAS`]; more than half of them are a quorum.
+    /// The number of replicas, at most [`MAX_REPLICAS`]; a quorum is more than half of them.
     pub replicas: usize,
-    /// How long a process that is not heard keeps its name, as the copies count it.
+    /// How long a process that is not heard from keeps its name, by the replicas' clocks.
     pub lease: Micros,
-    /// Between two askings of one that does not answer.
+    /// Time until a request without a response is repeated.
     pub retry_interval: Micros,
-    /// After which a value is not put or got.
+    /// Time limit of a read or write.
     pub timeout: Micros,
-    /// Values that are put or got at once.
+    /// Most reads and writes in progress or queued.
     pub max_pending: usize,
 }
 
-/// Whether this process has the name.
+/// Whether this process holds the owner's name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClaimState {
-    /// It asks for it.
+    /// The claim is in progress.
     Claiming,
-    /// It has it.
+    /// This process holds the name.
     Holding,
-    /// Another process has it now; it asks again after a lease.
+    /// Another process holds the name; the claim is repeated after a lease.
     Waiting,
-    /// Another process has taken it: for good.
+    /// Another process has displaced this one, which never claims the name again.
     Lost,
 }
 
-/// What a value's putting or getting led to.
+/// The result of a write or read.
 #[derive(Debug)]
 pub enum Outcome {
-    /// It is put, with this count.
+    /// The value was written, with this count of writes.
     Put(u64),
-    /// This is there.
+    /// The value that was read, if there is one.
     Got(Option<StoredValue>),
 }
 
-/// What is to be done.
+/// What the driver of a [`Coordinator`] must do.
 #[derive(Debug)]
 pub enum Effect {
-    /// Command a replica, by its number.
+    /// Send a request to the replica of this index.
     Send(usize, Request),
-    /// What was begun under that ticket has ended.
+    /// Report that the operation with this ticket has ended.
     Completed(u64, Result<Outcome, StoreError>),
-    /// A replica holds less than it has acknowledged: it was put back to an old state. It counts again when it has taken what is
-    /// newest.
+    /// Report that a replica holds an older value than it has acknowledged, so its storage was restored to an
+    /// old state. Its responses count again once it has stored the newest value.
     StaleReplica(usize),
 }
 
 #[derive(Debug)]
 enum Phase {
-    /// For the claim, or for an earlier one of the same name.
+    /// Waits for the claim, or for an earlier operation on the same name.
     Queued,
+    /// The response of each replica so far.
     Reading(Vec<Option<VersionedValue>>),
-    /// What is written, and who has it.
+    /// The value that is written, and which replicas have acknowledged it.
     Writing(VersionedValue, Vec<bool>),
 }
 
@@ -289,36 +297,40 @@
 struct PendingOperation {
     ticket: u64,
     name: String,
-    /// What is put; `None` if it is got.
-    put: Option<Vec<u8>>,
+    /// The value to write; `None` for a read.
+    new_value: Option<Vec<u8>>,
     phase: Phase,
-    /// The number of its question.
+    /// The number of its current request.
     number: u64,
     deadline: Micros,
     retry_at: Micros,
 }
 
-/// What is known of a name.
+/// What the coordinator knows of a name's value.
 #[derive(Debug, Clone, Default)]
 struct NameState {
-    /// The greatest count that this process has used; `None` before it has written or read the value.
+    /// The greatest count of writes that this process has used; `None` before its first read or write of the
+    /// value.
     last_write_count: Option<u64>,
-    /// What each copy has acknowledged.
+    /// The newest version that each replica has acknowledged.
     acknowledged: Vec<Version>,
 }
 
-/// The part of the one whose values are copied. One process at a time has the name.
+/// Reads and writes the replicated values of one owner. Only one process at a time holds the owner's name.
 #[derive(Debug)]
 pub struct Coordinator {
     config: Config,
     epoch: Epoch,
     state: ClaimState,
-    /// Whether it only is_probing so far, and who has granted that or the claim (`true`) or not.
+    /// Whether the current claim only probes.
     is_probing: bool,
+    /// Per replica: whether it has granted the current probe or claim; `None` before its response.
     grants: Vec<Option<bool>>,
-    /// The number of the claim's question, and when it is handle again.
+    /// The number of the current probe or claim.
     claim_request: u64,
+    /// When the current probe or claim is repeated, or a new one starts.
     claim_retry_at: Micros,
+    /// The last number used for a request or a ticket.
     last_number: u64,
     names: BTreeMap<String, NameState>,
     pending: VecDeque<PendingOperation>,
@@ -326,14 +338,14 @@
 }
 
 impl Coordinator {
-    /// Begins to claim the owner's name; `incarnation` is drawn anew for each process.
+    /// Starts to claim the owner's name; `incarnation` is a random number of this process.
     ///
     /// # Errors
-    /// [`StoreError::Invalid`] if the config cannot be.
+    /// [`StoreError::Invalid`] if the owner's name or the number of replicas is out of range.
     pub fn new(config: Config, incarnation: u64, now: Micros) -> Result<Coordinator, StoreError> {
         validate_owner(&config.owner)?;
         if config.replicas == 0 || config.replicas > MAX_REPLICAS {
-            return Err(StoreError::Invalid("there are 1 to 9 copies"));
+            return Err(StoreError::Invalid("the number of replicas must be from 1 to 9"));
         }
         let mut coordinator = Coordinator {
             epoch: Epoch { number: 1, incarnation },
@@ -352,7 +364,7 @@
         Ok(coordinator)
     }
 
-    /// Whether this process has the name.
+    /// Whether this process holds the owner's name.
     pub fn state(&self) -> ClaimState {
         self.state
     }
@@ -361,10 +373,10 @@
         self.config.replicas / 2 + 1
     }
 
-    /// Begins to put a value; gives the ticket under which the end is reported.
+    /// Starts to write a value; returns the ticket under which its end is reported.
     ///
     /// # Errors
-    /// Why it is not even begun.
+    /// Why it was not started.
     pub fn put(&mut self, now: Micros, name: &str, bytes: &[u8]) -> Result<u64, StoreError> {
         if bytes.len() > MAX_REPLICATED_VALUE_BYTES {
             return Err(StoreError::Invalid("the value is too long"));
@@ -372,15 +384,15 @@
         self.begin(now, name, Some(bytes.to_vec()))
     }
 
-    /// Begins to get one.
+    /// Starts to read a value; returns the ticket under which its end is reported.
     ///
     /// # Errors
-    /// Why it is not even begun.
+    /// Why it was not started.
     pub fn get(&mut self, now: Micros, name: &str) -> Result<u64, StoreError> {
         self.begin(now, name, None)
     }
 
-    fn begin(&mut self, now: Micros, name: &str, put: Option<Vec<u8>>) -> Result<u64, StoreError> {
+    fn begin(&mut self, now: Micros, name: &str, new_value: Option<Vec<u8>>) -> Result<u64, StoreError> {
         validate(name, 0)?;
         if name.len() > MAX_REPLICATED_NAME_LENGTH {
             return Err(StoreError::Invalid("the name is too long"));
@@ -389,7 +401,7 @@
             return Err(StoreError::Invalid("there are too many values"));
         }
         if self.pending.len() >= self.config.max_pending {
-            return Err(StoreError::Invalid("too many values are put or got at once"));
+            return Err(StoreError::Invalid("too many reads and writes are pending"));
         }
         if matches!(self.state, ClaimState::Lost | ClaimState::Waiting) {
             return Err(StoreError::Busy);
@@ -399,7 +411,7 @@
         let operation = PendingOperation {
             ticket,
             name: name.to_owned(),
-            put,
+            new_value,
             phase: Phase::Queued,
             number: 0,
             deadline,
@@ -410,51 +422,51 @@
         Ok(ticket)
     }
 
-    /// A copy has answered the question of that number.
-    pub fn on_response(&mut self, now: Micros, from: usize, number: u64, answer: Response) {
+    /// Handles the response of a replica to the request of that number.
+    pub fn on_response(&mut self, now: Micros, from: usize, number: u64, response: Response) {
         if from >= self.config.replicas || self.state == ClaimState::Lost {
             return;
         }
-        if let Response::Superseded(epoch) = answer {
+        if let Response::Superseded(epoch) = response {
             if epoch > self.epoch {
                 self.on_superseded(now, epoch);
             }
             return;
         }
         if number == self.claim_request {
-            return self.on_claim_response(now, from, &answer);
+            return self.on_claim_response(now, from, &response);
         }
-        let Some(at) = self.pending.iter().position(|w| w.number == number) else { return };
+        let Some(at) = self.pending.iter().position(|op| op.number == number) else { return };
         let operation = &mut self.pending[at];
-        match (&mut operation.phase, answer) {
-            (Phase::Reading(answers), Response::Value(value)) => {
-                answers[from] = Some(value);
+        match (&mut operation.phase, response) {
+            (Phase::Reading(responses), Response::Value(value)) => {
+                responses[from] = Some(value);
                 self.check_read_quorum(now, at);
             }
             (Phase::Writing(new, acks), Response::Written) => {
                 acks[from] = true;
                 let version = new.version;
-                let known = self.names.entry(operation.name.clone()).or_default();
-                known.acknowledged.resize(self.config.replicas, Version::default());
-                known.acknowledged[from] = known.acknowledged[from].max(version);
+                let state = self.names.entry(operation.name.clone()).or_default();
+                state.acknowledged.resize(self.config.replicas, Version::default());
+                state.acknowledged[from] = state.acknowledged[from].max(version);
                 self.check_write_quorum(now, at);
             }
             _ => {}
         }
     }
 
-    /// Another process has promises of a greater epoch.
+    /// Handles that a replica has promised a greater epoch to another process.
     fn on_superseded(&mut self, now: Micros, epoch: Epoch) {
         if self.state == ClaimState::Holding {
             self.state = ClaimState::Lost;
             for operation in std::mem::take(&mut self.pending) {
-                let why = match operation.phase {
+                let error = match operation.phase {
                     Phase::Writing(..) => {
-                        StoreError::Indeterminate(io::Error::other("another process has taken the name"))
+                        StoreError::Indeterminate(io::Error::other("another process has claimed the name"))
                     }
                     _ => StoreError::Busy,
                 };
-                self.effects.push_back(Effect::Completed(operation.ticket, Err(why)));
+                self.effects.push_back(Effect::Completed(operation.ticket, Err(error)));
             }
         } else {
             self.epoch.number = epoch.number.saturating_add(1);
@@ -472,10 +484,12 @@
     }
 
     fn send_claim(&mut self, now: Micros) {
-        // One that has the name says so before a lease ends, whatever else it asks.
-        let holds = self.state == ClaimState::Holding;
-        self.claim_retry_at = now + if holds { self.config.lease / 3 } else { self.config.retry_interval };
-        for replica in (0..self.config.replicas).filter(|&c| holds || self.grants[c].is_none()) {
+        // The holder repeats its claim three times per lease, so that it keeps the name without other
+        // requests.
+        let is_holder = self.state == ClaimState::Holding;
+        self.claim_retry_at =
+            now + if is_holder { self.config.lease / 3 } else { self.config.retry_interval };
+        for replica in (0..self.config.replicas).filter(|&c| is_holder || self.grants[c].is_none()) {
             let command = if self.is_probing { Command::Probe } else { Command::Claim };
             self.effects.push_back(Effect::Send(replica, self.request(self.claim_request, command)));
         }
@@ -485,8 +499,8 @@
         Request { owner: self.config.owner.clone(), epoch: self.epoch, number, command }
     }
 
-    fn on_claim_response(&mut self, now: Micros, from: usize, answer: &Response) {
-        match answer {
+    fn on_claim_response(&mut self, now: Micros, from: usize, response: &Response) {
+        match response {
             Response::Granted => self.grants[from] = Some(true),
             Response::Held => self.grants[from] = Some(false),
             _ => return,
@@ -510,20 +524,20 @@
         }
     }
 
-    /// Begins what waited and need not any more.
+    /// Starts the operations that have waited for the claim, or for an earlier operation on the same name.
     fn start_queued(&mut self, now: Micros) {
         if self.state != ClaimState::Holding {
             return;
         }
         for at in 0..self.pending.len() {
             let operation = &self.pending[at];
-            let first = self.pending.iter().position(|w| w.name == operation.name) == Some(at);
-            if !first || !matches!(operation.phase, Phase::Queued) {
+            let is_first = self.pending.iter().position(|op| op.name == operation.name) == Some(at);
+            if !is_first || !matches!(operation.phase, Phase::Queued) {
                 continue;
             }
-            let used = self.names.get(&operation.name).and_then(|known| known.last_write_count);
-            match (used, &operation.put) {
-                (Some(used), Some(_)) => self.start_write(now, at, used + 1, None),
+            let last_write_count = self.names.get(&operation.name).and_then(|state| state.last_write_count);
+            match (last_write_count, &operation.new_value) {
+                (Some(count), Some(_)) => self.start_write(now, at, count + 1, None),
                 _ => {
                     self.pending[at].phase = Phase::Reading(vec![None; self.config.replicas]);
                     self.send_requests(now, at, true);
@@ -532,7 +546,8 @@
         }
     }
 
-    /// Asks those that have not answered.
+    /// Sends the current request to the replicas that have not answered it. Uses a new number if the request
+    /// is new.
     fn send_requests(&mut self, now: Micros, at: usize, is_new: bool) {
         if is_new {
             self.last_number += 1;
@@ -542,7 +557,7 @@
         let operation = &self.pending[at];
         for replica in 0..self.config.replicas {
             let command = match &operation.phase {
-                Phase::Reading(answers) if answers[replica].is_none() => {
+                Phase::Reading(responses) if responses[replica].is_none() => {
                     Command::Read(operation.name.clone())
                 }
                 Phase::Writing(new, acks) if !acks[replica] => {
@@ -554,62 +569,70 @@
         }
     }
 
-    fn start_write(&mut self, now: Micros, at: usize, writes: u64, back: Option<Option<Vec<u8>>>) {
+    /// Starts to write `written_back`, if given, else the new value of the operation.
+    fn start_write(&mut self, now: Micros, at: usize, writes: u64, written_back: Option<Option<Vec<u8>>>) {
         let operation = &mut self.pending[at];
-        let known = self.names.entry(operation.name.clone()).or_default();
-        known.last_write_count = Some(known.last_write_count.unwrap_or(0).max(writes));
-        let bytes = back.unwrap_or_else(|| operation.put.clone());
+        let state = self.names.entry(operation.name.clone()).or_default();
+        state.last_write_count = Some(state.last_write_count.unwrap_or(0).max(writes));
+        let bytes = written_back.unwrap_or_else(|| operation.new_value.clone());
         let version = Version { epoch: self.epoch, writes };
         let acks = vec![false; self.config.replicas];
         operation.phase =
-            Phase::Writing(VersionedValue { version, acknowledged: known.acknowledged.clone(), bytes }, acks);
+            Phase::Writing(VersionedValue { version, acknowledged: state.acknowledged.clone(), bytes }, acks);
         self.send_requests(now, at, true);
     }
 
-    /// Whether a quorum has reported what it holds, and what follows.
+    /// Continues a read, or the write that it precedes, once a quorum has answered.
     fn check_read_quorum(&mut self, now: Micros, at: usize) {
         let quorum = self.quorum();
         let operation = &self.pending[at];
-        let Phase::Reading(answers) = &operation.phase else { return };
-        let known = self.names.entry(operation.name.clone()).or_default();
-        known.acknowledged.resize(self.config.replicas, Version::default());
-        for value in answers.iter().flatten() {
-            for (acknowledged, reported) in known.acknowledged.iter_mut().zip(&value.acknowledged) {
+        let Phase::Reading(responses) = &operation.phase else { return };
+        let state = self.names.entry(operation.name.clone()).or_default();
+        state.acknowledged.resize(self.config.replicas, Version::default());
+        for value in responses.iter().flatten() {
+            for (acknowledged, reported) in state.acknowledged.iter_mut().zip(&value.acknowledged) {
                 *acknowledged = (*acknowledged).max(*reported);
             }
         }
-        // One that holds less than it has acknowledged has forgotten: its word does not count.
-        let good: Vec<&VersionedValue> = answers
+        // A replica that holds less than it has acknowledged has lost data and does not count for the quorum.
+        let current: Vec<&VersionedValue> = responses
             .iter()
-            .zip(&known.acknowledged)
-            .filter_map(|(a, acknowledged)| a.as_ref().filter(|a| a.version >= *acknowledged))
+            .zip(&state.acknowledged)
+            .filter_map(|(value, acknowledged)| value.as_ref().filter(|value| value.version >= *acknowledged))
             .collect();
-        if good.len() < quorum {
+        if current.len() < quorum {
             return;
         }
-        let stale: Vec<usize> = (0..answers.len())
-            .filter(|&c| answers[c].as_ref().is_some_and(|a| a.version < known.acknowledged[c]))
+        let stale: Vec<usize> = (0..responses.len())
+            .filter(|&c| responses[c].as_ref().is_some_and(|value| value.version < state.acknowledged[c]))
             .collect();
         self.effects.extend(stale.into_iter().map(Effect::StaleReplica));
-        let newest = good.iter().max_by_key(|value| value.version).expect("a quorum is one at least");
+        let newest =
+            current.iter().max_by_key(|value| value.version).expect("a quorum has at least one replica");
         let Version { epoch, writes } = newest.version;
-        let own = epoch == self.epoch && known.last_write_count == Some(writes);
-        let all = good.iter().filter(|value| value.version == newest.version).count() >= quorum;
-        if operation.put.is_some() {
-            let writes = writes.max(known.last_write_count.unwrap_or(0)) + 1;
+        let is_own_write = epoch == self.epoch && state.last_write_count == Some(writes);
+        let is_at_quorum = current.iter().filter(|value| value.version == newest.version).count() >= quorum;
+        if operation.new_value.is_some() {
+            let writes = writes.max(state.last_write_count.unwrap_or(0)) + 1;
             return self.start_write(now, at, writes, None);
         }
-        if own && all {
-            let got = newest.bytes.clone().map(|bytes| StoredValue { bytes, writes });
-            return self.complete(now, at, Ok(Outcome::Got(got)));
+        if is_own_write && is_at_quorum {
+            let value = newest.bytes.clone().map(|bytes| StoredValue { bytes, writes });
+            return self.complete(now, at, Ok(Outcome::Got(value)));
         }
-        // What is reported once must stay, and what an earlier process, or an earlier try, has left at some must not come up later.
-        let writes = if own { writes } else { writes.max(known.last_write_count.map_or(0, |used| used + 1)) };
+        // The value is written back before it is returned, so that later reads return it too. This also keeps
+        // a value that an earlier process, or a failed write, has left on a minority of replicas from
+        // appearing later.
+        let writes = if is_own_write {
+            writes
+        } else {
+            writes.max(state.last_write_count.map_or(0, |count| count + 1))
+        };
         let bytes = newest.bytes.clone();
         self.start_write(now, at, writes, Some(bytes));
     }
 
-    /// Whether a quorum has it, and what follows.
+    /// Ends a write once a quorum has acknowledged it.
     fn check_write_quorum(&mut self, now: Micros, at: usize) {
         let operation = &self.pending[at];
         let Phase::Writing(new, acks) = &operation.phase else { return };
@@ -617,27 +640,27 @@
             return;
         }
         let writes = new.version.writes;
-        let done = match &operation.put {
+        let outcome = match &operation.new_value {
             Some(_) => Outcome::Put(writes),
             None => Outcome::Got(new.bytes.clone().map(|bytes| StoredValue { bytes, writes })),
         };
-        self.complete(now, at, Ok(done));
+        self.complete(now, at, Ok(outcome));
     }
 
     fn complete(&mut self, now: Micros, at: usize, result: Result<Outcome, StoreError>) {
-        let operation = self.pending.remove(at).expect("it was found");
+        let operation = self.pending.remove(at).expect("the index is valid");
         self.effects.push_back(Effect::Completed(operation.ticket, result));
         self.start_queued(now);
     }
 
-    /// When to wake it next, at the latest.
+    /// When to call [`Coordinator::on_timer`] at the latest.
     pub fn next_wake(&self) -> Option<Micros> {
-        let pending = self.pending.iter().map(|w| w.deadline.min(w.retry_at));
+        let pending = self.pending.iter().map(|op| op.deadline.min(op.retry_at));
         let claim = (self.state != ClaimState::Lost).then_some(self.claim_retry_at);
         pending.chain(claim).min()
     }
 
-    /// Time has gone by.
+    /// Repeats requests that are due and ends operations whose time is over.
     pub fn on_timer(&mut self, now: Micros) {
         if self.state != ClaimState::Lost && now >= self.claim_retry_at {
             match self.state {
@@ -645,12 +668,13 @@
                 _ => self.send_claim(now),
             }
         }
-        while let Some(at) = self.pending.iter().position(|w| now >= w.deadline) {
-            let late = || io::Error::new(io::ErrorKind::TimedOut, "too few copies answer");
-            let writes =
-                matches!(self.pending[at].phase, Phase::Writing(..)) && self.pending[at].put.is_some();
-            let why = if writes { StoreError::Indeterminate(late()) } else { StoreError::Io(late()) };
-            self.complete(now, at, Err(why));
+        while let Some(at) = self.pending.iter().position(|op| now >= op.deadline) {
+            let timed_out = || io::Error::new(io::ErrorKind::TimedOut, "too few replicas answered");
+            let is_writing =
+                matches!(self.pending[at].phase, Phase::Writing(..)) && self.pending[at].new_value.is_some();
+            let error =
+                if is_writing { StoreError::Indeterminate(timed_out()) } else { StoreError::Io(timed_out()) };
+            self.complete(now, at, Err(error));
         }
         for at in 0..self.pending.len() {
             if now >= self.pending[at].retry_at && !matches!(self.pending[at].phase, Phase::Queued) {
@@ -659,28 +683,28 @@
         }
     }
 
-    /// What is to be done next.
+    /// Takes the next effect to carry out.
     pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 }
 
-/// ReplicatedStore that can be handle while one waits.
+/// Sends requests to replicas and waits for their responses.
 pub trait Replicas {
-    /// The time.
+    /// The current time.
     fn now(&self) -> Micros;
 
-    /// Asks one; `None` if it does not answer.
+    /// Sends a request and waits for the response; `None` if there is none.
     fn request(&mut self, replica: usize, request: &Request) -> Option<Response>;
 
-    /// Waits until a time.
+    /// Blocks until a time.
     fn wait_until(&mut self, until: Micros);
 
-    /// A copy was put back to an old state.
+    /// Reports that the storage of a replica was restored to an old state.
     fn on_stale(&mut self, _replica: usize) {}
 }
 
-/// A store whose values several others keep.
+/// A blocking store whose values are replicated.
 #[derive(Debug)]
 pub struct ReplicatedStore<P> {
     coordinator: Coordinator,
@@ -688,44 +712,45 @@
 }
 
 impl<P: Replicas> ReplicatedStore<P> {
-    /// Claims the owner's name at a quorum of copies.
+    /// Claims the owner's name from a quorum of replicas.
     ///
     /// # Errors
-    /// [`StoreError::Busy`] if another process has it; [`StoreError::Io`] if too few answer.
+    /// [`StoreError::Busy`] if another process holds it; [`StoreError::Io`] if too few replicas answer.
     pub fn open(config: Config, incarnation: u64, replicas: P) -> Result<ReplicatedStore<P>, StoreError> {
-        let until = replicas.now() + config.timeout;
+        let deadline = replicas.now() + config.timeout;
         let mut store =
             ReplicatedStore { coordinator: Coordinator::new(config, incarnation, replicas.now())?, replicas };
         loop {
             store.step(0);
             match store.coordinator.state() {
                 ClaimState::Holding => return Ok(store),
-                ClaimState::Claiming if store.replicas.now() < until => store.wait(),
+                ClaimState::Claiming if store.replicas.now() < deadline => store.wait(),
                 ClaimState::Claiming => {
-                    return Err(io::Error::new(io::ErrorKind::TimedOut, "too few copies answer").into())
+                    return Err(io::Error::new(io::ErrorKind::TimedOut, "too few replicas answered").into())
                 }
                 ClaimState::Waiting | ClaimState::Lost => return Err(StoreError::Busy),
             }
         }
     }
 
+    /// Waits until the next timer and handles it.
     fn wait(&mut self) {
         let next = self.coordinator.next_wake().unwrap_or(0).max(self.replicas.now());
         self.replicas.wait_until(next);
         self.coordinator.on_timer(self.replicas.now());
     }
 
-    /// Carries out effects; what the ticket led to.
+    /// Carries out the effects; returns the result of the operation `ticket` if it has ended.
     fn step(&mut self, ticket: u64) -> Option<Result<Outcome, StoreError>> {
         let mut result = None;
         while let Some(effect) = self.coordinator.next_effect() {
             match effect {
                 Effect::Send(replica, request) => {
-                    if let Some(answer) = self.replicas.request(replica, &request) {
-                        self.coordinator.on_response(self.replicas.now(), replica, request.number, answer);
+                    if let Some(response) = self.replicas.request(replica, &request) {
+                        self.coordinator.on_response(self.replicas.now(), replica, request.number, response);
                     }
                 }
-                Effect::Completed(of, done) if of == ticket => result = Some(done),
+                Effect::Completed(completed, outcome) if completed == ticket => result = Some(outcome),
                 Effect::Completed(..) => {}
                 Effect::StaleReplica(replica) => self.replicas.on_stale(replica),
             }
@@ -733,7 +758,8 @@
         result
     }
 
-    fn end(&mut self, ticket: u64) -> Result<Outcome, StoreError> {
+    /// Drives the operation `ticket` to its end.
+    fn run(&mut self, ticket: u64) -> Result<Outcome, StoreError> {
         loop {
             if let Some(result) = self.step(ticket) {
                 return result;
@@ -746,17 +772,17 @@
 impl<P: Replicas> Store for ReplicatedStore<P> {
     fn get(&mut self, name: &str) -> Result<Option<StoredValue>, StoreError> {
         let ticket = self.coordinator.get(self.replicas.now(), name)?;
-        match self.end(ticket)? {
-            Outcome::Got(kept) => Ok(kept),
-            Outcome::Put(_) => unreachable!("nothing was put"),
+        match self.run(ticket)? {
+            Outcome::Got(value) => Ok(value),
+            Outcome::Put(_) => unreachable!("a read was started"),
         }
     }
 
     fn put(&mut self, name: &str, bytes: &[u8]) -> Result<u64, StoreError> {
         let ticket = self.coordinator.put(self.replicas.now(), name, bytes)?;
-        match self.end(ticket)? {
+        match self.run(ticket)? {
             Outcome::Put(writes) => Ok(writes),
-            Outcome::Got(_) => unreachable!("nothing was got"),
+            Outcome::Got(_) => unreachable!("a write was started"),
         }
     }
 }
--- a/crates/store/src/faulty.rs
+++ b/crates/store/src/faulty.rs
@@ -1,5 +1,6 @@
-//! A disk that fails on purpose, for tests: it loses, tears and reorders at a crash whatever is not synced, stops at any
-//! operation, fills up, fails to sync, reads short and turns bits. All of it follows from a seed.
+//! A simulated disk with fault injection, for tests. At a crash it loses, tears and reorders what was not
+//! synced; it can stop the process at any operation, fill up, fail to sync and return short reads. Everything
+//! follows from a seed.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,58 +9,83 @@
 
 use crate::medium::Medium;
 
-/// Octets that a disk writes as a whole.
-const SECTOR: usize = 512;
+/// The size that the disk writes atomically.
+const SECTOR_BYTES: usize = 512;
 
-/// What happens at an operation. Reading counts as one too.
+/// A fault at one operation of the disk; reads count as operations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// The process is gone before it.
+    /// The process stops just before the operation.
     StopBefore,
-    /// The process is gone just after it.
+    /// The process stops just after the operation.
     StopAfter,
-    /// It fails, and the next ones do not. Half of what was to be written is; octets that were to be synced are never written,
-    /// though the next sync says so; names still may be.
+    /// This operation fails and later ones succeed. A write writes half of its bytes. A failed sync of a file
+    /// loses the content, although the next sync succeeds; after a failed sync of the directory a later one
+    /// can still succeed.
     Fail,
-    /// From here on nothing more can be written.
+    /// The disk is full from this operation on.
     Full,
 }
 
 /// All faults.
 pub const ALL_FAULTS: [Fault; 4] = [Fault::StopBefore, Fault::StopAfter, Fault::Fail, Fault::Full];
 
+/// The content of a file.
 #[derive(Debug, Default)]
-struct Octets {
-    now: Vec<u8>,
-    safe: Vec<u8>,
-    /// Whether a sync still would write what is not safe.
-    dirty: bool,
+struct FileContent {
+    /// The content that processes see.
+    current: Vec<u8>,
+    /// The content that is synced.
+    durable: Vec<u8>,
+    /// Whether a sync would still make the current content durable.
+    is_dirty: bool,
 }
 
-/// A name that gets a file, and one that loses its own.
-type Change = (Option<(String, usize)>, Option<String>);
+/// A change of file names.
+#[derive(Debug)]
+struct NameChange {
+    /// A name and the index of the file that it refers to afterwards.
+    added: Option<(String, usize)>,
+    removed: Option<String>,
+}
+
+impl NameChange {
+    fn apply(&self, names: &mut BTreeMap<String, usize>) {
+        if let Some(name) = &self.removed {
+            names.remove(name);
+        }
+        if let Some((name, file)) = &self.added {
+            names.insert(name.clone(), *file);
+        }
+    }
+}
 
 #[derive(Debug, Default)]
 struct State {
     seed: u64,
-    octets: Vec<Octets>,
-    now: BTreeMap<String, usize>,
-    safe: BTreeMap<String, usize>,
-    /// Changes of names that are not safe.
-    changes: Vec<Change>,
-    /// Who holds the lock; counts openings.
-    held: Option<u64>,
+    contents: Vec<FileContent>,
+    /// Indices into `contents` by file name, as processes see them.
+    names: BTreeMap<String, usize>,
+    /// The same, as synced.
+    durable_names: BTreeMap<String, usize>,
+    /// Changes of names since the last sync of the directory.
+    unsynced_changes: Vec<NameChange>,
+    /// The opening that holds the lock.
+    lock_holder: Option<u64>,
+    /// Counts openings and crashes, so that each opening has its own number.
     openings: u64,
+    /// Counts operations since the disk was created.
     operations: usize,
-    plan: Option<(usize, Fault)>,
-    stopped: bool,
-    full: bool,
-    short: bool,
+    planned_fault: Option<(usize, Fault)>,
+    is_stopped: bool,
+    is_full: bool,
+    /// Whether reads may be short or interrupted.
+    has_short_reads: bool,
 }
 
 impl State {
-    /// A number below a bound, drawn by the seed (splitmix64).
-    fn draw(&mut self, below: usize) -> usize {
+    /// A pseudo-random number below a bound (SplitMix64).
+    fn random(&mut self, below: usize) -> usize {
         self.seed = self.seed.wrapping_add(0x9E37_79B9_7F4A_7C15);
         let mut z = self.seed;
         z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
@@ -67,131 +93,134 @@
         ((z ^ (z >> 31)) % below.max(1) as u64) as usize
     }
 
-    fn file(&self, name: &str) -> io::Result<usize> {
-        self.now.get(name).copied().ok_or_else(|| ErrorKind::NotFound.into())
+    fn file_index(&self, name: &str) -> io::Result<usize> {
+        self.names.get(name).copied().ok_or_else(|| ErrorKind::NotFound.into())
     }
 
-    fn change(&mut self, gets: Option<(String, usize)>, loses: Option<String>) {
-        apply(&mut self.now, &gets, &loses);
-        self.changes.push((gets, loses));
+    fn change_names(&mut self, change: NameChange) {
+        change.apply(&mut self.names);
+        self.unsynced_changes.push(change);
     }
 
-    /// What of a file's octets the disk has after a crash: each sector as it was, as it is, or empty; any length between.
-    fn torn(&mut self, at: usize) -> Vec<u8> {
-        let Octets { now, safe, .. } = &self.octets[at];
-        let (now, safe) = (now.clone(), safe.clone());
-        let (least, most) = (now.len().min(safe.len()), now.len().max(safe.len()));
-        let length = match self.draw(3) {
-            0 => now.len(),
-            1 => safe.len(),
-            _ => least + self.draw(most - least + 1),
+    /// The content of a file after a crash: each sector is current, durable or zero, and the length is either
+    /// length or between them.
+    fn torn_content(&mut self, at: usize) -> Vec<u8> {
+        let FileContent { current, durable, .. } = &self.contents[at];
+        let (current, durable) = (current.clone(), durable.clone());
+        let shorter = current.len().min(durable.len());
+        let longer = current.len().max(durable.len());
+        let length = match self.random(3) {
+            0 => current.len(),
+            1 => durable.len(),
+            _ => shorter + self.random(longer - shorter + 1),
         };
         let mut out = vec![0; length];
-        // All new, all old, or mixed.
-        let mood = self.draw(3);
-        for from in (0..length).step_by(SECTOR) {
-            let to = length.min(from + SECTOR);
-            let source = match if mood == 2 { self.draw(3) } else { mood } {
-                0 => &now,
-                1 => &safe,
+        // All sectors are current, all are durable, or each is drawn.
+        let mode = self.random(3);
+        for from in (0..length).step_by(SECTOR_BYTES) {
+            let to = length.min(from + SECTOR_BYTES);
+            let source = match if mode == 2 { self.random(3) } else { mode } {
+                0 => &current,
+                1 => &durable,
                 _ => continue,
             };
-            let there = to.min(source.len()).max(from);
-            out[from..there].copy_from_slice(&source[from.min(source.len())..there.min(source.len())]);
+            let end = to.min(source.len()).max(from);
+            out[from..end].copy_from_slice(&source[from.min(source.len())..end.min(source.len())]);
         }
         out
     }
 }
 
-fn apply(names: &mut BTreeMap<String, usize>, gets: &Option<(String, usize)>, loses: &Option<String>) {
-    if let Some(name) = loses {
-        names.remove(name);
-    }
-    if let Some((name, file)) = gets {
-        names.insert(name.clone(), *file);
-    }
-}
-
-/// The disk itself: what is on it outlasts those that use it.
+/// A simulated disk. Its content survives the processes that use it. Clones share the same disk.
 #[derive(Debug, Clone, Default)]
 pub struct SimulatedDisk(Rc<RefCell<State>>);
 
 impl SimulatedDisk {
-    /// An empty disk. Half of all seeds read short.
+    /// An empty disk. With an odd seed, reads may be short or interrupted.
     pub fn new(seed: u64) -> SimulatedDisk {
-        SimulatedDisk(Rc::new(RefCell::new(State { seed, short: seed & 1 == 1, ..State::default() })))
+        SimulatedDisk(Rc::new(RefCell::new(State {
+            seed,
+            has_short_reads: seed & 1 == 1,
+            ..State::default()
+        })))
     }
 
-    /// A process that uses it.
+    /// Opens the disk for a new process.
     pub fn open(&self) -> FaultyMedium {
         let mut state = self.0.borrow_mut();
         state.openings += 1;
         FaultyMedium { disk: self.clone(), opening: state.openings }
     }
 
-    /// How many operations there were since the disk was made.
+    /// The number of operations since the disk was created.
     pub fn operations(&self) -> usize {
         self.0.borrow().operations
     }
 
-    /// Plans what happens at an operation, counted from 0.
+    /// Plans a fault at an operation, counted from 0.
     pub fn plan(&self, at: usize, fault: Fault) {
-        self.0.borrow_mut().plan = Some((at, fault));
+        self.0.borrow_mut().planned_fault = Some((at, fault));
     }
 
-    /// Whether a planned stop has come: the process is gone, and all that it asks for fails.
+    /// Whether a planned stop of the process has happened. All operations fail until
+    /// [`SimulatedDisk::crash`].
     pub fn is_stopped(&self) -> bool {
-        self.0.borrow().stopped
+        self.0.borrow().is_stopped
     }
 
-    /// There is room again.
+    /// Ends the effect of [`Fault::Full`].
     pub fn free(&self) {
-        self.0.borrow_mut().full = false;
+        self.0.borrow_mut().is_full = false;
     }
 
-    /// Power is lost and comes back. Of what was not synced each part is kept or lost as drawn: octets by sector, changes of
-    /// names in any order.
+    /// Simulates a power loss and a restart. Of what was not synced, each sector and each change of a name is
+    /// randomly kept or lost.
     pub fn crash(&self) {
         let state = &mut *self.0.borrow_mut();
-        for at in 0..state.octets.len() {
-            let kept = if state.octets[at].now == state.octets[at].safe { continue } else { state.torn(at) };
-            state.octets[at] = Octets { now: kept.clone(), safe: kept, dirty: false };
+        for at in 0..state.contents.len() {
+            if state.contents[at].current == state.contents[at].durable {
+                continue;
+            }
+            let content = state.torn_content(at);
+            state.contents[at] = FileContent { current: content.clone(), durable: content, is_dirty: false };
         }
-        let changes = std::mem::take(&mut state.changes);
-        let mut safe = std::mem::take(&mut state.safe);
-        let mood = state.draw(3);
-        for (gets, loses) in &changes {
-            if mood == 0 || (mood == 1 && state.draw(2) == 0) {
-                apply(&mut safe, gets, loses);
+        let changes = std::mem::take(&mut state.unsynced_changes);
+        let mut names = std::mem::take(&mut state.durable_names);
+        // All changes are kept, each is drawn, or none is kept.
+        let mode = state.random(3);
+        for change in &changes {
+            if mode == 0 || (mode == 1 && state.random(2) == 0) {
+                change.apply(&mut names);
             }
         }
-        (state.now, state.safe) = (safe.clone(), safe);
-        (state.held, state.stopped, state.full, state.plan) = (None, false, false, None);
+        (state.names, state.durable_names) = (names.clone(), names);
+        (state.lock_holder, state.planned_fault) = (None, None);
+        (state.is_stopped, state.is_full) = (false, false);
         state.openings += 1;
     }
 
-    /// The files and what is in them, as a process sees them now.
+    /// All files with their contents, as a process sees them.
     pub fn files(&self) -> BTreeMap<String, Vec<u8>> {
         let state = self.0.borrow();
-        state.now.iter().map(|(name, &at)| (name.clone(), state.octets[at].now.clone())).collect()
+        state.names.iter().map(|(name, &at)| (name.clone(), state.contents[at].current.clone())).collect()
     }
 
-    /// Puts other files in place of those that are there, for good: a turned bit, a cut, an old copy, a foreign file.
+    /// Durably replaces all files, for example by corrupted, truncated, old or foreign ones.
     pub fn set_files(&self, files: BTreeMap<String, Vec<u8>>) {
         let mut state = self.0.borrow_mut();
-        state.changes.clear();
-        state.octets.clear();
-        state.now.clear();
+        state.unsynced_changes.clear();
+        state.contents.clear();
+        state.names.clear();
         for (name, bytes) in files {
-            let at = state.octets.len();
-            state.octets.push(Octets { now: bytes.clone(), safe: bytes, dirty: false });
-            state.now.insert(name, at);
+            let at = state.contents.len();
+            state.contents.push(FileContent { current: bytes.clone(), durable: bytes, is_dirty: false });
+            state.names.insert(name, at);
         }
-        state.safe = state.now.clone();
+        state.durable_names = state.names.clone();
     }
 }
 
-/// A [`Medium`] on a [`SimulatedDisk`].
+/// A [`Medium`] on a [`SimulatedDisk`], for one process.
 #[derive(Debug)]
 pub struct FaultyMedium {
     disk: SimulatedDisk,
@@ -199,27 +228,28 @@
 }
 
 impl FaultyMedium {
-    /// Does an operation as planned: `act` is told whether to fail.
+    /// Performs an operation with the fault that is planned for it. `act` is told whether to simulate a
+    /// failure.
     fn operation<T>(&mut self, act: impl FnOnce(&mut State, bool) -> io::Result<T>) -> io::Result<T> {
         let state = &mut *self.disk.0.borrow_mut();
-        if state.stopped {
-            return Err(Error::other("the process is gone"));
+        if state.is_stopped {
+            return Err(Error::other("the process has stopped"));
         }
-        let fault = state.plan.filter(|&(at, _)| at == state.operations).map(|(_, fault)| fault);
+        let fault = state.planned_fault.filter(|&(at, _)| at == state.operations).map(|(_, fault)| fault);
         state.operations += 1;
         match fault {
             Some(Fault::StopBefore) => {
-                state.stopped = true;
-                Err(Error::other("the process is gone"))
+                state.is_stopped = true;
+                Err(Error::other("the process has stopped"))
             }
             Some(Fault::StopAfter) => {
                 let result = act(state, false);
-                state.stopped = true;
-                result.and(Err(Error::other("the process is gone")))
+                state.is_stopped = true;
+                result.and(Err(Error::other("the process has stopped")))
             }
-            Some(Fault::Fail) => act(state, true).and(Err(Error::other("a planned failure"))),
+            Some(Fault::Fail) => act(state, true).and(Err(Error::other("planned failure"))),
             Some(Fault::Full) => {
-                state.full = true;
+                state.is_full = true;
                 act(state, false)
             }
             None => act(state, false),
@@ -230,8 +260,8 @@
 impl Drop for FaultyMedium {
     fn drop(&mut self) {
         let mut state = self.disk.0.borrow_mut();
-        if state.held == Some(self.opening) {
-            state.held = None;
+        if state.lock_holder == Some(self.opening) {
+            state.lock_holder = None;
         }
     }
 }
@@ -240,48 +270,48 @@
     fn lock(&mut self) -> io::Result<bool> {
         let opening = self.opening;
         self.operation(|state, fails| {
-            let free = state.held.is_none();
-            if free && !fails {
-                state.held = Some(opening);
+            let is_free = state.lock_holder.is_none();
+            if is_free && !fails {
+                state.lock_holder = Some(opening);
             }
-            Ok(free)
+            Ok(is_free)
         })
     }
 
     fn list(&mut self) -> io::Result<Vec<String>> {
-        self.operation(|state, _| Ok(state.now.keys().cloned().collect()))
+        self.operation(|state, _| Ok(state.names.keys().cloned().collect()))
     }
 
     fn read(&mut self, file: &str, at: u64, into: &mut [u8]) -> io::Result<usize> {
         self.operation(|state, _| {
-            let octets = state.file(file)?;
-            let there = state.octets[octets].now.len().saturating_sub(at as usize).min(into.len());
-            if !state.short {
-                return copy(state, octets, at, &mut into[..there]);
+            let index = state.file_index(file)?;
+            let available = state.contents[index].current.len().saturating_sub(at as usize).min(into.len());
+            if !state.has_short_reads {
+                return copy(state, index, at, &mut into[..available]);
             }
-            if state.draw(8) == 0 {
+            if state.random(8) == 0 {
                 return Err(ErrorKind::Interrupted.into());
             }
-            let some = there.min(1 + state.draw(there));
-            copy(state, octets, at, &mut into[..some])
+            let length = available.min(1 + state.random(available));
+            copy(state, index, at, &mut into[..length])
         })
     }
 
     fn write(&mut self, file: &str, bytes: &[u8]) -> io::Result<()> {
         self.operation(|state, fails| {
-            let at = match state.file(file) {
+            let at = match state.file_index(file) {
                 Ok(at) => at,
                 Err(_) => {
-                    state.octets.push(Octets::default());
-                    let at = state.octets.len() - 1;
-                    state.change(Some((file.to_owned(), at)), None);
+                    state.contents.push(FileContent::default());
+                    let at = state.contents.len() - 1;
+                    state.change_names(NameChange { added: Some((file.to_owned(), at)), removed: None });
                     at
                 }
             };
-            let room = !fails && !state.full;
-            let taken = if room { bytes.len() } else { bytes.len() / 2 };
-            (state.octets[at].now, state.octets[at].dirty) = (bytes[..taken].to_vec(), true);
-            if room {
+            let succeeds = !fails && !state.is_full;
+            let written = if succeeds { bytes.len() } else { bytes.len() / 2 };
+            (state.contents[at].current, state.contents[at].is_dirty) = (bytes[..written].to_vec(), true);
+            if succeeds {
                 Ok(())
             } else {
                 Err(Error::other("the disk is full"))
@@ -291,22 +321,26 @@
 
     fn sync(&mut self, file: &str) -> io::Result<()> {
         self.operation(|state, fails| {
-            let at = state.file(file)?;
-            let octets = &mut state.octets[at];
-            // What failed once is no longer known as unwritten: a second sync says that all is well.
-            if octets.dirty && !fails {
-                octets.safe = octets.now.clone();
+            let at = state.file_index(file)?;
+            let content = &mut state.contents[at];
+            // A failed sync marks the content as clean all the same, so that a second sync reports success
+            // without writing it.
+            if content.is_dirty && !fails {
+                content.durable = content.current.clone();
             }
-            octets.dirty = false;
+            content.is_dirty = false;
             Ok(())
         })
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
         self.operation(|state, fails| {
-            let at = state.file(from)?;
+            let at = state.file_index(from)?;
             if !fails {
-                state.change(Some((to.to_owned(), at)), Some(from.to_owned()));
+                state.change_names(NameChange {
+                    added: Some((to.to_owned(), at)),
+                    removed: Some(from.to_owned()),
+                });
             }
             Ok(())
         })
@@ -314,9 +348,9 @@
 
     fn remove(&mut self, file: &str) -> io::Result<()> {
         self.operation(|state, fails| {
-            state.file(file)?;
+            state.file_index(file)?;
             if !fails {
-                state.change(None, Some(file.to_owned()));
+                state.change_names(NameChange { added: None, removed: Some(file.to_owned()) });
             }
             Ok(())
         })
@@ -325,16 +359,18 @@
     fn sync_directory(&mut self) -> io::Result<()> {
         self.operation(|state, fails| {
             if !fails {
-                state.changes.clear();
-                state.safe = state.now.clone();
+                state.unsynced_changes.clear();
+                state.durable_names = state.names.clone();
             }
             Ok(())
         })
     }
 }
 
-fn copy(state: &State, octets: usize, at: u64, into: &mut [u8]) -> io::Result<usize> {
-    let from = (at as usize).min(state.octets[octets].now.len());
-    into.copy_from_slice(&state.octets[octets].now[from..from + into.len()]);
+/// Fills `into` from a file's current content at an offset.
+fn copy(state: &State, index: usize, at: u64, into: &mut [u8]) -> io::Result<usize> {
+    let content = &state.contents[index].current;
+    let from = (at as usize).min(content.len());
+    into.copy_from_slice(&content[from..from + into.len()]);
     Ok(into.len())
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,9 @@
-//! What must outlast a process: votes, history, ends of lives, profiles of demand. One small trait, and what each store promises;
-//! the contracts in `violetward-contracts` hold every implementation to it.
+//! Durable storage of small named values, such as votes, settings history, records of ended processes and
+//! demand profiles: one small trait and what each implementation guarantees. The contract tests in
+//! `violetward-contracts` check every implementation against these guarantees.
 //!
-//! A store keeps values by name. A value is replaced as a whole, and each writing of it is counted: by its count an old copy of
-//! a store can be told from a new one by whoever remembers the count.
+//! A value is only replaced as a whole, and its writes are counted. A user that remembers the count can
+//! detect that a store was restored to an older state.
 
 pub mod copies;
 pub mod faulty;
@@ -10,50 +11,50 @@
 pub mod medium;
 pub mod memory;
 
-/// Octets of the longest value.
+/// Longest value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 4 << 20;
-/// Characters of the longest name: lower-case letters, digits, `-` and `.`; no `.` at the beginning.
+/// Longest name, in characters: lower-case letters, digits, `-` and `.`, not starting with `.`.
 pub const MAX_NAME_LENGTH: usize = 64;
-/// Values of one store.
+/// Most values in a store.
 pub const MAX_VALUES: usize = 4_096;
 
-/// A value as it is kept.
+/// A value in a store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredValue {
-    /// What was put.
+    /// The content.
     pub bytes: Vec<u8>,
-    /// How often the value of that name has been written, from 1.
+    /// How many times the value of this name has been written; at least 1.
     pub writes: u64,
 }
 
-/// What is wrong.
+/// An error of a store.
 #[derive(Debug)]
 #[non_exhaustive]
 pub enum StoreError {
-    /// The name or the value breaks the store's bounds.
+    /// The request violates a limit of the store, such as the length of a name or value.
     Invalid(&'static str),
-    /// What is kept is cut off, or a bit of it has turned.
+    /// The stored data is truncated or corrupted.
     Corrupt(&'static str),
-    /// What is kept belongs to something else, or was written by a program with another format.
+    /// The stored data belongs to another program or name, or has another format version.
     Foreign(&'static str),
     /// Another process uses the store.
     Busy,
-    /// The medium does not take it; what was kept before stands.
+    /// The storage medium failed. After a failed write the previous value is intact.
     Io(std::io::Error),
-    /// It is not known whether it is kept: the new value may be there or the one before, each as a whole. The next
-    /// [`Store::get`] that goes well settles it.
+    /// It is unknown whether the write took effect: the store holds either the new value or the previous one,
+    /// each intact. The next successful [`Store::get`] settles which.
     Indeterminate(std::io::Error),
 }
 
 impl std::fmt::Display for StoreError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            StoreError::Invalid(what) => write!(f, "it cannot be kept: {what}"),
-            StoreError::Corrupt(what) => write!(f, "what is kept is spoilt: {what}"),
-            StoreError::Foreign(what) => write!(f, "what is kept is not ours: {what}"),
-            StoreError::Busy => f.write_str("another process uses it"),
-            StoreError::Io(e) => write!(f, "the medium fails: {e}"),
-            StoreError::Indeterminate(e) => write!(f, "it may be kept or not: {e}"),
+            StoreError::Invalid(what) => write!(f, "the value cannot be stored: {what}"),
+            StoreError::Corrupt(what) => write!(f, "the stored data is corrupt: {what}"),
+            StoreError::Foreign(what) => write!(f, "the stored data is not from this store: {what}"),
+            StoreError::Busy => f.write_str("another process uses the store"),
+            StoreError::Io(e) => write!(f, "the storage failed: {e}"),
+            StoreError::Indeterminate(e) => write!(f, "the value may or may not be stored: {e}"),
         }
     }
 }
@@ -67,30 +68,36 @@
     }
 }
 
-/// A store. What [`Store::put`] has acknowledged is there after any crash; what it has not is there as a whole or not at all.
+/// A durable key-value store. A write that [`Store::put`] has acknowledged survives any crash; one that it
+/// has not acknowledged takes effect as a whole or not at all.
 pub trait Store {
-    /// What is kept under a name; `None` if nothing ever was.
+    /// Reads the value of a name; `None` if none was ever written.
     ///
     /// # Errors
-    /// What is wrong with it; the store stays as it is.
+    /// Why it can't be read. The store is not changed.
     fn get(&mut self, name: &str) -> Result<Option<StoredValue>, StoreError>;
 
-    /// Keeps a value in place of the one before; gives its count of writes. When this returns well, it outlasts the process.
+    /// Replaces the value of a name and returns its count of writes. On success the value is durable.
     ///
     /// # Errors
-    /// Why it is not kept; what was kept before stands, but for [`StoreError::Indeterminate`].
+    /// Why it was not stored. The previous value is intact, except that after [`StoreError::Indeterminate`]
+    /// either value may be stored.
     fn put(&mut self, name: &str, bytes: &[u8]) -> Result<u64, StoreError>;
 }
 
-/// Whether a name and a value of a length are within the bounds.
+/// Checks a name and the length of a value against the limits of a store.
 ///
 /// # Errors
-/// [`StoreError::Invalid`], with what is not.
+/// [`StoreError::Invalid`], with the limit that is violated.
 pub fn validate(name: &str, length: usize) -> Result<(), StoreError> {
-    let good = |c: u8| c.is_ascii_lowercase() || c.is_ascii_digit() || c == b'-' || c == b'.';
-    if name.is_empty() || name.len() > MAX_NAME_LENGTH || name.starts_with('.') || !name.bytes().all(good) {
+    let is_allowed = |c: u8| c.is_ascii_lowercase() || c.is_ascii_digit() || c == b'-' || c == b'.';
+    if name.is_empty()
+        || name.len() > MAX_NAME_LENGTH
+        || name.starts_with('.')
+        || !name.bytes().all(is_allowed)
+    {
         return Err(StoreError::Invalid(
-            "a name has 1 to 64 of a-z, 0-9, - and ., and does not begin with .",
+            "a name has 1 to 64 characters of a-z, 0-9, - and ., and does not start with .",
         ));
     }
     if length > MAX_VALUE_BYTES {
--- a/crates/store/src/medium.rs
+++ b/crates/store/src/medium.rs
@@ -1,91 +1,102 @@
-//! What a store on files asks of a disk: a folder of small files, each written as a whole.
+//! The file system operations that a store on files needs: a directory of small files, each written as a
+//! whole.
 
 use std::fs::File;
 use std::io::{self, Write};
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// A folder. Nothing outlasts a loss of power before it is synced: a file's octets by [`Medium::sync`], the names of files by
-/// [`Medium::sync_directory`].
+/// A directory of files. Changes survive a power loss only after a sync: the content of a file after
+/// [`Medium::sync`], the names of files after [`Medium::sync_directory`].
 pub trait Medium {
-    /// Takes the folder for this one alone, as long as this value lives; `false` if another one has it.
+    /// Locks the directory exclusively until this value is dropped; `false` if another process holds the
+    /// lock.
     ///
     /// # Errors
-    /// Why it cannot be told.
+    /// If the lock's state can't be determined.
     fn lock(&mut self) -> io::Result<bool>;
 
-    /// The names of its files.
+    /// Lists the names of the files.
     ///
     /// # Errors
-    /// Why they cannot be told.
+    /// If the directory can't be read.
     fn list(&mut self) -> io::Result<Vec<String>>;
 
-    /// Reads octets of a file from a place on; fewer than asked for say nothing, none say that it ends there.
+    /// Reads bytes of a file at an offset. A short read does not mean the end of the file; a read of 0 bytes
+    /// does.
     ///
     /// # Errors
-    /// `NotFound` if there is no such file; `Interrupted` if it is to be asked again.
+    /// `NotFound` if there is no such file; `Interrupted` if the read should be repeated.
     fn read(&mut self, file: &str, at: u64, into: &mut [u8]) -> io::Result<usize>;
 
-    /// Makes a file with these octets, in place of one of that name. An error may leave a part of them.
+    /// Creates or truncates a file and writes its content. After an error a part of it may have been written.
     ///
     /// # Errors
-    /// Why not all of them are written.
+    /// If not all bytes were written.
     fn write(&mut self, file: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// What was last written to a file outlasts a loss of power. After an error it may be lost, and a second try may say
-    /// nothing of it: write it anew.
+    /// Makes the content last written to a file durable. After an error the content may be lost even if a
+    /// second sync succeeds, because some systems report a write-back error only once: write the file again.
     ///
     /// # Errors
-    /// Why it may not.
+    /// If the content may not be durable.
     fn sync(&mut self, file: &str) -> io::Result<()>;
 
-    /// Gives a file another name, in place of one that has it.
+    /// Renames a file, replacing a file of the new name.
     ///
     /// # Errors
-    /// Why it still has the old one.
+    /// If the file still has its old name.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Takes a file away.
+    /// Removes a file.
     ///
     /// # Errors
-    /// Why it is still there.
+    /// If the file is still there.
     fn remove(&mut self, file: &str) -> io::Result<()>;
 
-    /// The names of the files outlast a loss of power. After an error each change of them may or may not, and a second try
-    /// that goes well says that all do: where it could not, a journalling file system takes no more changes.
+    /// Makes all changes of file names durable. After an error each change may or may not be durable. A later
+    /// sync that succeeds makes all of them durable, because a journaling file system that can't write its
+    /// journal rejects further changes.
     ///
     /// # Errors
-    /// Why they may not.
+    /// If a change may not be durable.
     fn sync_directory(&mut self) -> io::Result<()>;
 }
 
-/// A folder of this machine.
+/// A directory of the local file system.
 #[derive(Debug)]
 pub struct Directory {
     path: PathBuf,
-    lock: String,
-    held: Option<File>,
-    /// The file last written: a sync through another handle might not tell of its errors.
-    written: Option<(String, File)>,
+    lock_file: String,
+    lock_handle: Option<File>,
+    /// Name and handle of the file last written. A sync through another handle might not report its write
+    /// errors.
+    last_written: Option<(String, File)>,
 }
 
 impl Directory {
-    /// A folder, made if it is not there, and the file in it whose lock stands for the whole of it.
+    /// Opens a directory, creating it if needed. `lock_file` is the name of the file in it that serves as its
+    /// lock.
     ///
     /// # Errors
-    /// Why it cannot be made.
-    pub fn new(path: &Path, lock: &str) -> io::Result<Directory> {
+    /// If it can't be created.
+    pub fn new(path: &Path, lock_file: &str) -> io::Result<Directory> {
         if !path.is_dir() {
             std::fs::create_dir_all(path)?;
-            // Its own name too must outlive a loss of power.
-            if let Some(above) = path.parent().filter(|above| !above.as_os_str().is_empty()) {
-                File::open(above)?.sync_all()?;
+            // The name of the new directory must survive a power loss too.
+            if let Some(parent) = path.parent().filter(|parent| !parent.as_os_str().is_empty()) {
+                File::open(parent)?.sync_all()?;
             }
         }
-        Ok(Directory { path: path.to_owned(), lock: lock.to_owned(), held: None, written: None })
+        Ok(Directory {
+            path: path.to_owned(),
+            lock_file: lock_file.to_owned(),
+            lock_handle: None,
+            last_written: None,
+        })
     }
 
-    /// Where a file of it is.
+    /// The path of a file in the directory.
     pub fn path(&self, file: &str) -> PathBuf {
         self.path.join(file)
     }
@@ -93,9 +104,9 @@
 
 impl Medium for Directory {
     fn lock(&mut self) -> io::Result<bool> {
-        let file = File::create(self.path(&self.lock))?;
+        let file = File::create(self.path(&self.lock_file))?;
         match rustix::fs::flock(&file, rustix::fs::FlockOperation::NonBlockingLockExclusive) {
-            Ok(()) => self.held = Some(file),
+            Ok(()) => self.lock_handle = Some(file),
             Err(rustix::io::Errno::WOULDBLOCK) => return Ok(false),
             Err(e) => return Err(e.into()),
         }
@@ -112,17 +123,17 @@
     }
 
     fn write(&mut self, file: &str, bytes: &[u8]) -> io::Result<()> {
-        self.written = None;
-        let mut made = File::create(self.path(file))?;
-        made.write_all(bytes)?;
-        self.written = Some((file.to_owned(), made));
+        self.last_written = None;
+        let mut created = File::create(self.path(file))?;
+        created.write_all(bytes)?;
+        self.last_written = Some((file.to_owned(), created));
         Ok(())
     }
 
     fn sync(&mut self, file: &str) -> io::Result<()> {
-        match self.written.take() {
-            Some((name, made)) if name == file => made.sync_all(),
-            _ => Err(io::Error::other("it was not written last")),
+        match self.last_written.take() {
+            Some((name, handle)) if name == file => handle.sync_all(),
+            _ => Err(io::Error::other("the file to sync is not the one last written")),
         }
     }
 
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -1,10 +1,10 @@
-//! Values in memory, for tests: nothing of it outlasts its process.
+//! A store in memory, for tests.
 
 use std::collections::BTreeMap;
 
 use crate::{validate, Store, StoreError, StoredValue, MAX_VALUES};
 
-/// A store that keeps all promises but the one that matters: it outlasts nothing.
+/// A store that keeps all guarantees of [`Store`] except durability.
 #[derive(Debug, Default)]
 pub struct MemoryStore {
     values: BTreeMap<String, StoredValue>,
@@ -21,7 +21,7 @@
         if !self.values.contains_key(name) && self.values.len() >= MAX_VALUES {
             return Err(StoreError::Invalid("there are too many values"));
         }
-        let writes = self.values.get(name).map_or(0, |kept| kept.writes) + 1;
+        let writes = self.values.get(name).map_or(0, |value| value.writes) + 1;
         self.values.insert(name.to_owned(), StoredValue { bytes: bytes.to_vec(), writes });
         Ok(writes)
     }
--- a/crates/transport/src/keys.rs
+++ b/crates/transport/src/keys.rs
@@ -17,8 +17,8 @@
 }
 
 impl Key {
-    /// The unfinalized MAC over the concatenation of `parts`. Parts of variable length need a length prefix, because the
-    /// boundaries between parts are not authenticated.
+    /// The unfinalized MAC over the concatenation of `parts`. Parts of variable length need a length prefix,
+    /// because the boundaries between parts are not authenticated.
     pub fn mac(&self, parts: &[&[u8]]) -> Hmac<Sha256> {
         let mut mac = Hmac::<Sha256>::new_from_slice(&self.secret).expect("HMAC accepts keys of any length");
         parts.iter().for_each(|part| mac.update(part));
@@ -33,7 +33,8 @@
     }
 }
 
-/// A non-empty list of keys: the first one signs, all of them are accepted for verification. This allows key rotation.
+/// A non-empty list of keys: the first one signs, all of them are accepted for verification. This allows key
+/// rotation.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Keys(Vec<Key>);
 
--- a/crates/transport/src/lib.rs
+++ b/crates/transport/src/lib.rs
@@ -1,13 +1,14 @@
-//! Messages and record streams between gateways: two small traits and what each implementation guarantees. The contract tests
-//! in `violetward-contracts` check every implementation against these guarantees.
+//! Messages and record streams between gateways: two small traits and what each implementation guarantees.
+//! The contract tests in `violetward-contracts` check every implementation against these guarantees.
 //!
-//! Gateways are addressed by name; resolving a name to an address is up to the implementation. Nothing here blocks: what can't
-//! be queued is rejected or dropped. Implementations on sockets move the bytes in background tasks.
+//! Gateways are addressed by name; resolving a name to an address is up to the implementation. Nothing here
+//! blocks: what can't be queued is rejected or dropped. Implementations on sockets move the bytes in
+//! background tasks.
 //!
-//! [`session`] authenticates both ends of a stream and protects the integrity of its records, without I/O or clock; [`seal`]
-//! does this for single messages. `sockets` carries both over UDP and TCP (feature `sockets`, on by default) and adds calls
-//! with responses; [`sim`] is a simulated network with a virtual clock; [`local`] connects gateways within one process. See
-//! `docs/transport.md`.
+//! [`session`] authenticates both ends of a stream and protects the integrity of its records, without I/O or
+//! clock; [`seal`] does this for single messages. `sockets` carries both over UDP and TCP (feature `sockets`,
+//! on by default) and adds calls with responses; [`sim`] is a simulated network with a virtual clock;
+//! [`local`] connects gateways within one process. See `docs/transport.md`.
 
 mod keys;
 pub mod local;
@@ -57,8 +58,8 @@
 
 impl std::error::Error for SendError {}
 
-/// Sends and receives single messages. They may be lost, delayed, duplicated and reordered, but not altered, and their sender
-/// is authentic.
+/// Sends and receives single messages. They may be lost, delayed, duplicated and reordered, but not altered,
+/// and their sender is authentic.
 pub trait Messages {
     /// Sends a message of at most [`MAX_MESSAGE_BYTES`] without blocking.
     ///
@@ -66,13 +67,13 @@
     /// Why it was not accepted.
     fn send(&mut self, to: &str, bytes: &[u8]) -> Result<(), SendError>;
 
-    /// The next received message: its sender's name and its content. At most [`MAX_QUEUED_MESSAGES`] are kept; the oldest are
-    /// dropped first.
+    /// The next received message: its sender's name and its content. At most [`MAX_QUEUED_MESSAGES`] are
+    /// kept; the oldest are dropped first.
     fn next(&mut self) -> Option<(String, Vec<u8>)>;
 }
 
-/// One end of a record stream to another gateway. Records arrive unaltered, in order, without duplicates or gaps. When the
-/// stream ends, records sent shortly before may be lost.
+/// One end of a record stream to another gateway. Records arrive unaltered, in order, without duplicates or
+/// gaps. When the stream ends, records sent shortly before may be lost.
 pub trait Records {
     /// Sends a record of at most [`MAX_RECORD_BYTES`] without blocking.
     ///
--- a/crates/transport/src/local.rs
+++ b/crates/transport/src/local.rs
@@ -1,5 +1,6 @@
-//! Messages and streams between gateways within one process: queues behind locks, usable from several threads. Delivery is
-//! immediate. Nothing is signed, because no untrusted party can interfere; the [`Hub`] assigns the names.
+//! Messages and streams between gateways within one process: queues behind locks, usable from several
+//! threads. Delivery is immediate. Nothing is signed, because no untrusted party can interfere; the [`Hub`]
+//! assigns the names.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError, Weak};
@@ -15,13 +16,15 @@
 #[derive(Debug, Clone, Default)]
 pub struct Hub(Arc<Mutex<BTreeMap<String, Weak<Inbox>>>>);
 
-/// Locks `shared`, ignoring poisoning: no code that holds one of these locks can panic halfway through a change.
+/// Locks `shared`, ignoring poisoning: no code that holds one of these locks can panic halfway through a
+/// change.
 fn lock<T>(shared: &Mutex<T>) -> MutexGuard<'_, T> {
     shared.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Hub {
-    /// Registers a gateway for messages until the mailbox is dropped. It replaces an earlier one of the same name.
+    /// Registers a gateway for messages until the mailbox is dropped. It replaces an earlier one of the same
+    /// name.
     pub fn mailbox(&self, name: &str) -> Mailbox {
         let inbox = Arc::<Inbox>::default();
         let mut known = lock(&self.0);
@@ -87,8 +90,8 @@
     is_closed: bool,
 }
 
-/// One end of a stream within a process. Dropping it closes the stream; the other end can still take the records that it has
-/// received.
+/// One end of a stream within a process. Dropping it closes the stream; the other end can still take the
+/// records that it has received.
 #[derive(Debug)]
 pub struct Stream {
     pipe: Arc<Mutex<Pipe>>,
--- a/crates/transport/src/seal.rs
+++ b/crates/transport/src/seal.rs
@@ -1,8 +1,9 @@
-//! Authenticated single messages: `version 1 | key id 4 | addressee | sender | content | MAC 16`, sizes in bytes, names with a
-//! one-byte length prefix.
+//! Authenticated single messages: `version 1 | key id 4 | addressee | sender | content | MAC 16`, sizes in
+//! bytes, names with a one-byte length prefix.
 //!
-//! The MAC covers both names, so a message that is reflected to its sender or forwarded to a third gateway is rejected. It does
-//! not prevent replay: messages may be duplicated, and users of this module must tolerate that or number their messages.
+//! The MAC covers both names, so a message that is reflected to its sender or forwarded to a third gateway is
+//! rejected. It does not prevent replay: messages may be duplicated, and users of this module must tolerate
+//! that or number their messages.
 
 use hmac::Mac;
 
@@ -37,8 +38,8 @@
     Some(out)
 }
 
-/// Verifies and decodes a message to the gateway `own_name`: its sender and content. `None` if it is malformed, not authentic,
-/// or for another gateway.
+/// Verifies and decodes a message to the gateway `own_name`: its sender and content. `None` if it is
+/// malformed, not authentic, or for another gateway.
 pub fn open(keys: &Keys, own_name: &str, bytes: &[u8]) -> Option<(String, Vec<u8>)> {
     let (body, mac) = bytes.split_at_checked(bytes.len().checked_sub(MAC_BYTES)?)?;
     let key_id = u32::from_be_bytes(body.get(1..5)?.try_into().ok()?);
--- a/crates/transport/src/session.rs
+++ b/crates/transport/src/session.rs
@@ -1,12 +1,13 @@
-//! One end of an authenticated record stream, without I/O or clock: received bytes and timer events go in, bytes to send and
-//! received records come out.
+//! One end of an authenticated record stream, without I/O or clock: received bytes and timer events go in,
+//! bytes to send and received records come out.
 //!
-//! Both ends send a hello, `version | key id | nonce | incarnation | name`, the connecting end first. Each end derives the MAC key
-//! for its own direction from its signing key and both hellos, so a MAC is valid on one stream and in one direction only.
-//! Frames follow: `length 4 | kind 1 | body | MAC 16`, sizes in bytes; the MAC covers the frame's sequence number in its
-//! direction, its kind and its body. The accepting end authenticates itself with the MAC appended to its hello, which counts as
-//! its first frame, the connecting end with an empty frame. An end without one of the shared keys is disconnected. Altered,
-//! omitted, repeated, reordered or reflected frames don't match the sequence number or the MAC and end the stream.
+//! Both ends send a hello, `version | key id | nonce | incarnation | name`, the connecting end first. Each
+//! end derives the MAC key for its own direction from its signing key and both hellos, so a MAC is valid on
+//! one stream and in one direction only. Frames follow: `length 4 | kind 1 | body | MAC 16`, sizes in bytes;
+//! the MAC covers the frame's sequence number in its direction, its kind and its body. The accepting end
+//! authenticates itself with the MAC appended to its hello, which counts as its first frame, the connecting
+//! end with an empty frame. An end without one of the shared keys is disconnected. Altered, omitted,
+//! repeated, reordered or reflected frames don't match the sequence number or the MAC and end the stream.
 
 use std::collections::VecDeque;
 use std::fmt;
@@ -18,7 +19,8 @@
     name_hash, Key, Keys, Micros, SendError, MAX_QUEUED_BYTES, MAX_QUEUED_MESSAGES, MAX_RECORD_BYTES,
 };
 
-/// Bytes by which a record may exceed [`MAX_RECORD_BYTES`], for the header of a protocol on top of the stream.
+/// Bytes by which a record may exceed [`MAX_RECORD_BYTES`], for the header of a protocol on top of the
+/// stream.
 pub(crate) const MAX_HEADER_BYTES: usize = 16;
 
 const VERSION: u8 = 1;
@@ -44,7 +46,8 @@
     pub handshake: Micros,
     /// A keepalive frame is sent after this long without other output.
     pub keepalive: Micros,
-    /// The stream ends after this long without bytes from the other end, or without progress in sending queued bytes.
+    /// The stream ends after this long without bytes from the other end, or without progress in sending
+    /// queued bytes.
     pub idle: Micros,
 }
 
@@ -106,7 +109,8 @@
 }
 
 impl Direction {
-    /// Derives the key of a direction from `key` and both hellos. `to_connector` tells the two directions apart.
+    /// Derives the key of a direction from `key` and both hellos. `to_connector` tells the two directions
+    /// apart.
     fn new(key: &Key, to_connector: bool, connector_hello: &[u8], acceptor_hello: &[u8]) -> Direction {
         let length = (connector_hello.len() as u32).to_be_bytes();
         let parts = [MAC_CONTEXT, &[u8::from(to_connector)], &length, connector_hello, acceptor_hello];
@@ -141,7 +145,8 @@
     HelloSent(Vec<u8>),
     /// The accepting end awaits a hello.
     AwaitingHello,
-    /// The accepting end has responded and awaits the other end's MAC under one of the keys that its key id may mean.
+    /// The accepting end has responded and awaits the other end's MAC under one of the keys that its key id
+    /// may mean.
     AwaitingMac(Vec<(Key, Direction)>, Identity),
     /// Both ends are authenticated. The other end's key and the receiving direction.
     Open(Key, Direction),
@@ -353,7 +358,8 @@
         }
     }
 
-    /// Takes the next received record. Records received before the stream ended can still be taken afterwards.
+    /// Takes the next received record. Records received before the stream ended can still be taken
+    /// afterwards.
     pub fn next_record(&mut self) -> Option<Vec<u8>> {
         let record = self.records.pop_front()?;
         self.records_bytes -= record.len();
@@ -396,7 +402,8 @@
 
     /// Checks the timeouts and sends a keepalive if one is due.
     pub fn on_timer(&mut self, now: Micros) {
-        // If this process was paused, the other end is not at fault: what it sent meanwhile has not been read yet.
+        // If this process was paused, the other end is not at fault: what it sent meanwhile has not been read
+        // yet.
         let late = now.saturating_sub(self.timer_at);
         if late > self.timeouts.keepalive {
             for at in [&mut self.started_at, &mut self.received_at, &mut self.write_progress_at] {
--- a/crates/transport/src/sim.rs
+++ b/crates/transport/src/sim.rs
@@ -1,9 +1,9 @@
-//! A simulated network with a virtual clock and seeded randomness: messages are lost, delayed, duplicated, reordered and
-//! corrupted; streams are delayed and blocked; links are cut in one direction at a time; and an interceptor may change what
-//! passes. The same seed and calls give the same history.
+//! A simulated network with a virtual clock and seeded randomness: messages are lost, delayed, duplicated,
+//! reordered and corrupted; streams are delayed and blocked; links are cut in one direction at a time; and an
+//! interceptor may change what passes. The same seed and calls give the same history.
 //!
-//! [`SeededRng`], [`EventQueue`] and [`LinkConditions`] also serve other simulations. [`Network`] implements the two traits with the
-//! same [`Session`] and message seals as the sockets.
+//! [`SeededRng`], [`EventQueue`] and [`LinkConditions`] also serve other simulations. [`Network`] implements
+//! the two traits with the same [`Session`] and message seals as the sockets.
 
 use std::cell::{OnceCell, RefCell};
 use std::cmp::Reverse;
@@ -45,7 +45,8 @@
     }
 }
 
-/// Pending events of a simulation by time; events of the same time come in the order in which they were added.
+/// Pending events of a simulation by time; events of the same time come in the order in which they were
+/// added.
 #[derive(Debug, Clone)]
 pub struct EventQueue<E> {
     /// The virtual time.
@@ -201,8 +202,8 @@
         self.0.borrow_mut().conditions = conditions;
     }
 
-    /// Cuts or restores the link from one gateway to another, in this direction only. While it is cut, messages are lost and
-    /// streams are delayed.
+    /// Cuts or restores the link from one gateway to another, in this direction only. While it is cut,
+    /// messages are lost and streams are delayed.
     pub fn cut(&self, from: &str, to: &str, is_cut: bool) {
         let link = (from.to_owned(), to.to_owned());
         let cut_links = &mut self.0.borrow_mut().cut_links;
@@ -231,8 +232,8 @@
         Mailbox { net: self.clone(), name: name.to_owned() }
     }
 
-    /// Opens a stream between two gateways and returns the connecting end and the accepting one. They authenticate each other as
-    /// virtual time passes.
+    /// Opens a stream between two gateways and returns the connecting end and the accepting one. They
+    /// authenticate each other as virtual time passes.
     ///
     /// # Errors
     /// If one of them does not exist.
--- a/crates/transport/src/sockets.rs
+++ b/crates/transport/src/sockets.rs
@@ -1,5 +1,5 @@
-//! Messages and streams over UDP and TCP, with async-io on one thread. This module only moves bytes; their formats are defined
-//! by [`crate::session`], [`crate::seal`] and the protocols on top.
+//! Messages and streams over UDP and TCP, with async-io on one thread. This module only moves bytes; their
+//! formats are defined by [`crate::session`], [`crate::seal`] and the protocols on top.
 
 mod call;
 mod stream;
@@ -31,7 +31,8 @@
 /// Further ports to try until one is free for both UDP and TCP.
 const MAX_BIND_RETRIES: usize = 16;
 
-/// The state that all sockets of one gateway share: its identity, keys and timeouts, and the executor of its tasks.
+/// The state that all sockets of one gateway share: its identity, keys and timeouts, and the executor of its
+/// tasks.
 pub struct Endpoint {
     executor: Rc<LocalExecutor<'static>>,
     clock: Clock,
@@ -121,16 +122,16 @@
         self.socket.get_ref().send_to(bytes, to).ok();
     }
 
-    /// Receives the next datagram: its unverified source address and its content, truncated to the length of `bytes`. Yields to
-    /// other tasks first.
+    /// Receives the next datagram: its unverified source address and its content, truncated to the length of
+    /// `bytes`. Yields to other tasks first.
     pub async fn next<'a>(&self, bytes: &'a mut [u8]) -> (SocketAddr, &'a [u8]) {
         // Otherwise a flood of datagrams would starve the other tasks of the thread.
         future::yield_now().await;
         loop {
             match self.socket.recv_from(bytes).await {
                 Ok((size, from)) => return (from, &bytes[..size]),
-                // Some systems report here that an earlier datagram was undeliverable. The pause keeps a persistent error
-                // from busy-looping.
+                // Some systems report here that an earlier datagram was undeliverable. The pause keeps a
+                // persistent error from busy-looping.
                 Err(_) => violetward_net::sleep(RECEIVE_ERROR_PAUSE).await,
             }
         }
--- a/crates/transport/src/sockets/call.rs
+++ b/crates/transport/src/sockets/call.rs
@@ -338,7 +338,8 @@
     Some((tag, u32::from_be_bytes(*number), content))
 }
 
-/// An incoming stream, with a function that closes it. The name is empty until the other end is authenticated.
+/// An incoming stream, with a function that closes it. The name is empty until the other end is
+/// authenticated.
 struct Incoming {
     name: String,
     id: u64,
@@ -376,10 +377,10 @@
     }
 }
 
-/// Accepts calls until it is dropped. Each is passed to `handler` with the name of the calling gateway, and the handler's
-/// return value is the response. Calls run concurrently and are answered as they complete, at most 256 per stream with 8 MiB of
-/// content together; further ones are rejected as [`CallFailure::Overloaded`]. A handler runs to completion even if the caller
-/// has disconnected.
+/// Accepts calls until it is dropped. Each is passed to `handler` with the name of the calling gateway, and
+/// the handler's return value is the response. Calls run concurrently and are answered as they complete, at
+/// most 256 per stream with 8 MiB of content together; further ones are rejected as
+/// [`CallFailure::Overloaded`]. A handler runs to completion even if the caller has disconnected.
 pub async fn serve<H, F>(endpoint: Rc<Endpoint>, listener: Async<TcpListener>, handler: H)
 where
     H: Fn(String, Vec<u8>) -> F + 'static,
--- a/crates/transport/tests/sockets.rs
+++ b/crates/transport/tests/sockets.rs
@@ -34,8 +34,8 @@
     Endpoint::new(executor.clone(), Clock::new(), identity, keys(key_names), timeouts)
 }
 
-/// Starts an endpoint that responds with the caller's name followed by the record, but never to a record that starts with
-/// `hold`.
+/// Starts an endpoint that responds with the caller's name followed by the record, but never to a record that
+/// starts with `hold`.
 fn start_echo_server(
     executor: &Executor,
     name: &str,
@@ -73,7 +73,8 @@
                     loop {
                         match caller.call_named("g2", to, &record, TIME_LIMIT).await {
                             Ok(answer) => break assert!(answer[..2] == *b"g1" && answer[2..] == record[..]),
-                            // Over the limit of pending calls on either end: not delivered, so it is safe to repeat.
+                            // Over the limit of pending calls on either end: not delivered, so it is safe to
+                            // repeat.
                             Err(CallError::NotDelivered(
                                 CallFailure::QueueFull | CallFailure::Overloaded,
                             )) => sleep(POLL_INTERVAL).await,
@@ -110,8 +111,8 @@
             .await
             .expect_err("its key is not accepted")
             .is_undelivered());
-        // A listener that accepts connections but never sends a hello: the call fails in bounded time, and the record is not
-        // sent.
+        // A listener that accepts connections but never sends a hello: the call fails in bounded time, and
+        // the record is not sent.
         let mute_listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let no_hello = caller.call(mute_listener.local_addr().expect("its address"), b"x", TIME_LIMIT).await;
         assert_eq!(
