--- a/crates/gateway/src/agreement.rs
+++ b/crates/gateway/src/agreement.rs
@@ -17,8 +17,8 @@
 use violetward_agreement::wire::Said;
 use violetward_agreement::{Effect, EngineState, Fitness, Kept, ListEffect, Member, MemberTerms, Outcome};
 use violetward_net::Alarm;
-use violetward_store::file::Whole;
-use violetward_store::medium::Folder;
+use violetward_store::file::AtomicFiles;
+use violetward_store::medium::Directory;
 use violetward_store::StoreError;
 use violetward_windows::held::Grant;
 
@@ -57,7 +57,7 @@
     /// Receives the outcome of the operator's proposal in progress.
     proposal_reply: RefCell<Option<async_channel::Sender<Outcome>>>,
     /// The folder of a voter's file, locked for as long as this value exists.
-    folder: Option<Arc<Mutex<Whole<Folder>>>>,
+    folder: Option<Arc<Mutex<AtomicFiles<Directory>>>>,
     /// The voter's file is unusable or an old copy, and must not be overwritten.
     file_frozen: Cell<bool>,
     /// Why this gateway does not vote, or cannot write its votes.
--- a/crates/gateway/src/agreement/vote_file.rs
+++ b/crates/gateway/src/agreement/vote_file.rs
@@ -8,8 +8,8 @@
 
 use violetward_agreement::wire::{self, Spoilt};
 use violetward_agreement::Kept;
-use violetward_store::file::Whole;
-use violetward_store::medium::Folder;
+use violetward_store::file::AtomicFiles;
+use violetward_store::medium::Directory;
 use violetward_store::StoreError;
 
 use super::operators::fetch_status_since;
@@ -28,8 +28,8 @@
 const WRITE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Opens the folder and locks it for this process.
-pub(super) fn open_folder(terms: &AgreementTerms) -> Result<Whole<Folder>, StoreError> {
-    Whole::open(Folder::new(&terms.folder, LOCK_FILE)?)
+pub(super) fn open_folder(terms: &AgreementTerms) -> Result<AtomicFiles<Directory>, StoreError> {
+    AtomicFiles::open(Directory::new(&terms.folder, LOCK_FILE)?)
 }
 
 /// The message that a voter's folder cannot be used.
@@ -91,7 +91,10 @@
 ///
 /// # Errors
 /// Why this gateway must not vote.
-pub(super) fn read_votes(folder: &mut Whole<Folder>, terms: &AgreementTerms) -> Result<(Kept, u64), String> {
+pub(super) fn read_votes(
+    folder: &mut AtomicFiles<Directory>,
+    terms: &AgreementTerms,
+) -> Result<(Kept, u64), String> {
     let file = terms.folder.join(VOTE_FILE);
     let shown = file.display();
     let bytes =
--- a/crates/gateway/src/custody.rs
+++ b/crates/gateway/src/custody.rs
@@ -22,11 +22,11 @@
 use violetward_statement::pages::Ending;
 use violetward_statement::results::PageRef;
 use violetward_statement::session::{decode, encode};
-use violetward_store::file::Files;
-use violetward_store::medium::Folder;
+use violetward_store::file::FileStore;
+use violetward_store::medium::Directory;
 use violetward_store::{Store, StoreError};
-use violetward_transport::sockets::{self, Caller, Station};
-use violetward_transport::{mark, Keys};
+use violetward_transport::sockets::{self, Caller, Endpoint};
+use violetward_transport::{name_hash, Keys};
 
 use crate::core::{ending_to_record, AttemptId, Launch, StatementId};
 use crate::custody_terms::CustodyTerms;
@@ -134,7 +134,7 @@
     node: RefCell<TakeoverNode>,
     incarnation: Incarnation,
     terms: CustodyTerms,
-    station: Rc<Station>,
+    endpoint: Rc<Endpoint>,
     caller: Caller,
     keys: RefCell<Keys>,
     /// Local ids of the protected statements that this gateway holds.
@@ -247,14 +247,14 @@
     pub fn start(
         host: &Rc<Host>,
         terms: &CustodyTerms,
-        station: Rc<Station>,
+        endpoint: Rc<Endpoint>,
         keys: Keys,
         listener: Async<TcpListener>,
     ) -> std::io::Result<Rc<Custody>> {
         let peers = host.peers().ok_or_else(|| std::io::Error::other("custody needs membership"))?;
         let unusable =
             |why: &dyn std::fmt::Display| std::io::Error::other(format!("{}: {why}", terms.folder.display()));
-        let mut store = Files::open(&terms.folder).map_err(|why| unusable(&why))?;
+        let mut store = FileStore::open(&terms.folder).map_err(|why| unusable(&why))?;
         let marks = store.get(MARKS_KEY).map_err(|why| unusable(&why))?.map(|stored| stored.bytes);
         let (incarnation, site) = peers.local_member();
         let settings = Settings {
@@ -275,8 +275,8 @@
             node: RefCell::new(node),
             incarnation,
             terms: terms.clone(),
-            caller: Caller::new(&station),
-            station: station.clone(),
+            caller: Caller::new(&endpoint),
+            endpoint: endpoint.clone(),
             keys: RefCell::new(keys),
             statement_ids: RefCell::default(),
             statement_keys: RefCell::default(),
@@ -302,14 +302,14 @@
                 let (custody, host) = (serving_custody.clone(), serving_host.clone());
                 async move { custody.handle_record(&host, &from, &record).await }
             };
-            sockets::serve(station, listener, handler).await;
+            sockets::serve(endpoint, listener, handler).await;
         });
         Ok(custody)
     }
 
     /// Replaces the keys that sign messages and tokens.
     pub fn set_keys(&self, keys: Keys) {
-        self.station.keys(keys.clone());
+        self.endpoint.set_keys(keys.clone());
         *self.keys.borrow_mut() = keys;
     }
 
@@ -618,13 +618,13 @@
             gateways.join(".")
         );
         let keys = self.keys.borrow();
-        let key = keys.first();
+        let key = keys.signing_key();
         let code = key
-            .code(&[TOKEN_CODE_DOMAIN, public_id.as_bytes(), b"/", content.as_bytes()])
+            .mac(&[TOKEN_CODE_DOMAIN, public_id.as_bytes(), b"/", content.as_bytes()])
             .finalize()
             .into_bytes();
         let code: String = code[..16].iter().map(|b| format!("{b:02x}")).collect();
-        Some(format!("{:08x}{code}.{content}", mark(&key.name)))
+        Some(format!("{:08x}{code}.{content}", name_hash(&key.name)))
     }
 
     /// Parses a page path; `None` if no gateway of this fleet has made it.
@@ -635,10 +635,10 @@
         let key_mark = u32::from_str_radix(key_mark, 16).ok()?;
         let code = crate::front::parse_hex(code)?;
         let is_signed_by = |key: &violetward_transport::Key| {
-            let expected = key.code(&[TOKEN_CODE_DOMAIN, page.id.as_bytes(), b"/", content.as_bytes()]);
+            let expected = key.mac(&[TOKEN_CODE_DOMAIN, page.id.as_bytes(), b"/", content.as_bytes()]);
             expected.verify_truncated_left(&code).is_ok()
         };
-        if !self.keys.borrow().marked(key_mark).any(is_signed_by) {
+        if !self.keys.borrow().with_id(key_mark).any(is_signed_by) {
             return None;
         }
         let mut fields = content.split('.');
@@ -702,7 +702,7 @@
     async fn store_marks(
         self: Rc<Self>,
         host: Rc<Host>,
-        mut store: Files<Folder>,
+        mut store: FileStore<Directory>,
         pending_marks: async_channel::Receiver<Vec<u8>>,
     ) {
         while let Ok(mut bytes) = pending_marks.recv().await {
@@ -968,9 +968,9 @@
 /// Stores marks on a separate thread. Returns the store and the result; `None` if the thread ended without
 /// one.
 async fn write_marks(
-    mut store: Files<Folder>,
+    mut store: FileStore<Directory>,
     bytes: Vec<u8>,
-) -> Option<(Files<Folder>, Result<u64, StoreError>)> {
+) -> Option<(FileStore<Directory>, Result<u64, StoreError>)> {
     let (done, wait) = async_channel::bounded(1);
     let work = move || {
         let result = store.put(MARKS_KEY, &bytes);
--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -7,7 +7,7 @@
 
 use violetward_agreement::{wire, Kept};
 use violetward_gateway::{config, timestamp, windows};
-use violetward_store::file::Files;
+use violetward_store::file::FileStore;
 use violetward_store::Store;
 use violetward_windows::profile::{Profile, QUARTER, WEEK};
 use violetward_windows::Cell;
@@ -230,7 +230,7 @@
             profile.sample(quarter * QUARTER, &[(cell(0), 2.0), (cell(1), 1.0)]);
         }
     }
-    let store = Files::open(&folder.0.join("profiles"));
+    let store = FileStore::open(&folder.0.join("profiles"));
     store.and_then(|mut store| store.put("profile", &profile.write())).expect("the profile is stored");
     let (_gateway, gateway_address) = start_gateway(&folder, &configuration);
     wait_for_engine_list(&gateway_address);
