--- a/crates/gateway/tests/settings.rs
+++ b/crates/gateway/tests/settings.rs
@@ -5,7 +5,7 @@
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-use violetward_agreement::{wire, Kept};
+use violetward_agreement::{wire, DurableState};
 use violetward_gateway::{config, timestamp, windows};
 use violetward_store::file::FileStore;
 use violetward_store::Store;
@@ -120,7 +120,7 @@
     let terms =
         config::load(configuration.as_ref()).ok().and_then(|c| c.agreement).expect("the terms of agreement");
     let stored_votes = || std::fs::read(folder.0.join("votes/agreement.kept")).expect("the file of votes");
-    assert_eq!(stored_votes(), wire::keep(&Kept::default(), terms.fingerprint(), 0));
+    assert_eq!(stored_votes(), wire::encode_vote_file(&DurableState::default(), terms.fingerprint(), 0));
     assert!(!run_program(&["settings", "init", &configuration]).0, "a second init would discard the votes");
 
     let (gateway, gateway_address) = start_gateway(&folder, &configuration);
@@ -168,9 +168,10 @@
     drop(gateway);
     // The file is byte for byte in the format of the agreement package, so that earlier versions can read it
     // and their files can be read.
-    let (votes, writes) = wire::kept(&stored_votes(), terms.fingerprint()).expect("a valid file of votes");
+    let (votes, writes) =
+        wire::decode_vote_file(&stored_votes(), terms.fingerprint()).expect("a valid file of votes");
     assert_eq!(
-        (wire::keep(&votes, terms.fingerprint(), writes), votes.history.newest().0),
+        (wire::encode_vote_file(&votes, terms.fingerprint(), writes), votes.history.newest().0),
         (stored_votes(), 3)
     );
     let (_gateway, gateway_address) = start_gateway(&folder, &configuration);
