--- a/crates/gateway/tests/histories.rs
+++ b/crates/gateway/tests/histories.rs
@@ -1,6 +1,7 @@
-//! Random histories of sessions through two gateways' cores and engines of the test's own, against what a client can know:
-//! restarts, drains, removals, lost answers and dead gateways between and within statements. Seeded, with a virtual clock; a
-//! history that fails names its seed.
+//! Simulates sessions of clients through the cores of two gateways and three simulated engines, with random
+//! engine restarts, drains, lost answers and gateway failures between and within statements, and checks each
+//! result against what the client may observe. The clock is virtual and the draws are seeded; a failed check
+//! names its seed.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -18,8 +19,8 @@
 use violetward_statement::results::{ErrorType, QueryError, Stats};
 use violetward_statement::session::Context;
 
-const MS: Micros = 1_000;
-const S: Micros = 1_000_000;
+const MILLISECOND: Micros = 1_000;
+const SECOND: Micros = 1_000_000;
 
 const SETUP: &str = r#"
 (gateway (number 0) (of 1) (listen "127.0.0.1:0") (engines "none"))
@@ -31,10 +32,11 @@
 (policy (attempts 3) (budget (free 20) (share 1.0) (window "5s")) (key-rest "0s"))
 "#;
 
-struct Dice(u64);
+/// A seeded random generator (SplitMix64).
+struct Random(u64);
 
-impl Dice {
-    fn roll(&mut self, n: u64) -> u64 {
+impl Random {
+    fn below(&mut self, n: u64) -> u64 {
         self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
         let mut x = self.0;
         x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -43,13 +45,13 @@
     }
 
     fn one_in(&mut self, n: u64) -> bool {
-        self.roll(n) == 0
+        self.below(n) == 0
     }
 }
 
-/// A session of an engine: what its transaction sees and has written, and its temporary table.
+/// A session on an engine: the rows that its transaction sees, those it has written, and its temporary table.
 #[derive(Default, Clone)]
-struct Held {
+struct EngineSession {
     transaction: Option<(BTreeSet<u64>, Vec<u64>)>,
     temporary: Option<Vec<u64>>,
 }
@@ -57,51 +59,54 @@
 struct Engine {
     epoch: u64,
     up: bool,
-    held: BTreeMap<String, Held>,
-    next: u64,
+    sessions: BTreeMap<String, EngineSession>,
+    next_session: u64,
 }
 
-/// What the real table named as the clients' temporary ones holds: to read it is to read wrongly.
-const REAL: u64 = 1_000_000;
+/// The row of the permanent table that has the same name as the clients' temporary tables. No client may read
+/// it.
+const PERMANENT_TABLE_ROW: u64 = 1_000_000;
 
-enum What {
-    /// The engine does the work of an attempt of a gateway in one life.
-    Work {
+enum Event {
+    /// The engine executes an attempt. `incarnation` is that of the gateway process that launched it; a later
+    /// process gets no answer.
+    Execute {
         gateway: usize,
-        life: u64,
+        incarnation: u64,
         engine: usize,
         epoch: u64,
         launch: Box<Launch>,
     },
-    /// Its answer comes.
+    /// The gateway receives the answer of an attempt.
     Answer {
         gateway: usize,
-        life: u64,
+        incarnation: u64,
         id: AttemptId,
         answer: Result<Box<EnginePage>, Outcome>,
     },
     Wake,
-    Act(usize),
-    Trouble,
-    EngineUp(usize),
-    GatewayUp(usize),
+    NextStatement(usize),
+    Fault,
+    EngineRestart(usize),
+    GatewayRestart(usize),
 }
 
-struct Event(Reverse<(Micros, u64)>, What);
+/// An event with its time and a sequence number that orders events of the same time.
+struct Scheduled(Reverse<(Micros, u64)>, Event);
 
-impl PartialEq for Event {
-    fn eq(&self, other: &Event) -> bool {
+impl PartialEq for Scheduled {
+    fn eq(&self, other: &Scheduled) -> bool {
         self.0 == other.0
     }
 }
-impl Eq for Event {}
-impl PartialOrd for Event {
-    fn partial_cmp(&self, other: &Event) -> Option<std::cmp::Ordering> {
+impl Eq for Scheduled {}
+impl PartialOrd for Scheduled {
+    fn partial_cmp(&self, other: &Scheduled) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Event {
-    fn cmp(&self, other: &Event) -> std::cmp::Ordering {
+impl Ord for Scheduled {
+    fn cmp(&self, other: &Scheduled) -> std::cmp::Ordering {
         self.0.cmp(&other.0)
     }
 }
@@ -135,7 +140,7 @@
     }
 }
 
-/// How a statement ended, as its client sees it.
+/// The ending of a statement as its client sees it.
 #[derive(Clone, PartialEq, Debug)]
 enum End {
     Rows(Vec<u64>),
@@ -144,129 +149,141 @@
     Aborted,
     Failed,
     Other(String),
-    /// Its gateway died.
+    /// The gateway failed before it answered.
     Unknown,
 }
 
+struct OpenStatement {
+    id: StatementId,
+    /// Token of the next page.
+    token: u64,
+    rows: Vec<u64>,
+    op: Op,
+    submitted_at: Micros,
+}
+
 #[derive(Default)]
 struct Client {
     carried: Carried,
     gateway: usize,
-    open: Option<(StatementId, u64, Vec<u64>, Op, Micros)>,
-    /// What it believes: the base that its transaction read first, and its own writes there.
-    base: Option<BTreeSet<u64>>,
+    open: Option<OpenStatement>,
+    /// The rows that its transaction read first, without its own writes.
+    snapshot: Option<BTreeSet<u64>>,
+    /// The acknowledged writes of its transaction.
     writes: Vec<u64>,
-    /// Writes of its transaction that ended without their outcome being known. The gateway that saw that hears nothing but
-    /// a rollback; another one cannot know, and goes on.
-    maybe: BTreeSet<u64>,
-    unsure: bool,
+    /// Writes of its transactions with an unknown outcome. The gateway that saw one accepts only a rollback for
+    /// that transaction; another gateway does not know of it and continues the transaction.
+    uncertain_writes: BTreeSet<u64>,
+    /// Whether a write of the current transaction has an unknown outcome.
+    transaction_uncertain: bool,
     temporary: Option<Vec<u64>>,
-    /// A write into its temporary table ended so.
-    unsure_temporary: bool,
-    /// It was told that its session is lost, and must be told so until it lets go.
-    told_lost: bool,
-    ends: u64,
-    begun: u64,
+    /// Whether a write to its temporary table, or the start of a session, has an unknown outcome.
+    temporary_uncertain: bool,
+    /// Whether an answer said that its session is lost. Until the client gives up the session, further answers
+    /// must say so too.
+    session_lost: bool,
+    ended_statements: u64,
+    started_statements: u64,
 }
 
 #[derive(Default, Debug, Clone, Copy, PartialEq)]
 struct Tally {
     statements: u64,
     served: u64,
-    losses: u64,
+    lost_sessions: u64,
     refused: u64,
     commits: u64,
     commits_unknown: u64,
-    handed_over: u64,
-    deaths: u64,
-    restarts: u64,
+    gateway_switches: u64,
+    gateway_failures: u64,
+    engine_restarts: u64,
     read_in_transaction: u64,
     read_temporary: u64,
 }
 
-struct World {
+struct Simulation {
     seed: u64,
-    dice: Dice,
+    random: Random,
     now: Micros,
     seq: u64,
-    events: BinaryHeap<Event>,
+    events: BinaryHeap<Scheduled>,
     config: Config,
     cores: Vec<Option<Core>>,
-    lives: Vec<u64>,
+    incarnations: Vec<u64>,
     engines: Vec<Engine>,
-    listed: BTreeMap<String, EngineRecord>,
+    engine_list: BTreeMap<String, EngineRecord>,
     committed: BTreeSet<u64>,
     clients: Vec<Client>,
-    /// Transactions as they ended for their clients: writes, and whether they must be there.
-    judged: Vec<(Vec<u64>, Option<bool>)>,
+    /// The ended transactions: their writes, and whether these must be committed (`None` if unknown).
+    ended_transactions: Vec<(Vec<u64>, Option<bool>)>,
     tally: Tally,
     next_value: u64,
     wake_at: Micros,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
-        let mut config: Config = config::parse(SETUP, Path::new(".")).expect("good");
+impl Simulation {
+    fn new(seed: u64) -> Simulation {
+        let mut config: Config = config::parse(SETUP, Path::new(".")).expect("valid configuration");
         let key = Key { name: "k".into(), secret: b"a secret of the histories".to_vec() };
         config.sessions.keys = Some(Keys::new(vec![key]).unwrap());
         let text: String =
             (0..3).map(|n| format!("(engine e{n} (address \"127.0.0.1:{}\"))\n", n + 1)).collect();
-        let listed = list::parse(&text, &config.names).unwrap().records;
-        let engine = |_| Engine { epoch: 1, up: true, held: BTreeMap::new(), next: 0 };
-        let mut world = World {
+        let engine_list = list::parse(&text, &config.names).unwrap().records;
+        let engine = |_| Engine { epoch: 1, up: true, sessions: BTreeMap::new(), next_session: 0 };
+        let mut simulation = Simulation {
             seed,
-            dice: Dice(seed),
-            now: 1_700_000_000 * S,
+            random: Random(seed),
+            now: 1_700_000_000 * SECOND,
             seq: 0,
             events: BinaryHeap::new(),
             config,
             cores: vec![None, None],
-            lives: vec![0, 0],
+            incarnations: vec![0, 0],
             engines: (0..3).map(engine).collect(),
-            listed,
+            engine_list,
             committed: BTreeSet::new(),
             clients: (0..4).map(|_| Client::default()).collect(),
-            judged: Vec::new(),
+            ended_transactions: Vec::new(),
             tally: Tally::default(),
             next_value: 1,
             wake_at: Micros::MAX,
         };
-        world.gateway_up(0);
-        world.gateway_up(1);
+        simulation.start_gateway(0);
+        simulation.start_gateway(1);
         for client in 0..4 {
-            let at = world.now + world.dice.roll(200) * MS;
-            world.at(at, What::Act(client));
+            let at = simulation.now + simulation.random.below(200) * MILLISECOND;
+            simulation.schedule(at, Event::NextStatement(client));
         }
-        let at = world.now + world.dice.roll(3000) * MS;
-        world.at(at, What::Trouble);
-        world
+        let at = simulation.now + simulation.random.below(3000) * MILLISECOND;
+        simulation.schedule(at, Event::Fault);
+        simulation
     }
 
-    fn at(&mut self, at: Micros, what: What) {
+    fn schedule(&mut self, at: Micros, event: Event) {
         self.seq += 1;
-        self.events.push(Event(Reverse((at, self.seq)), what));
+        self.events.push(Scheduled(Reverse((at, self.seq)), event));
     }
 
-    fn gateway_up(&mut self, n: usize) {
-        self.lives[n] += 1;
-        let life = format!("g{n}-{}", self.lives[n]);
-        let mut core = Core::new(&self.config, &life, self.seed ^ self.lives[n]);
-        core.update_engines(self.now, &self.listed);
-        self.cores[n] = Some(core);
-        self.collect(n);
+    fn start_gateway(&mut self, gateway: usize) {
+        self.incarnations[gateway] += 1;
+        let incarnation = format!("g{gateway}-{}", self.incarnations[gateway]);
+        let mut core = Core::new(&self.config, &incarnation, self.seed ^ self.incarnations[gateway]);
+        core.update_engines(self.now, &self.engine_list);
+        self.cores[gateway] = Some(core);
+        self.handle_effects(gateway);
     }
 
-    fn list(&mut self) {
+    fn update_engines(&mut self) {
         for n in 0..2 {
             if let Some(core) = &mut self.cores[n] {
-                core.update_engines(self.now, &self.listed);
-                self.collect(n);
+                core.update_engines(self.now, &self.engine_list);
+                self.handle_effects(n);
             }
         }
     }
 
-    fn collect(&mut self, gateway: usize) {
-        let life = self.lives[gateway];
+    fn handle_effects(&mut self, gateway: usize) {
+        let incarnation = self.incarnations[gateway];
         while let Some(effect) = self.cores[gateway].as_mut().and_then(Core::pop_effect) {
             match effect {
                 Effect::Launch(launch) => {
@@ -275,19 +292,22 @@
                     let id = launch.attempt;
                     if !self.engines[engine].up {
                         let answer = Err(Outcome::ConnectFailed);
-                        self.at(self.now + MS, What::Answer { gateway, life, id, answer });
+                        self.schedule(
+                            self.now + MILLISECOND,
+                            Event::Answer { gateway, incarnation, id, answer },
+                        );
                         continue;
                     }
-                    let at = self.now + (1 + self.dice.roll(150)) * MS;
-                    self.at(at, What::Work { gateway, life, engine, epoch, launch });
+                    let at = self.now + (1 + self.random.below(150)) * MILLISECOND;
+                    self.schedule(at, Event::Execute { gateway, incarnation, engine, epoch, launch });
                 }
                 Effect::FetchPage(id) => {
-                    // All comes on one page here.
+                    // The simulated engines answer with a single page, so there is no further page to fetch.
                     let answer = Err(Outcome::Reset);
-                    self.at(self.now + MS, What::Answer { gateway, life, id, answer });
+                    self.schedule(self.now + MILLISECOND, Event::Answer { gateway, incarnation, id, answer });
                 }
                 Effect::Probe(engine, _) => {
-                    let n = self.listed.values().position(|r| r.entry.engine == engine);
+                    let n = self.engine_list.values().position(|r| r.entry.engine == engine);
                     let up = n.is_some_and(|n| self.engines[n].up);
                     let core = self.cores[gateway].as_mut().unwrap();
                     core.engine_status(self.now, engine, up.then(Load::default));
@@ -295,88 +315,91 @@
                 Effect::ReleaseSession { address, inner, .. } => {
                     let engine = usize::from(address.port()) - 1;
                     if let Some(engine) = self.engines.get_mut(engine) {
-                        engine.held.remove(&inner);
+                        engine.sessions.remove(&inner);
                     }
                 }
                 _ => {}
             }
         }
-        self.arm();
+        self.schedule_wake();
     }
 
-    fn arm(&mut self) {
+    fn schedule_wake(&mut self) {
         let next = self.cores.iter().flatten().filter_map(Core::next_wake).min().unwrap_or(Micros::MAX);
         let next = next.max(self.now);
         if next < self.wake_at {
             self.wake_at = next;
-            self.at(next, What::Wake);
+            self.schedule(next, Event::Wake);
         }
     }
 
-    /// What an engine does with a statement: the reference, plain.
-    fn work(&mut self, engine: usize, launch: &Launch) -> EnginePage {
+    /// Executes a statement on an engine and returns its only page.
+    fn execute(&mut self, engine: usize, launch: &Launch) -> EnginePage {
         let epoch = self.engines[engine].epoch.to_string();
-        let e = &mut self.engines[engine];
-        let mut session = Vec::new();
+        let state = &mut self.engines[engine];
+        let mut session_headers = Vec::new();
         let text = launch.text.to_string();
         let transaction = launch.context.transaction.as_deref().filter(|t| *t != "NONE");
-        let named = transaction.or_else(|| launch.context.property("engine_session")).map(str::to_owned);
-        let number = || text.split(['(', ')']).nth(1).and_then(|n| n.parse::<u64>().ok()).unwrap();
+        let requested = transaction.or_else(|| launch.context.property("engine_session")).map(str::to_owned);
+        let inserted_value = || text.split(['(', ')']).nth(1).and_then(|n| n.parse::<u64>().ok()).unwrap();
         let mut rows: Option<Vec<u64>> = None;
         let mut error = None;
-        let unknown = |name: &str| Some(QueryError::new(ErrorType::UserError, 1, name, "not known here"));
-        let mut inner = None;
-        match &named {
-            Some(named) => {
-                let (name, of) = named.split_once('@').unwrap_or_else(|| panic!("{named} {text}"));
-                if of != epoch || !e.held.contains_key(name) {
-                    error = unknown(if transaction.is_some() {
+        let unknown_error =
+            |name: &str| Some(QueryError::new(ErrorType::UserError, 1, name, "not known here"));
+        let mut session_name = None;
+        match &requested {
+            Some(requested) => {
+                let (name, session_epoch) =
+                    requested.split_once('@').unwrap_or_else(|| panic!("{requested} {text}"));
+                if session_epoch != epoch || !state.sessions.contains_key(name) {
+                    error = unknown_error(if transaction.is_some() {
                         "UNKNOWN_TRANSACTION"
                     } else {
                         "UNKNOWN_SESSION"
                     });
                 } else {
-                    inner = Some(name.to_owned());
+                    session_name = Some(name.to_owned());
                 }
             }
             None if text.starts_with("START") || text.starts_with("CREATE") => {
-                e.next += 1;
-                let name = format!("s{}", e.next);
-                e.held.insert(name.clone(), Held::default());
-                inner = Some(name);
+                state.next_session += 1;
+                let name = format!("s{}", state.next_session);
+                state.sessions.insert(name.clone(), EngineSession::default());
+                session_name = Some(name);
             }
             None => {}
         }
         if error.is_none() {
-            let mut held = inner.as_ref().map(|n| e.held[n].clone());
-            match (text.as_str(), held.as_mut()) {
-                ("START TRANSACTION", Some(h)) => {
-                    h.transaction = Some((self.committed.clone(), Vec::new()));
-                    session.push(("X-Trino-Started-Transaction-Id".into(), inner.clone().unwrap()));
+            let mut session = session_name.as_ref().map(|n| state.sessions[n].clone());
+            match (text.as_str(), session.as_mut()) {
+                ("START TRANSACTION", Some(session)) => {
+                    session.transaction = Some((self.committed.clone(), Vec::new()));
+                    session_headers
+                        .push(("X-Trino-Started-Transaction-Id".into(), session_name.clone().unwrap()));
                 }
-                ("COMMIT", Some(h)) => {
-                    let (_, writes) = h.transaction.take().expect("checked by its name");
+                ("COMMIT", Some(session)) => {
+                    let (_, writes) = session.transaction.take().expect("the session has a transaction");
                     self.committed.extend(writes);
-                    session.push(("X-Trino-Clear-Transaction-Id".into(), "true".into()));
+                    session_headers.push(("X-Trino-Clear-Transaction-Id".into(), "true".into()));
                 }
-                ("ROLLBACK", Some(h)) => {
-                    h.transaction = None;
-                    session.push(("X-Trino-Clear-Transaction-Id".into(), "true".into()));
+                ("ROLLBACK", Some(session)) => {
+                    session.transaction = None;
+                    session_headers.push(("X-Trino-Clear-Transaction-Id".into(), "true".into()));
                 }
-                ("RESET SESSION engine_session", Some(h)) => {
-                    h.temporary = None;
-                    session.push(("X-Trino-Clear-Session".into(), "engine_session".into()));
+                ("RESET SESSION engine_session", Some(session)) => {
+                    session.temporary = None;
+                    session_headers.push(("X-Trino-Clear-Session".into(), "engine_session".into()));
                 }
-                (t, Some(h)) if t.starts_with("CREATE") => {
-                    h.temporary = Some(Vec::new());
-                    session.push((
+                (t, Some(session)) if t.starts_with("CREATE") => {
+                    session.temporary = Some(Vec::new());
+                    session_headers.push((
                         "X-Trino-Set-Session".into(),
-                        format!("engine_session={}", inner.clone().unwrap()),
+                        format!("engine_session={}", session_name.clone().unwrap()),
                     ));
                 }
-                (t, h) if t.starts_with("INSERT INTO s") => {
-                    let n = number();
-                    match h.and_then(|h| h.transaction.as_mut()) {
+                (t, session) if t.starts_with("INSERT INTO s") => {
+                    let n = inserted_value();
+                    match session.and_then(|session| session.transaction.as_mut()) {
                         Some((seen, writes)) => {
                             seen.insert(n);
                             writes.push(n);
@@ -386,26 +409,36 @@
                         }
                     }
                 }
-                ("SELECT s", h) => {
-                    let seen = h.and_then(|h| h.transaction.as_ref()).map_or(&self.committed, |t| &t.0);
+                ("SELECT s", session) => {
+                    let seen = session
+                        .and_then(|session| session.transaction.as_ref())
+                        .map_or(&self.committed, |t| &t.0);
                     rows = Some(seen.iter().copied().collect());
                 }
-                (t, h) if t.starts_with("INSERT INTO t") => match h.and_then(|h| h.temporary.as_mut()) {
-                    Some(table) => table.push(number()),
-                    None => error = Some(QueryError::new(ErrorType::UserError, 1, "WROTE_THE_REAL_ONE", "")),
+                (t, session) if t.starts_with("INSERT INTO t") => match session
+                    .and_then(|session| session.temporary.as_mut())
+                {
+                    Some(table) => table.push(inserted_value()),
+                    None => {
+                        error = Some(QueryError::new(ErrorType::UserError, 1, "WROTE_TO_PERMANENT_TABLE", ""))
+                    }
                 },
-                ("SELECT t", h) => {
-                    rows = Some(h.and_then(|h| h.temporary.clone()).unwrap_or_else(|| vec![REAL]));
+                ("SELECT t", session) => {
+                    rows = Some(
+                        session
+                            .and_then(|session| session.temporary.clone())
+                            .unwrap_or_else(|| vec![PERMANENT_TABLE_ROW]),
+                    );
                 }
                 ("RESET SESSION engine_session", None) => {
-                    session.push(("X-Trino-Clear-Session".into(), "engine_session".into()));
+                    session_headers.push(("X-Trino-Clear-Session".into(), "engine_session".into()));
                 }
                 (other, _) => panic!("{other}"),
             }
-            if let (Some(name), Some(held)) = (inner, held) {
-                match held.transaction.is_none() && held.temporary.is_none() {
-                    true => e.held.remove(&name),
-                    false => e.held.insert(name, held),
+            if let (Some(name), Some(session)) = (session_name, session) {
+                match session.transaction.is_none() && session.temporary.is_none() {
+                    true => state.sessions.remove(&name),
+                    false => state.sessions.insert(name, session),
                 };
             }
         }
@@ -418,178 +451,180 @@
             stats: Stats::default(),
             last: true,
             error,
-            session,
+            session: session_headers,
             epoch: Some(epoch),
             ..EnginePage::default()
         }
     }
 
-    fn handle(&mut self, what: What) {
-        match what {
-            What::Work { gateway, life, engine, epoch, launch } => {
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::Execute { gateway, incarnation, engine, epoch, launch } => {
                 let id = launch.attempt;
                 let same = self.engines[engine].up && self.engines[engine].epoch == epoch;
                 let answer = if same {
-                    let arrived = self.work(engine, &launch);
-                    // Some answers are lost on the way: the work is done, and nobody is told.
-                    if self.dice.one_in(40) {
+                    let page = self.execute(engine, &launch);
+                    // Some answers are lost: the engine has executed the statement, but its connection breaks.
+                    if self.random.one_in(40) {
                         Err(Outcome::Reset)
                     } else {
-                        Ok(Box::new(arrived))
+                        Ok(Box::new(page))
                     }
                 } else {
                     Err(Outcome::Reset)
                 };
-                let at = self.now + (1 + self.dice.roll(30)) * MS;
-                self.at(at, What::Answer { gateway, life, id, answer });
+                let at = self.now + (1 + self.random.below(30)) * MILLISECOND;
+                self.schedule(at, Event::Answer { gateway, incarnation, id, answer });
             }
-            What::Answer { gateway, life, id, answer } => {
-                if self.lives[gateway] == life {
+            Event::Answer { gateway, incarnation, id, answer } => {
+                if self.incarnations[gateway] == incarnation {
                     if let Some(core) = &mut self.cores[gateway] {
                         match answer {
-                            Ok(arrived) => core.page_received(self.now, id, *arrived),
+                            Ok(page) => core.page_received(self.now, id, *page),
                             Err(outcome) => core.attempt_failed(self.now, id, outcome, "broken"),
                         }
-                        self.collect(gateway);
+                        self.handle_effects(gateway);
                     }
                 }
             }
-            What::Wake => {
+            Event::Wake => {
                 self.wake_at = Micros::MAX;
                 for n in 0..2 {
                     if let Some(core) = &mut self.cores[n] {
                         core.wake(self.now);
-                        self.collect(n);
+                        self.handle_effects(n);
                     }
                 }
-                self.arm();
+                self.schedule_wake();
             }
-            What::Act(client) => self.act(client),
-            What::Trouble => {
-                match self.dice.roll(6) {
+            Event::NextStatement(client) => self.submit_next(client),
+            Event::Fault => {
+                match self.random.below(6) {
                     0 | 1 => {
-                        let n = self.dice.roll(3) as usize;
+                        let n = self.random.below(3) as usize;
                         if self.engines[n].up {
-                            self.tally.restarts += 1;
+                            self.tally.engine_restarts += 1;
                             self.engines[n].up = false;
-                            self.engines[n].held.clear();
-                            let away = self.dice.roll(800) * MS;
-                            self.at(self.now + away, What::EngineUp(n));
+                            self.engines[n].sessions.clear();
+                            let downtime = self.random.below(800) * MILLISECOND;
+                            self.schedule(self.now + downtime, Event::EngineRestart(n));
                         }
                     }
                     2 | 3 => {
-                        let n = self.dice.roll(2) as usize;
+                        let n = self.random.below(2) as usize;
                         if self.cores[n].is_some() && self.cores[1 - n].is_some() {
-                            self.tally.deaths += 1;
+                            self.tally.gateway_failures += 1;
                             self.cores[n] = None;
-                            self.lives[n] += 1;
+                            self.incarnations[n] += 1;
                             for client in 0..self.clients.len() {
                                 if self.clients[client].gateway == n && self.clients[client].open.is_some() {
-                                    self.end(client, End::Unknown);
+                                    self.check_ending(client, End::Unknown);
                                 }
                             }
-                            let away = (200 + self.dice.roll(3000)) * MS;
-                            self.at(self.now + away, What::GatewayUp(n));
+                            let downtime = (200 + self.random.below(3000)) * MILLISECOND;
+                            self.schedule(self.now + downtime, Event::GatewayRestart(n));
                         }
                     }
                     _ => {
-                        // An engine drains, or comes back, in the list.
-                        let n = self.dice.roll(3) as usize;
+                        // The engine list changes: an engine starts to drain, or is available again.
+                        let n = self.random.below(3) as usize;
                         let states = ["", " (state draining)", ""];
                         let text: String = (0..3)
                             .map(|k| {
-                                let state = if k == n { states[self.dice.roll(3) as usize] } else { "" };
+                                let state = if k == n { states[self.random.below(3) as usize] } else { "" };
                                 format!("(engine e{k} (address \"127.0.0.1:{}\"){state})\n", k + 1)
                             })
                             .collect();
-                        self.listed = list::parse(&text, &self.config.names).unwrap().records;
-                        self.list();
+                        self.engine_list = list::parse(&text, &self.config.names).unwrap().records;
+                        self.update_engines();
                     }
                 }
-                let at = self.now + (500 + self.dice.roll(6000)) * MS;
-                self.at(at, What::Trouble);
+                let at = self.now + (500 + self.random.below(6000)) * MILLISECOND;
+                self.schedule(at, Event::Fault);
             }
-            What::EngineUp(n) => {
+            Event::EngineRestart(n) => {
                 self.engines[n].epoch += 1;
                 self.engines[n].up = true;
             }
-            What::GatewayUp(n) => self.gateway_up(n),
+            Event::GatewayRestart(n) => self.start_gateway(n),
         }
-        self.poll();
+        self.poll_clients();
     }
 
-    /// A client does its next thing.
-    fn act(&mut self, n: usize) {
-        if self.clients[n].open.is_some() {
+    /// Submits the next statement of a client.
+    fn submit_next(&mut self, client_index: usize) {
+        if self.clients[client_index].open.is_some() {
             return;
         }
         self.next_value += 1;
         let value = self.next_value;
-        let client = &self.clients[n];
+        let client = &self.clients[client_index];
         let in_transaction = client.carried.transaction.is_some();
-        let has_session = client.carried.session.iter().any(|(n, _)| n == "engine_session");
-        let roll = self.dice.roll(20);
+        let has_session = client.carried.session.iter().any(|(name, _)| name == "engine_session");
+        let draw = self.random.below(20);
         let op = match () {
-            _ if client.unsure && in_transaction => [Op::Rollback, Op::Commit, Op::Read][(roll % 3) as usize],
-            _ if client.told_lost && roll < 4 && has_session => Op::Reset,
-            _ if client.told_lost && roll < 8 && in_transaction => Op::Rollback,
-            _ if client.unsure_temporary => Op::Reset,
-            _ if in_transaction && roll < 6 => Op::Insert(value),
-            _ if in_transaction && roll < 12 => Op::Read,
-            _ if in_transaction && roll < 15 => Op::Commit,
-            _ if in_transaction && roll < 16 => Op::Rollback,
-            _ if has_session && roll < 8 => Op::InsertTemporary(value),
-            _ if has_session && roll < 14 => Op::ReadTemporary,
-            _ if has_session && roll < 15 => Op::Reset,
-            _ if !has_session && roll < 4 => Op::Create,
-            _ if !in_transaction && roll < 18 => Op::Start,
+            _ if client.transaction_uncertain && in_transaction => {
+                [Op::Rollback, Op::Commit, Op::Read][(draw % 3) as usize]
+            }
+            _ if client.session_lost && draw < 4 && has_session => Op::Reset,
+            _ if client.session_lost && draw < 8 && in_transaction => Op::Rollback,
+            _ if client.temporary_uncertain => Op::Reset,
+            _ if in_transaction && draw < 6 => Op::Insert(value),
+            _ if in_transaction && draw < 12 => Op::Read,
+            _ if in_transaction && draw < 15 => Op::Commit,
+            _ if in_transaction && draw < 16 => Op::Rollback,
+            _ if has_session && draw < 8 => Op::InsertTemporary(value),
+            _ if has_session && draw < 14 => Op::ReadTemporary,
+            _ if has_session && draw < 15 => Op::Reset,
+            _ if !has_session && draw < 4 => Op::Create,
+            _ if !in_transaction && draw < 18 => Op::Start,
             _ => Op::Read,
         };
-        let mut gateway = self.clients[n].gateway;
-        if self.cores[gateway].is_none() || self.dice.one_in(6) {
+        let mut gateway = self.clients[client_index].gateway;
+        if self.cores[gateway].is_none() || self.random.one_in(6) {
             gateway = 1 - gateway;
-            self.tally.handed_over += u64::from(in_transaction || has_session);
+            self.tally.gateway_switches += u64::from(in_transaction || has_session);
         }
         let Some(core) = &mut self.cores[gateway] else {
-            let at = self.now + 100 * MS;
-            return self.at(at, What::Act(n));
+            let at = self.now + 100 * MILLISECOND;
+            return self.schedule(at, Event::NextStatement(client_index));
         };
-        let mut context = Context { user: format!("u{n}"), ..Context::default() };
-        self.clients[n].carried.put(&mut context);
+        let mut context = Context { user: format!("u{client_index}"), ..Context::default() };
+        self.clients[client_index].carried.put(&mut context);
         let submission = Submission { public_id: "q".into(), text: op.sql(), context };
         let id = core.submit(self.now, submission);
-        let client = &mut self.clients[n];
-        (client.gateway, client.begun) = (gateway, client.begun + 1);
-        client.open = Some((id, 0, Vec::new(), op, self.now));
+        let client = &mut self.clients[client_index];
+        (client.gateway, client.started_statements) = (gateway, client.started_statements + 1);
+        client.open = Some(OpenStatement { id, token: 0, rows: Vec::new(), op, submitted_at: self.now });
         self.tally.statements += 1;
-        self.collect(gateway);
-        self.poll();
+        self.handle_effects(gateway);
+        self.poll_clients();
     }
 
-    /// Every client that waits looks for its next page.
-    fn poll(&mut self) {
-        for n in 0..self.clients.len() {
+    /// Polls the next page of each open statement.
+    fn poll_clients(&mut self) {
+        for client_index in 0..self.clients.len() {
             loop {
-                let client = &mut self.clients[n];
-                let Some((id, token, _, op, since)) = &client.open else { break };
-                assert!(self.now < since + 10 * S, "seed {}: {op:?} got no answer", self.seed);
+                let client = &mut self.clients[client_index];
+                let Some(OpenStatement { id, token, op, submitted_at, .. }) = &client.open else { break };
+                assert!(self.now < submitted_at + 10 * SECOND, "seed {}: {op:?} got no answer", self.seed);
                 let (gateway, id, token) = (client.gateway, *id, *token);
                 let Some(core) = &mut self.cores[gateway] else { break };
                 let turn = core.page(self.now, id, token, true);
-                self.collect(gateway);
+                self.handle_effects(gateway);
                 let page = match turn {
                     Turn::Page(page) => page,
                     Turn::Wait => break,
                     other => panic!("seed {}: {other:?}", self.seed),
                 };
-                self.take(n, &page);
+                self.receive_page(client_index, &page);
             }
         }
     }
 
-    fn take(&mut self, n: usize, page: &Page) {
-        let client = &mut self.clients[n];
-        let Some((_, token, rows, ..)) = &mut client.open else { return };
+    fn receive_page(&mut self, client_index: usize, page: &Page) {
+        let client = &mut self.clients[client_index];
+        let Some(OpenStatement { token, rows, .. }) = &mut client.open else { return };
         *token += 1;
         if let Some(data) = &page.data {
             rows.extend(serde_json::from_str::<Vec<Vec<u64>>>(data.get()).unwrap().into_iter().map(|r| r[0]));
@@ -606,21 +641,23 @@
                 other => End::Other(other.to_owned()),
             },
         };
-        self.end(n, end);
+        self.check_ending(client_index, end);
     }
 
-    /// A statement has ended: is that what its client can have expected?
-    fn end(&mut self, n: usize, end: End) {
+    /// Checks the ending of a statement against what its client may observe.
+    fn check_ending(&mut self, client_index: usize, end: End) {
         let seed = self.seed;
-        let client = &mut self.clients[n];
-        let Some((_, _, _, op, _)) = client.open.take() else { panic!("seed {seed}: a second ending") };
-        client.ends += 1;
+        let client = &mut self.clients[client_index];
+        let Some(OpenStatement { op, .. }) = client.open.take() else {
+            panic!("seed {seed}: the statement ended twice")
+        };
+        client.ended_statements += 1;
         if std::env::var("VIOLETWARD_TRACE").is_ok() {
-            let session = client.carried.session.iter().any(|(n, _)| n == "engine_session");
+            let session = client.carried.session.iter().any(|(name, _)| name == "engine_session");
             let tx = client.carried.transaction.is_some();
             println!(
-                "{} client {n} at g{}: {op:?} {end:?} tx {tx} session {session}",
-                self.now / MS,
+                "{} client {client_index} at g{}: {op:?} {end:?} tx {tx} session {session}",
+                self.now / MILLISECOND,
                 client.gateway
             );
         }
@@ -628,98 +665,106 @@
         match &end {
             End::Rows(_) => self.tally.served += 1,
             End::Refused => self.tally.refused += 1,
-            End::Lost => self.tally.losses += 1,
+            End::Lost => self.tally.lost_sessions += 1,
             _ => {}
         }
         let uncertain = matches!(end, End::Failed | End::Unknown);
-        let forget =
-            |client: &mut Client, judged: &mut Vec<(Vec<u64>, Option<bool>)>, there: Option<bool>| {
-                judged.push((std::mem::take(&mut client.writes), there));
-                (client.base, client.unsure) = (None, false);
+        let end_transaction =
+            |client: &mut Client, ended: &mut Vec<(Vec<u64>, Option<bool>)>, committed: Option<bool>| {
+                ended.push((std::mem::take(&mut client.writes), committed));
+                (client.snapshot, client.transaction_uncertain) = (None, false);
             };
-        assert!(!matches!(&end, End::Other(name) if name == "WROTE_THE_REAL_ONE"), "seed {seed}: {op:?}");
+        assert!(
+            !matches!(&end, End::Other(name) if name == "WROTE_TO_PERMANENT_TABLE"),
+            "seed {seed}: {op:?}"
+        );
         match (op, &end) {
             (Op::Start, End::Rows(_)) => {
-                assert!(in_transaction, "seed {seed}: it has no transaction");
-                (client.base, client.writes, client.unsure, client.told_lost) =
+                assert!(in_transaction, "seed {seed}: no transaction was started");
+                (client.snapshot, client.writes, client.transaction_uncertain, client.session_lost) =
                     (None, Vec::new(), false, false);
             }
             (Op::Insert(value), End::Rows(_)) if in_transaction => {
                 assert!(
-                    !client.told_lost && !client.unsure,
-                    "seed {seed}: a write into what is lost or unsure"
+                    !client.session_lost && !client.transaction_uncertain,
+                    "seed {seed}: a write was accepted in a lost or uncertain transaction"
                 );
                 client.writes.push(value);
             }
             (Op::Insert(value), _) if uncertain && in_transaction => {
-                client.maybe.insert(value);
-                client.unsure = true;
+                client.uncertain_writes.insert(value);
+                client.transaction_uncertain = true;
             }
             (Op::Read, End::Rows(rows)) if in_transaction => {
-                assert!(!client.told_lost, "seed {seed}: it was lost");
+                assert!(!client.session_lost, "seed {seed}: a read was served in a lost session");
                 self.tally.read_in_transaction += 1;
                 let own: BTreeSet<u64> = client.writes.iter().copied().collect();
                 let seen: BTreeSet<u64> =
-                    rows.iter().copied().filter(|v| !client.maybe.contains(v)).collect();
+                    rows.iter().copied().filter(|v| !client.uncertain_writes.contains(v)).collect();
                 assert!(own.is_subset(&seen), "seed {seed}: {op:?} misses its own writes");
-                let base: BTreeSet<u64> = seen.difference(&own).copied().collect();
-                let first = client.base.get_or_insert_with(|| base.clone());
-                assert_eq!(*first, base, "seed {seed}: its base has changed");
+                let snapshot: BTreeSet<u64> = seen.difference(&own).copied().collect();
+                let first = client.snapshot.get_or_insert_with(|| snapshot.clone());
+                assert_eq!(*first, snapshot, "seed {seed}: the snapshot of the transaction changed");
             }
             (Op::Commit, End::Rows(_)) => {
-                assert!(!client.told_lost, "seed {seed}: a commit of what is lost");
+                assert!(!client.session_lost, "seed {seed}: a lost transaction was committed");
                 self.tally.commits += 1;
-                forget(client, &mut self.judged, Some(true));
+                end_transaction(client, &mut self.ended_transactions, Some(true));
             }
             (Op::Commit, _) if uncertain => {
                 self.tally.commits_unknown += 1;
-                // The gateway that died, or the answer that was lost, may have carried a commit.
-                forget(client, &mut self.judged, None);
+                // The commit may have been executed although the gateway failed or the answer was lost.
+                end_transaction(client, &mut self.ended_transactions, None);
                 client.carried.transaction = None;
             }
             (Op::Commit, End::Lost) => {
-                // Lost before or during the commit; the engine may have done it just before it died.
-                forget(client, &mut self.judged, None);
-                client.told_lost = true;
+                // The session was lost before or during the commit; the engine may have committed just before it
+                // stopped.
+                end_transaction(client, &mut self.ended_transactions, None);
+                client.session_lost = true;
                 client.writes.clear();
             }
             (Op::Rollback, End::Rows(_)) => {
                 assert!(client.carried.transaction.is_none(), "seed {seed}");
-                forget(client, &mut self.judged, Some(false));
+                end_transaction(client, &mut self.ended_transactions, Some(false));
             }
             (Op::Rollback, _) if uncertain => {
-                forget(client, &mut self.judged, Some(false));
+                end_transaction(client, &mut self.ended_transactions, Some(false));
                 client.carried.transaction = None;
             }
             (Op::Create, End::Rows(_)) => {
-                (client.temporary, client.unsure_temporary) = (Some(Vec::new()), false);
-                client.told_lost &= in_transaction;
+                (client.temporary, client.temporary_uncertain) = (Some(Vec::new()), false);
+                client.session_lost &= in_transaction;
             }
             (Op::InsertTemporary(value), End::Rows(_)) => {
-                assert!(!client.told_lost, "seed {seed}: a write into a lost table");
+                assert!(!client.session_lost, "seed {seed}: a write to a lost temporary table was accepted");
                 client.temporary.as_mut().unwrap_or_else(|| panic!("seed {seed}")).push(value);
             }
-            // A start whose answer was lost may have left a transaction open that the client cannot name.
+            // A start whose answer was lost may have left open a transaction whose id the client does not know.
             (Op::InsertTemporary(_) | Op::Start | Op::Create, _) if uncertain => {
-                client.unsure_temporary = true
+                client.temporary_uncertain = true
             }
             (Op::ReadTemporary, End::Rows(rows)) => {
-                assert!(!client.told_lost, "seed {seed}: it was lost");
+                assert!(!client.session_lost, "seed {seed}: a read was served in a lost session");
                 self.tally.read_temporary += 1;
-                assert_eq!(Some(rows), client.temporary.as_ref(), "seed {seed}: not its own table");
+                assert_eq!(
+                    Some(rows),
+                    client.temporary.as_ref(),
+                    "seed {seed}: rows differ from its temporary table"
+                );
             }
             (Op::Reset, End::Rows(_)) => {
-                (client.temporary, client.unsure_temporary) = (None, false);
-                client.told_lost &= client.carried.transaction.is_some();
+                (client.temporary, client.temporary_uncertain) = (None, false);
+                client.session_lost &= client.carried.transaction.is_some();
             }
             (Op::Reset, _) if uncertain => {
                 client.carried.session.clear();
-                (client.temporary, client.unsure_temporary) = (None, false);
+                (client.temporary, client.temporary_uncertain) = (None, false);
             }
-            (_, End::Lost) => client.told_lost = true,
+            (_, End::Lost) => client.session_lost = true,
             (_, End::Aborted) => {
                 assert!(
-                    client.unsure || client.unsure_temporary || client.told_lost,
+                    client.transaction_uncertain || client.temporary_uncertain || client.session_lost,
                     "seed {seed}: {op:?} aborted"
                 )
             }
@@ -730,76 +775,88 @@
                     "seed {seed}: {op:?} {name}"
                 );
                 if name == "SESSION_INVALID" {
-                    client.told_lost = true;
+                    client.session_lost = true;
                 }
             }
             _ => {}
         }
         if !in_transaction && client.carried.session.is_empty() {
-            client.told_lost = false;
+            client.session_lost = false;
         }
-        let longest = if self.dice.one_in(30) { 9000 } else { 300 };
-        let at = self.now + (1 + self.dice.roll(longest)) * MS;
-        self.at(at, What::Act(n));
+        let max_pause_ms = if self.random.one_in(30) { 9000 } else { 300 };
+        let at = self.now + (1 + self.random.below(max_pause_ms)) * MILLISECOND;
+        self.schedule(at, Event::NextStatement(client_index));
     }
 
-    fn run(mut self, span: Micros) -> Tally {
-        let until = self.now + span;
-        while let Some(Event(Reverse((at, _)), what)) = self.events.pop() {
+    fn run(mut self, duration: Micros) -> Tally {
+        let until = self.now + duration;
+        while let Some(Scheduled(Reverse((at, _)), event)) = self.events.pop() {
             if at > until {
                 break;
             }
             self.now = self.now.max(at);
-            self.handle(what);
+            self.handle_event(event);
         }
         for client in &self.clients {
             let open = u64::from(client.open.is_some());
-            assert_eq!(client.begun, client.ends + open, "seed {}: one ending each", self.seed);
+            assert_eq!(
+                client.started_statements,
+                client.ended_statements + open,
+                "seed {}: each statement has one ending",
+                self.seed
+            );
         }
-        for (writes, there) in &self.judged {
+        for (writes, expected) in &self.ended_transactions {
             let found = writes.iter().filter(|w| self.committed.contains(w)).count();
-            let fits = match there {
+            let is_expected = match expected {
                 Some(true) => found == writes.len(),
                 Some(false) => found == 0,
                 None => found == 0 || found == writes.len(),
             };
-            assert!(fits, "seed {}: {found} of {writes:?} are there, told {there:?}", self.seed);
+            assert!(
+                is_expected,
+                "seed {}: {found} of {writes:?} are committed, expected {expected:?}",
+                self.seed
+            );
         }
         self.tally
     }
 }
 
-fn add(all: &mut Tally, one: Tally) {
+fn add_tally(all: &mut Tally, one: Tally) {
     all.statements += one.statements;
     all.served += one.served;
-    all.losses += one.losses;
+    all.lost_sessions += one.lost_sessions;
     all.refused += one.refused;
     all.commits += one.commits;
     all.commits_unknown += one.commits_unknown;
-    all.handed_over += one.handed_over;
-    all.deaths += one.deaths;
-    all.restarts += one.restarts;
+    all.gateway_switches += one.gateway_switches;
+    all.gateway_failures += one.gateway_failures;
+    all.engine_restarts += one.engine_restarts;
     all.read_in_transaction += one.read_in_transaction;
     all.read_temporary += one.read_temporary;
 }
 
 #[test]
-fn no_history_reads_wrongly_ends_twice_or_commits_in_part() {
+fn no_history_has_a_wrong_read_a_second_ending_or_a_partial_commit() {
     let count = std::env::var("VIOLETWARD_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(25);
     let first = std::env::var("VIOLETWARD_SEED").ok().and_then(|n| n.parse().ok()).unwrap_or(1);
     let mut all = Tally::default();
     for seed in first..first + count {
-        add(&mut all, World::new(seed).run(60 * S));
+        add_tally(&mut all, Simulation::new(seed).run(60 * SECOND));
     }
     println!("{count} histories: {all:?}");
-    // It all did happen: a history in which nothing is at stake proves nothing.
+    // The histories must contain each kind of event that the checks are about.
     assert!(
-        all.commits > count / 2 && all.losses > count && all.handed_over > count && all.deaths > count / 2
+        all.commits > count / 2
+            && all.lost_sessions > count
+            && all.gateway_switches > count
+            && all.gateway_failures > count / 2
     );
     assert!(all.read_in_transaction > count && all.read_temporary > count && all.commits_unknown > 0);
 }
 
 #[test]
 fn the_same_seed_gives_the_same_history() {
-    assert_eq!(World::new(77).run(60 * S), World::new(77).run(60 * S));
+    assert_eq!(Simulation::new(77).run(60 * SECOND), Simulation::new(77).run(60 * SECOND));
 }
