--- a/crates/gateway/tests/core.rs
+++ b/crates/gateway/tests/core.rs
@@ -412,7 +412,7 @@
         second,
         QueryError::new(ErrorType::InternalError, 0, "GENERIC_INTERNAL_ERROR", "oops"),
     );
-    assert_eq!(harness.endings(id), ["failed"], "it may have run");
+    assert_eq!(harness.endings(id), ["failed"], "a statement that may have run has failed");
 }
 
 #[test]
--- a/crates/gateway/tests/guarded.rs
+++ b/crates/gateway/tests/guarded.rs
@@ -130,7 +130,7 @@
     }
 }
 
-/// Another gateway that has adopted the recorded statement, and the statement's id adopted_id.
+/// Another gateway that has adopted the recorded statement, and the id of the statement there.
 fn adopt_elsewhere(record: &custody::Record) -> (Harness, StatementId) {
     let mut harness = Harness::new();
     let id = harness.core.adopt(harness.now, record).expect("a readable record");
--- a/crates/gateway/tests/histories.rs
+++ b/crates/gateway/tests/histories.rs
@@ -171,16 +171,16 @@
     snapshot: Option<BTreeSet<u64>>,
     /// The acknowledged writes of its transaction.
     writes: Vec<u64>,
-    /// Writes of its transactions with an unknown outcome. The gateway that saw one accepts only a rollback for
-    /// that transaction; another gateway does not know of it and continues the transaction.
+    /// Writes of its transactions with an unknown outcome. The gateway that saw one accepts only a rollback
+    /// for that transaction; another gateway does not know of it and continues the transaction.
     uncertain_writes: BTreeSet<u64>,
     /// Whether a write of the current transaction has an unknown outcome.
     transaction_uncertain: bool,
     temporary: Option<Vec<u64>>,
     /// Whether a write to its temporary table, or the start of a session, has an unknown outcome.
     temporary_uncertain: bool,
-    /// Whether an answer said that its session is lost. Until the client gives up the session, further answers
-    /// must say so too.
+    /// Whether an answer said that its session is lost. Until the client gives up the session, further
+    /// answers must say so too.
     session_lost: bool,
     ended_statements: u64,
     started_statements: u64,
@@ -464,7 +464,8 @@
                 let same = self.engines[engine].up && self.engines[engine].epoch == epoch;
                 let answer = if same {
                     let page = self.execute(engine, &launch);
-                    // Some answers are lost: the engine has executed the statement, but its connection breaks.
+                    // Some answers are lost: the engine has executed the statement, but its connection
+                    // breaks.
                     if self.random.one_in(40) {
                         Err(Outcome::Reset)
                     } else {
@@ -718,8 +719,8 @@
                 client.carried.transaction = None;
             }
             (Op::Commit, End::Lost) => {
-                // The session was lost before or during the commit; the engine may have committed just before it
-                // stopped.
+                // The session was lost before or during the commit; the engine may have committed just before
+                // it stopped.
                 end_transaction(client, &mut self.ended_transactions, None);
                 client.session_lost = true;
                 client.writes.clear();
@@ -740,7 +741,8 @@
                 assert!(!client.session_lost, "seed {seed}: a write to a lost temporary table was accepted");
                 client.temporary.as_mut().unwrap_or_else(|| panic!("seed {seed}")).push(value);
             }
-            // A start whose answer was lost may have left open a transaction whose id the client does not know.
+            // A start whose answer was lost may have left open a transaction whose id the client does not
+            // know.
             (Op::InsertTemporary(_) | Op::Start | Op::Create, _) if uncertain => {
                 client.temporary_uncertain = true
             }
--- a/crates/gateway/tests/platform.rs
+++ b/crates/gateway/tests/platform.rs
@@ -102,9 +102,9 @@
     std::fs::remove_file(path).ok();
 }
 
-/// Guards against a gateway that handles no signal after SIGTERM and drops a reload in progress. Requests stay
-/// open there for up to the longest deadline, and the old address of the engine list does not answer after a
-/// move, so engines that had begun to drain got requests after their grace period.
+/// Guards against a gateway that handles no signal after SIGTERM and drops a reload in progress. Requests
+/// stay open there for up to the longest deadline, and the old address of the engine list does not answer
+/// after a move, so engines that had begun to drain got requests after their grace period.
 #[test]
 fn an_engine_list_that_moves_during_shutdown_is_followed() {
     let engine = PlatformEngine::start().unwrap();
--- a/crates/gateway/tests/platform_waits.rs
+++ b/crates/gateway/tests/platform_waits.rs
@@ -1,12 +1,12 @@
 //! Tests requests that the client delays before it writes them.
 //!
-//! Clients write the requests of one order key at least 60 ms apart, 250 ms after one on a new connection. When
-//! gateways fail during a rolling release, their requests queue up at the clients: 3 of about 70,000 requests, all
-//! with an order key, got no final answer in time. The gateway had read them 0.79 to 1.37 s after the client had
-//! them, and other requests on the same connections within 2 ms. `wait` runs from when the client has the request,
-//! but the gateway counted it from when it had read the request and granted the engine that much patience. The
-//! records of both sides, joined by request, show that each late request waited at its client and none in the
-//! gateway.
+//! Clients write the requests of one order key at least 60 ms apart, 250 ms after one on a new connection.
+//! When gateways fail during a rolling release, their requests queue up at the clients: 3 of about 70,000
+//! requests, all with an order key, got no final answer in time. The gateway had read them 0.79 to 1.37 s
+//! after the client had them, and other requests on the same connections within 2 ms. `wait` runs from when
+//! the client has the request, but the gateway counted it from when it had read the request and granted the
+//! engine that much patience. The records of both sides, joined by request, show that each late request
+//! waited at its client and none in the gateway.
 
 mod program;
 
