--- a/crates/contracts/tests/members.rs
+++ b/crates/contracts/tests/members.rs
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 
 use violetward_contracts::transport::{forged_messages, messages, Ground};
-use violetward_membership::sim::terms;
-use violetward_membership::wire::SAID;
+use violetward_membership::sim::test_config;
+use violetward_membership::wire::MAX_PAYLOAD_BYTES;
 use violetward_membership::{Effect, Membership};
 use violetward_transport::sim::{Dice, Meddler, Queue, Weather};
 use violetward_transport::{local, Messages, Unsent};
@@ -25,22 +25,22 @@
 
 impl Fleet {
     fn carry_out(&mut self, n: usize) {
-        while let Some(effect) = self.members[n].effect() {
+        while let Some(effect) = self.members[n].next_effect() {
             match effect {
                 Effect::Send(to, mut bytes) => {
-                    let Some(other) = (0..3).find(|&o| terms(o, 3, SECOND, false).address == to) else {
+                    let Some(other) = (0..3).find(|&o| test_config(o, 3, SECOND, false).address == to) else {
                         continue;
                     };
                     if let Some(meddle) = &mut self.meddler {
                         meddle(&format!("g{n}"), &format!("g{other}"), &mut bytes);
                     }
-                    let from = terms(n, 3, SECOND, false).address;
+                    let from = test_config(n, 3, SECOND, false).address;
                     for (delay, bytes) in self.weather.carry(&mut self.dice, bytes) {
                         self.queue.push(self.queue.now + delay, (other, from, bytes));
                     }
                 }
-                Effect::Heard(from, bytes) => self.come[n].push_back((from, bytes)),
-                Effect::Told(_) | Effect::Share(_) => {}
+                Effect::Received(from, bytes) => self.come[n].push_back((from, bytes)),
+                Effect::Changed(_) | Effect::Share(_) => {}
             }
         }
     }
@@ -51,13 +51,13 @@
             let step = (self.queue.now + 1_000).min(until);
             while let Some((n, from, bytes)) = self.queue.pop(step) {
                 let now = self.queue.now;
-                self.members[n].datagram(now, from, &bytes);
+                self.members[n].handle_datagram(now, from, &bytes);
                 self.carry_out(n);
             }
             self.queue.now = step;
             for n in 0..3 {
                 if self.members[n].next_wake() <= step {
-                    self.members[n].wake(step);
+                    self.members[n].handle_wake(step);
                     self.carry_out(n);
                 }
             }
@@ -69,12 +69,12 @@
 
 impl Messages for Post {
     fn send(&mut self, to: &str, bytes: &[u8]) -> Result<(), Unsent> {
-        if bytes.len() > SAID {
+        if bytes.len() > MAX_PAYLOAD_BYTES {
             return Err(Unsent::TooLong);
         }
         let fleet = &mut *self.1.borrow_mut();
         let now = fleet.queue.now;
-        let sent = fleet.members[self.0].say(now, to, bytes);
+        let sent = fleet.members[self.0].send_payload(now, to, bytes);
         fleet.carry_out(self.0);
         sent.then_some(()).ok_or(Unsent::Unknown)
     }
@@ -90,7 +90,7 @@
     move |seed| {
         let fleet = Rc::new(RefCell::new(Fleet {
             members: (0..3)
-                .map(|n| Membership::new(terms(n, 3, SECOND, false), seed ^ n as u64, SECOND))
+                .map(|n| Membership::new(test_config(n, 3, SECOND, false), seed ^ n as u64, SECOND))
                 .collect(),
             come: vec![VecDeque::new(); 3],
             queue: Queue::new(SECOND),
@@ -139,7 +139,7 @@
     }
 
     fn longest(&self) -> usize {
-        SAID
+        MAX_PAYLOAD_BYTES
     }
 }
 
--- a/crates/gateway/src/config/membership.rs
+++ b/crates/gateway/src/config/membership.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-/// `(membership (listen ADDRESS) (name NAME) (site SITE) (seeds ADDRESS ...) (key NAME "secret") ...)`.
+/// `(membership (listen ADDRESS) (name MAX_NAME_BYTES) (site SITE) (seeds ADDRESS ...) (key MAX_NAME_BYTES "secret") ...)`.
 pub(super) fn peer_terms(c: &mut Checker, form: &Form<'_>, folder: &Path) -> Option<PeerTerms> {
-    use violetward_membership::wire::NAME;
+    use violetward_membership::wire::MAX_NAME_BYTES;
     let several = ["key", "via"];
     let mut fields: Vec<Form<'_>> = Vec::new();
     for datum in &form.args {
@@ -51,9 +51,9 @@
     let name = |c: &mut Checker, field: &str, default: Option<&str>| {
         let word = match get(field) {
             Some(form) => c.word(&form, "a name").filter(|word| {
-                let fits = (1..=NAME).contains(&word.len());
+                let fits = (1..=MAX_NAME_BYTES).contains(&word.len());
                 if !fits {
-                    c.error_at(&form, format!("{field}: expected 1 to {NAME} octets"));
+                    c.error_at(&form, format!("{field}: expected 1 to {MAX_NAME_BYTES} octets"));
                 }
                 fits
             }),
@@ -80,7 +80,7 @@
                 .push(violetward_membership::Key { name: name.clone(), secret: secret.clone().into_bytes() }),
             _ => c.error_at(
                 field,
-                format!("expected (key NAME \"secret\") or (via NAME ADDRESS), found ({} ...)", field.name),
+                format!("expected (key MAX_NAME_BYTES \"secret\") or (via MAX_NAME_BYTES ADDRESS), found ({} ...)", field.name),
             ),
         }
     }
--- a/crates/gateway/src/custody.rs
+++ b/crates/gateway/src/custody.rs
@@ -216,7 +216,7 @@
     }
 }
 
-fn living(seen: &violetward_membership::Seen) -> bool {
+fn living(seen: &violetward_membership::MemberView) -> bool {
     seen.record.state <= violetward_membership::State::Suspect
 }
 
@@ -636,8 +636,8 @@
     /// What membership believes may have changed.
     pub fn members(&self, host: &Rc<Host>) {
         let Some(peers) = host.peers() else { return };
-        let of = |seen: violetward_membership::Seen| Member {
-            incarnation: Incarnation { name: seen.record.name, number: seen.record.life },
+        let of = |seen: violetward_membership::MemberView| Member {
+            incarnation: Incarnation { name: seen.record.name, number: seen.record.instance_id },
             site: seen.record.site,
             state: state(seen.record.state),
         };
@@ -797,14 +797,14 @@
         for (life, term) in token.chain.iter().filter(|(life, _)| *life != self.me) {
             let known = seen.iter().find(|s| s.record.name == life.name);
             ended &= known.is_some_and(|s| {
-                s.record.life != life.number || s.record.state == violetward_membership::State::Left
+                s.record.instance_id != life.number || s.record.state == violetward_membership::State::Left
             });
-            if !known.is_some_and(|s| s.record.life == life.number && living(s)) {
+            if !known.is_some_and(|s| s.record.instance_id == life.number && living(s)) {
                 open.push((life.clone(), *term));
             }
         }
         for gone in seen.iter().filter(|s| !living(s)) {
-            open.push((Incarnation { name: gone.record.name.clone(), number: gone.record.life }, 0));
+            open.push((Incarnation { name: gone.record.name.clone(), number: gone.record.instance_id }, 0));
         }
         let settled = micros(self.terms.lease) * SETTLED;
         if token.key.accepted_by == self.me || !peers.gone_for(&token.key.accepted_by, now, settled) {
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -510,7 +510,7 @@
         for site in (0..self.terms.sites.len()).filter(|&s| inner.watch.reaches(now, s)) {
             word[site / 8] |= 1 << (site % 8);
         }
-        let live = |s: &violetward_membership::Seen| s.record.state <= Lives::Suspect;
+        let live = |s: &violetward_membership::MemberView| s.record.state <= Lives::Suspect;
         let mut names: Vec<String> =
             self.peers.seen().into_iter().filter(live).map(|s| s.record.name).collect();
         for place in 0..names.len().min(SPEAK.1) {
--- a/crates/gateway/src/outage/known.rs
+++ b/crates/gateway/src/outage/known.rs
@@ -12,7 +12,7 @@
         said: &mut Vec<(String, Vec<u8>)>,
     ) {
         if now >= inner.spread.next_poll_at() {
-            let live = |s: &violetward_membership::Seen| s.record.state <= Lives::Suspect;
+            let live = |s: &violetward_membership::MemberView| s.record.state <= Lives::Suspect;
             let members =
                 || self.peers.seen().into_iter().filter(live).map(|s| s.record.name).collect::<Vec<_>>();
             let sums = self.sums(host, inner);
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -9,8 +9,8 @@
 use async_io::Async;
 use futures_lite::future;
 use serde::{Deserialize, Serialize};
-use violetward_membership::wire::CLASSES;
-use violetward_membership::{Change, Demand, Effect, Link, Membership, Standing, State, Terms};
+use violetward_membership::wire::MAX_DEMAND_CLASSES;
+use violetward_membership::{Change, Config, Demand, Effect, Link, Membership, Standing, State};
 use violetward_net::Alarm;
 use violetward_transport::sockets::{self, Datagrams};
 
@@ -25,7 +25,7 @@
 /// Over how long what clients ask for is averaged, and how often that is told.
 const AVERAGE: (Duration, Duration) = (Duration::from_secs(5), Duration::from_millis(500));
 /// Octets read at once: one more than any good datagram tells a longer one.
-const READ: usize = violetward_membership::wire::DATAGRAM + 1;
+const READ: usize = violetward_membership::wire::MAX_DATAGRAM_BYTES + 1;
 
 /// The other gateways, as this one knows them.
 pub struct Peers {
@@ -124,19 +124,19 @@
             Some(address) => address,
             None => datagrams.address()?,
         };
-        let known = Terms {
+        let known = Config {
             name: terms.name.clone(),
             site: terms.site.clone(),
             address,
             seeds: terms.seeds.clone(),
-            via: terms.address_overrides.clone(),
+            address_overrides: terms.address_overrides.clone(),
             keys: terms.keys.clone(),
-            period: terms.probe_interval.as_micros() as u64,
-            most: terms.max_members,
-            fleet: host.config.settings.gateways,
-            widest: terms.max_total_share,
-            widen: terms.share_growth_per_s,
-            plain: false,
+            probe_interval: terms.probe_interval.as_micros() as u64,
+            max_members: terms.max_members,
+            configured_gateways: host.config.settings.gateways,
+            max_total_share: terms.max_total_share,
+            share_growth_per_s: terms.share_growth_per_s,
+            plain_swim: false,
         };
         tracing::info!(name = terms.name, site = terms.site, %address, "membership");
         let membership = RefCell::new(Membership::new(known, rand::random(), host.now()));
@@ -155,7 +155,7 @@
             let take = move |text: &str| {
                 let keys = read_membership_keys(text)?;
                 to.custody().iter().for_each(|custody| custody.set_keys(keys.clone()));
-                of.membership.borrow_mut().keys(keys);
+                of.membership.borrow_mut().set_keys(keys);
                 Ok(())
             };
             host.spawn(watch::watch_key_file(file, host.config.host.list_poll_interval, take));
@@ -171,7 +171,7 @@
     fn with<T>(&self, host: &Rc<Host>, act: impl FnOnce(&mut Membership, u64) -> T) -> T {
         let result = act(&mut self.membership.borrow_mut(), host.now());
         loop {
-            let effect = self.membership.borrow_mut().effect();
+            let effect = self.membership.borrow_mut().next_effect();
             match effect {
                 Some(effect) => self.carry_out(host, effect),
                 None => break,
@@ -190,26 +190,28 @@
                 let part = host.outage().map_or(part, |outage| outage.share(part));
                 host.with_core(|core, now| core.set_share(now, part));
             }
-            Effect::Heard(from, bytes) if bytes.first() == Some(&custody::SAID) => {
+            Effect::Received(from, bytes) if bytes.first() == Some(&custody::SAID) => {
                 host.custody().iter().for_each(|custody| custody.heard(host, &from, &bytes[1..]));
             }
-            Effect::Heard(from, bytes) if bytes.first() == Some(&outage::SAID) => {
+            Effect::Received(from, bytes) if bytes.first() == Some(&outage::SAID) => {
                 host.outage().iter().for_each(|outage| outage.heard(host, &from, &bytes[1..]));
             }
-            Effect::Heard(from, bytes) => {
+            Effect::Received(from, bytes) => {
                 let agreed = host.agreed.borrow().clone();
                 agreed.iter().for_each(|agreed| agreed.receive(host, &from, &bytes));
             }
-            Effect::Told(change) => {
+            Effect::Changed(change) => {
                 let at = host.now();
                 match change {
-                    Change::Member { name, was, state, incarnation } => {
+                    Change::Member { name, previous: was, state, incarnation } => {
                         let was = was.map_or("unknown", word);
                         let state = word(state);
                         tracing::info!(member = name, was, state, incarnation, at, "member");
                         host.custody().iter().for_each(|custody| custody.members(host));
                     }
-                    Change::Standing(standing) => tracing::info!(standing = standing.word(), at, "standing"),
+                    Change::Standing(standing) => {
+                        tracing::info!(standing = standing.as_str(), at, "standing")
+                    }
                     Change::Paused(span) => {
                         tracing::warn!(ms = span / 1000, at, "this process stood still");
                         host.outage().iter().for_each(|outage| outage.paused(host, span));
@@ -217,7 +219,7 @@
                     Change::Link(name, link) => {
                         tracing::info!(member = name, link = link_word(link), at, "link")
                     }
-                    Change::Rival(address) => {
+                    Change::NameConflict(address) => {
                         tracing::error!(%address, at, "another process has this one's name");
                     }
                 }
@@ -231,16 +233,16 @@
             let (from, bytes) = self.datagrams.next(&mut bytes).await;
             // What is due comes first: after a pause it is the wake-up that tells of it, not old datagrams.
             if self.membership.borrow().next_wake() <= host.now() {
-                self.with(&host, Membership::wake);
+                self.with(&host, Membership::handle_wake);
             }
-            self.with(&host, |m, now| m.datagram(now, from, bytes));
+            self.with(&host, |m, now| m.handle_datagram(now, from, bytes));
         }
     }
 
     async fn wake(self: Rc<Self>, host: Rc<Host>) {
         loop {
             self.alarm.wait(&host.clock, || self.next_wake()).await;
-            self.with(&host, Membership::wake);
+            self.with(&host, Membership::handle_wake);
             future::yield_now().await;
         }
     }
@@ -256,13 +258,13 @@
                 *rate = *rate * keep + (now - was) / AVERAGE.1.as_secs_f64() * (1.0 - keep);
             }
             before = offered;
-            self.membership.borrow_mut().demand(Demand::of(&rates));
+            self.membership.borrow_mut().set_demand(Demand::from_work(&rates));
         }
     }
 
     /// Says something to a member that is not membership's own.
     pub fn say(&self, host: &Rc<Host>, name: &str, bytes: &[u8]) {
-        self.with(host, |m, now| m.say(now, name, bytes));
+        self.with(host, |m, now| m.send_payload(now, name, bytes));
     }
 
     /// Says something to all that live.
@@ -272,9 +274,9 @@
 
     /// Says something to some of those that live, drawn anew each time.
     pub fn say_some(&self, host: &Rc<Host>, bytes: &[u8], most: usize) {
-        let lives = |seen: &violetward_membership::Seen| seen.record.state <= State::Suspect;
+        let lives = |seen: &violetward_membership::MemberView| seen.record.state <= State::Suspect;
         let mut names: Vec<String> =
-            self.membership.borrow().view().filter(lives).map(|seen| seen.record.name).collect();
+            self.membership.borrow().members().filter(lives).map(|seen| seen.record.name).collect();
         for place in 0..names.len().min(most) {
             let drawn = rand::random_range(place..names.len());
             names.swap(place, drawn);
@@ -285,19 +287,22 @@
     /// This one's life and site.
     pub fn me(&self) -> (Incarnation, String) {
         let m = self.membership.borrow();
-        (Incarnation { name: m.me().name.clone(), number: m.me().life }, m.me().site.clone())
+        (
+            Incarnation { name: m.own_record().name.clone(), number: m.own_record().instance_id },
+            m.own_record().site.clone(),
+        )
     }
 
     /// Work that clients ask for at all that live, by class: core milliseconds a second.
     pub fn demand_of_all(&self) -> Vec<f64> {
         let m = self.membership.borrow();
         let others: Vec<Demand> = m
-            .view()
+            .members()
             .filter(|seen| seen.record.state <= State::Suspect)
             .map(|seen| seen.record.demand)
-            .chain([m.me().demand])
+            .chain([m.own_record().demand])
             .collect();
-        (0..CLASSES).map(|class| others.iter().map(|d| d.class(class)).sum()).collect()
+        (0..MAX_DEMAND_CLASSES).map(|class| others.iter().map(|d| d.work_of_class(class)).sum()).collect()
     }
 
     /// How this one stands with the others, and its part of the fleet.
@@ -307,8 +312,8 @@
     }
 
     /// All other members that are remembered.
-    pub fn seen(&self) -> Vec<violetward_membership::Seen> {
-        self.membership.borrow().view().collect()
+    pub fn seen(&self) -> Vec<violetward_membership::MemberView> {
+        self.membership.borrow().members().collect()
     }
 
     /// The names of all other members that are remembered.
@@ -318,29 +323,30 @@
 
     /// Where a member is reached by streams.
     pub fn reached_at(&self, name: &str) -> Option<SocketAddr> {
-        let known = self.membership.borrow().view().find(|seen| seen.record.name == name);
+        let known = self.membership.borrow().members().find(|seen| seen.record.name == name);
         known.map(|seen| self.via.get(name).copied().unwrap_or(seen.record.address))
     }
 
     /// Whether nobody can say yet that this life of a gateway is over.
     pub fn may_live(&self, life: &Incarnation) -> bool {
-        let known = self.membership.borrow().view().find(|seen| seen.record.name == life.name);
-        known.is_some_and(|seen| seen.record.life == life.number && seen.record.state <= State::Suspect)
+        let known = self.membership.borrow().members().find(|seen| seen.record.name == life.name);
+        known
+            .is_some_and(|seen| seen.record.instance_id == life.number && seen.record.state <= State::Suspect)
     }
 
     /// Whether this life of a gateway has been over for so long, as far as is known here.
     pub fn gone_for(&self, life: &Incarnation, now: u64, span: u64) -> bool {
-        let known = self.membership.borrow().view().find(|seen| seen.record.name == life.name);
+        let known = self.membership.borrow().members().find(|seen| seen.record.name == life.name);
         known.is_none_or(|seen| {
-            let over = seen.record.life != life.number || seen.record.state > State::Suspect;
+            let over = seen.record.instance_id != life.number || seen.record.state > State::Suspect;
             over && now >= seen.since + span
         })
     }
 
     /// Whether nobody doubts that this life of a gateway goes on.
     pub fn lives(&self, life: &Incarnation) -> bool {
-        let known = self.membership.borrow().view().find(|seen| seen.record.name == life.name);
-        known.is_some_and(|seen| seen.record.life == life.number && seen.record.state == State::Alive)
+        let known = self.membership.borrow().members().find(|seen| seen.record.name == life.name);
+        known.is_some_and(|seen| seen.record.instance_id == life.number && seen.record.state == State::Alive)
     }
 
     /// Where streams of records are taken: on the port of datagrams, once.
@@ -356,7 +362,7 @@
     /// What is known.
     pub fn view(&self) -> View {
         let m = self.membership.borrow();
-        let row = |seen: violetward_membership::Seen| MemberRow {
+        let row = |seen: violetward_membership::MemberView| MemberRow {
             name: seen.record.name,
             site: seen.record.site,
             address: seen.record.address.to_string(),
@@ -368,19 +374,19 @@
         };
         let counts = m.counts;
         View {
-            name: m.me().name.clone(),
-            standing: Standing::word(m.standing()).into(),
-            address: m.me().address.to_string(),
+            name: m.own_record().name.clone(),
+            standing: Standing::as_str(m.standing()).into(),
+            address: m.own_record().address.to_string(),
             share: m.share(),
-            demand: m.me().demand.total(),
-            members: m.view().map(row).collect(),
+            demand: m.own_record().demand.total(),
+            members: m.members().map(row).collect(),
             sent: counts.sent,
-            taken: counts.taken,
-            refused: counts.refused,
-            paused: counts.paused,
-            suspected: counts.suspected,
-            declared: counts.declared,
-            refuted: counts.refuted,
+            taken: counts.received,
+            refused: counts.rejected,
+            paused: counts.pauses,
+            suspected: counts.suspicions,
+            declared: counts.declared_dead,
+            refuted: counts.refutations,
         }
     }
 }
--- a/crates/lab/src/cluster/mod.rs
+++ b/crates/lab/src/cluster/mod.rs
@@ -950,7 +950,7 @@
         let mut forged = Vec::new();
         for n in 0..count {
             let from = format!("invented-{n}");
-            Datagram { from, life: n as u64, number: 1, kind: Kind::Ping(1), records: vec![] }
+            Datagram { from, instance_id: n as u64, number: 1, kind: Kind::Ping(1), records: vec![] }
                 .seal(&foreign, &mut forged);
             let replayed = remembered.get(n % remembered.len().max(1));
             for target in &targets {
--- a/crates/lab/src/membership.rs
+++ b/crates/lab/src/membership.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use violetward_membership::sim::{terms, Act, Fleet, Weather};
+use violetward_membership::sim::{test_config, Action, Fleet, Weather};
 use violetward_membership::Micros;
 
 const SECOND: Micros = 1_000_000;
@@ -41,11 +41,11 @@
         cost: Duration::ZERO,
     };
     for seed in 1..=seeds {
-        let mut fleet = Fleet::new(count, seed, move |n| terms(n, count, PERIOD, plain));
+        let mut fleet = Fleet::new(count, seed, move |n| test_config(n, count, PERIOD, plain));
         fleet.until(120 * SECOND, Fleet::agree);
-        fleet.act(&Act::Weather(Weather { loss, ..Weather::default() }));
+        fleet.act(&Action::Weather(Weather { loss, ..Weather::default() }));
         fleet.run(5 * SECOND);
-        fleet.findings = Default::default();
+        fleet.report = Default::default();
         let (start, began) = (fleet.now, Instant::now());
         // Some stand still now and then, for longer than a round of probes.
         let mut turn = 0;
@@ -53,9 +53,9 @@
             if pauses {
                 let sleepers: Vec<usize> =
                     (0..count.div_ceil(20)).map(|i| (turn * 7 + i * 20) % count).collect();
-                sleepers.iter().for_each(|&n| fleet.act(&Act::Stop(n)));
+                sleepers.iter().for_each(|&n| fleet.act(&Action::Stop(n)));
                 fleet.run(4 * SECOND);
-                sleepers.iter().for_each(|&n| fleet.act(&Act::Continue(n)));
+                sleepers.iter().for_each(|&n| fleet.act(&Action::Continue(n)));
                 fleet.run(6 * SECOND);
                 turn += 1;
             } else {
@@ -65,18 +65,18 @@
         let members = count as f64 * seeds as f64;
         row.cost += began.elapsed().div_f64((fleet.now - start) as f64 / SECOND as f64 * members);
         let span = (fleet.now - start) as f64 / SECOND as f64 * count as f64 * seeds as f64;
-        row.false_deaths += fleet.findings.false_deaths as f64 / (span / 3600.0);
-        row.messages += fleet.findings.sent.0 as f64 / span;
-        row.octets += fleet.findings.sent.1 as f64 / span;
-        row.wakes += fleet.findings.wakes as f64 / span;
+        row.false_deaths += fleet.report.false_death_count as f64 / (span / 3600.0);
+        row.messages += fleet.report.sent.0 as f64 / span;
+        row.octets += fleet.report.sent.1 as f64 / span;
+        row.wakes += fleet.report.wake_count as f64 / span;
         // One dies, and how long that takes to be known.
-        fleet.findings.detected.clear();
-        fleet.findings.agreed.clear();
-        fleet.act(&Act::Kill(count / 2));
+        fleet.report.detection_times.clear();
+        fleet.report.agreement_times.clear();
+        fleet.act(&Action::Kill(count / 2));
         fleet.run(40 * SECOND);
-        row.detected.append(&mut fleet.findings.detected);
-        row.agreed.append(&mut fleet.findings.agreed);
-        row.most_share = row.most_share.max(fleet.findings.most_share);
+        row.detected.append(&mut fleet.report.detection_times);
+        row.agreed.append(&mut fleet.report.agreement_times);
+        row.most_share = row.most_share.max(fleet.report.max_total_share);
     }
     row.detected.sort_unstable();
     row.agreed.sort_unstable();
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -11,5 +11,5 @@
 pub mod sim;
 pub mod wire;
 
-pub use machine::{Change, Counts, Effect, Link, Membership, Micros, Seen, Standing, Terms};
-pub use wire::{Demand, Key, Keys, Record, Refused, State};
+pub use machine::{Change, Config, Counts, Effect, Link, MemberView, Membership, Micros, Standing};
+pub use wire::{Demand, Key, Keys, Record, Rejection, State};
--- a/crates/membership/src/share.rs
+++ b/crates/membership/src/share.rs
@@ -10,13 +10,13 @@
 use crate::machine::{Micros, Standing};
 
 /// Part of the share that goes by offered load; the rest is even.
-const BY_LOAD: f64 = 0.5;
+const LOAD_WEIGHT: f64 = 0.5;
 /// What a gateway keeps of its even share while it cannot tell whether it is the one that is cut off.
-const NARROW: f64 = 0.5;
+const ISOLATED_SHARE_FACTOR: f64 = 0.5;
 
 /// What a share is worked out from.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Known {
+pub struct ShareInputs {
     /// Gateways that the configuration names.
     pub fleet: u32,
     /// Members that are not known to have left, dead ones included.
@@ -46,24 +46,24 @@
 impl Share {
     /// A share before anything is known: that of a gateway that cannot tell.
     pub fn new(widest: f64, widen: f64, fleet: u32, at: Micros) -> Self {
-        Share { widest, widen, now: NARROW / f64::from(fleet.max(1)), at, living: 0 }
+        Share { widest, widen, now: ISOLATED_SHARE_FACTOR / f64::from(fleet.max(1)), at, living: 0 }
     }
 
     /// The share at a time. It widens slowly. It narrows at once where more members live or this one's standing is bad, and
     /// as slowly as it widens where only load has moved: else noise in what clients ask for would narrow one share at once
     /// and widen the others late, and leave part of the fleet to nobody.
-    pub fn next(&mut self, now: Micros, known: &Known) -> f64 {
+    pub fn next(&mut self, now: Micros, known: &ShareInputs) -> f64 {
         let fleet = f64::from(known.fleet.max(known.members).max(1));
         let even = 1.0 / fleet;
         let living = f64::from(known.living.max(1));
         let goal = match known.standing {
             Standing::Whole => {
                 let by_load = known.load.map_or(1.0 / living, |load| load.clamp(0.0, 1.0));
-                (1.0 - BY_LOAD) / living + BY_LOAD * by_load
+                (1.0 - LOAD_WEIGHT) / living + LOAD_WEIGHT * by_load
             }
             // Whether the others are dead or this one is cut off from them looks the same from here: taking less is
             // the error that harms nobody else.
-            _ => NARROW * even,
+            _ => ISOLATED_SHARE_FACTOR * even,
         };
         let goal = goal.min(self.widest * even);
         let span = now.saturating_sub(self.at) as f64 / 1e6;
--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/sim.rs
@@ -1,6 +1,6 @@
 //! Whole fleets of members on a virtual network and a virtual clock, all drawn from a seed: the same code as in service.
 //!
-//! A history is a list of [`Act`]s at their times; what holds at each step is checked as it runs. The same seed and acts
+//! A history is a list of [`Action`]s at their times; what holds at each step is checked as it runs. The same seed and acts
 //! give the same history, so that a failing one replays, and [`shrink`] drops acts that it does not need.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
@@ -9,12 +9,12 @@
 pub use violetward_transport::sim::Weather;
 use violetward_transport::sim::{Dice, Queue};
 
-use crate::machine::{Change, Effect, Membership, Micros, Standing, Terms};
+use crate::machine::{Change, Config, Effect, Membership, Micros, Standing};
 use crate::wire::{Key, Keys, State};
 
 /// Something that happens to a fleet. Members are told by number.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Act {
+pub enum Action {
     /// A process ends without a word.
     Kill(usize),
     /// It starts anew, under its name.
@@ -48,27 +48,27 @@
 
 /// What a history has shown.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Findings {
+pub struct Report {
     /// Spans from a death to each living member's knowing of it.
-    pub detected: Vec<Micros>,
+    pub detection_times: Vec<Micros>,
     /// Spans from a death to the last member's knowing.
-    pub agreed: Vec<Micros>,
+    pub agreement_times: Vec<Micros>,
     /// Times that a member was declared dead that ran, was not stopped and not cut off.
-    pub false_deaths: usize,
+    pub false_death_count: usize,
     /// Datagrams and octets sent by all.
     pub sent: (u64, u64),
     /// Wake-ups of all.
-    pub wakes: u64,
+    pub wake_count: u64,
     /// The largest sum of shares over all running processes.
-    pub most_share: f64,
+    pub max_total_share: f64,
     /// The first thing that did not hold, and when.
-    pub broken: Option<(Micros, String)>,
+    pub first_violation: Option<(Micros, String)>,
 }
 
 /// A fleet.
 pub struct Fleet {
     nodes: Vec<Node>,
-    terms: Box<dyn Fn(usize) -> Terms>,
+    terms: Box<dyn Fn(usize) -> Config>,
     dice: Dice,
     /// The virtual time.
     pub now: Micros,
@@ -79,7 +79,7 @@
     addresses: HashMap<SocketAddr, usize>,
     known_dead: BTreeMap<usize, HashSet<usize>>,
     /// What has been seen.
-    pub findings: Findings,
+    pub report: Report,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -88,29 +88,29 @@
     Arrive(usize, SocketAddr, Vec<u8>),
 }
 
-/// Terms of member `n` of a fleet of `count`, with a period.
-pub fn terms(n: usize, count: usize, period: Micros, plain: bool) -> Terms {
+/// Config of member `n` of a fleet of `count`, with a period.
+pub fn test_config(n: usize, count: usize, probe_interval: Micros, plain_swim: bool) -> Config {
     let address = |n: usize| SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250) as u8 + 1], 7000));
     let key = Key { name: "ring".into(), secret: b"not a secret at all".to_vec() };
-    Terms {
+    Config {
         name: format!("g{n}"),
         site: format!("s{}", n % 3),
         address: address(n),
         seeds: (0..count.min(8)).map(address).collect(),
-        via: BTreeMap::new(),
+        address_overrides: BTreeMap::new(),
         keys: Keys::new(vec![key]).expect("a ring"),
-        period,
-        most: 4 * count.max(8),
-        fleet: count as u32,
-        widest: 2.0,
-        widen: 0.1,
-        plain,
+        probe_interval,
+        max_members: 4 * count.max(8),
+        configured_gateways: count as u32,
+        max_total_share: 2.0,
+        share_growth_per_s: 0.1,
+        plain_swim,
     }
 }
 
 impl Fleet {
     /// Members `0..count`, started one after the other within a second.
-    pub fn new(count: usize, seed: u64, terms: impl Fn(usize) -> Terms + 'static) -> Fleet {
+    pub fn new(count: usize, seed: u64, terms: impl Fn(usize) -> Config + 'static) -> Fleet {
         let addresses = (0..count).map(|n| (terms(n).address, n)).collect();
         let mut fleet = Fleet {
             nodes: Vec::new(),
@@ -123,7 +123,7 @@
             queue: Queue::new(1_000_000),
             addresses,
             known_dead: BTreeMap::new(),
-            findings: Findings::default(),
+            report: Report::default(),
         };
         for _ in 0..count {
             fleet.nodes.push(Node {
@@ -166,11 +166,11 @@
 
     /// Whether all that run believe of each of them that it lives, and of nobody else.
     pub fn agree(&self) -> bool {
-        let names: HashSet<String> = self.running().map(|(_, m)| m.me().name.clone()).collect();
+        let names: HashSet<String> = self.running().map(|(_, m)| m.own_record().name.clone()).collect();
         self.running().all(|(_, m)| {
-            let living = m.view().filter(|s| s.record.state == State::Alive).map(|s| s.record.name);
+            let living = m.members().filter(|s| s.record.state == State::Alive).map(|s| s.record.name);
             living.filter(|name| names.contains(name)).count() + 1 == names.len()
-                && m.view().all(|s| names.contains(&s.record.name) || s.record.state > State::Suspect)
+                && m.members().all(|s| names.contains(&s.record.name) || s.record.state > State::Suspect)
         })
     }
 
@@ -184,16 +184,16 @@
     }
 
     /// Lets something happen.
-    pub fn act(&mut self, act: &Act) {
+    pub fn act(&mut self, act: &Action) {
         match act {
-            Act::Kill(n) => {
+            Action::Kill(n) => {
                 self.nodes[*n].member = None;
                 self.nodes[*n].waiting.clear();
                 self.nodes[*n].killed = Some(self.now);
                 self.known_dead.insert(*n, HashSet::new());
             }
-            Act::Start(n) => self.start(*n),
-            Act::Leave(n) => {
+            Action::Start(n) => self.start(*n),
+            Action::Leave(n) => {
                 let now = self.now;
                 if let Some(member) = &mut self.nodes[*n].member {
                     member.leave(now);
@@ -201,8 +201,8 @@
                 self.carry_out(*n);
                 self.nodes[*n].member = None;
             }
-            Act::Stop(n) => self.nodes[*n].stopped = true,
-            Act::Continue(n) => {
+            Action::Stop(n) => self.nodes[*n].stopped = true,
+            Action::Continue(n) => {
                 self.nodes[*n].stopped = false;
                 // What was due fires first, then the socket's buffer is read.
                 self.plan(*n, true);
@@ -210,18 +210,18 @@
                     self.queue.push(self.now, Event::Arrive(*n, from, bytes));
                 }
             }
-            Act::Cut(a, b) => {
+            Action::Cut(a, b) => {
                 self.cuts.insert((*a, *b));
             }
-            Act::Mend(a, b) => {
+            Action::Mend(a, b) => {
                 self.cuts.remove(&(*a, *b));
             }
-            Act::Part(groups) => self.groups = groups.clone(),
-            Act::Heal => {
+            Action::Part(groups) => self.groups = groups.clone(),
+            Action::Heal => {
                 self.cuts.clear();
                 self.groups.iter_mut().for_each(|g| *g = 0);
             }
-            Act::Weather(weather) => self.weather = *weather,
+            Action::Weather(weather) => self.weather = *weather,
         }
     }
 
@@ -248,13 +248,13 @@
     }
 
     fn carry_out(&mut self, n: usize) {
-        while let Some(effect) = self.nodes[n].member.as_mut().and_then(Membership::effect) {
+        while let Some(effect) = self.nodes[n].member.as_mut().and_then(Membership::next_effect) {
             match effect {
                 Effect::Send(to, bytes) => {
-                    self.findings.sent.0 += 1;
-                    self.findings.sent.1 += bytes.len() as u64;
+                    self.report.sent.0 += 1;
+                    self.report.sent.1 += bytes.len() as u64;
                     let Some(&target) = self.addresses.get(&to) else { continue };
-                    if bytes.len() > crate::wire::DATAGRAM {
+                    if bytes.len() > crate::wire::MAX_DATAGRAM_BYTES {
                         self.broke(format!("g{n} sent {} octets", bytes.len()));
                     }
                     if !self.passes(n, target) {
@@ -265,32 +265,33 @@
                         self.queue.push(self.now + delay, Event::Arrive(target, from, bytes));
                     }
                 }
-                Effect::Told(Change::Member { name, state: State::Dead, was: Some(_), .. }) => {
+                Effect::Changed(Change::Member { name, state: State::Dead, previous: Some(_), .. }) => {
                     let Some(of) = name.strip_prefix('g').and_then(|n| n.parse::<usize>().ok()) else {
                         continue;
                     };
                     match self.nodes[of].killed {
                         Some(at) => {
-                            self.findings.detected.push(self.now - at);
+                            self.report.detection_times.push(self.now - at);
                             let running = self.running().count();
                             let known = self.known_dead.entry(of).or_default();
                             if known.insert(n) && known.len() == running {
-                                self.findings.agreed.push(self.now - at);
+                                self.report.agreement_times.push(self.now - at);
                             }
                         }
-                        None if self.is_sound(of) && self.is_sound(n) => self.findings.false_deaths += 1,
+                        None if self.is_sound(of) && self.is_sound(n) => self.report.false_death_count += 1,
                         None => {}
                     }
                 }
-                Effect::Told(_) | Effect::Heard(..) => {}
+                Effect::Changed(_) | Effect::Received(..) => {}
                 Effect::Share(_) => {
                     // The invariant: whatever each believes, all together take a bounded part of the fleet.
                     let terms = (self.terms)(n);
                     let processes = self.nodes.iter().filter(|n| n.member.is_some()).count();
-                    let bound = terms.widest * (processes as f64 / f64::from(terms.fleet)).max(1.0);
+                    let bound = terms.max_total_share
+                        * (processes as f64 / f64::from(terms.configured_gateways)).max(1.0);
                     let sum: f64 =
                         self.nodes.iter().filter_map(|n| n.member.as_ref()).map(Membership::share).sum();
-                    self.findings.most_share = self.findings.most_share.max(sum);
+                    self.report.max_total_share = self.report.max_total_share.max(sum);
                     if sum > bound + 1e-9 {
                         self.broke(format!("shares add up to {sum:.3} of {bound:.3}"));
                     }
@@ -300,7 +301,7 @@
     }
 
     fn broke(&mut self, what: String) {
-        self.findings.broken.get_or_insert((self.now, what));
+        self.report.first_violation.get_or_insert((self.now, what));
     }
 
     /// Lets virtual time pass.
@@ -316,8 +317,8 @@
                         continue;
                     }
                     let Some(member) = &mut node.member else { continue };
-                    self.findings.wakes += 1;
-                    member.wake(at);
+                    self.report.wake_count += 1;
+                    member.handle_wake(at);
                     n
                 }
                 Event::Arrive(n, from, bytes) => {
@@ -330,7 +331,7 @@
                         continue;
                     }
                     let Some(member) = &mut node.member else { continue };
-                    member.datagram(at, from, &bytes);
+                    member.handle_datagram(at, from, &bytes);
                     n
                 }
             };
@@ -362,9 +363,9 @@
 pub fn play(
     count: usize,
     seed: u64,
-    acts: &[(Micros, Act)],
+    acts: &[(Micros, Action)],
     rest: Micros,
-    terms: impl Fn(usize) -> Terms + 'static,
+    terms: impl Fn(usize) -> Config + 'static,
 ) -> Fleet {
     let mut fleet = Fleet::new(count, seed, terms);
     let start = fleet.now;
@@ -378,7 +379,10 @@
 }
 
 /// Drops acts one after the other as long as the rest still fails.
-pub fn shrink(acts: &[(Micros, Act)], fails: impl Fn(&[(Micros, Act)]) -> bool) -> Vec<(Micros, Act)> {
+pub fn shrink(
+    acts: &[(Micros, Action)],
+    fails: impl Fn(&[(Micros, Action)]) -> bool,
+) -> Vec<(Micros, Action)> {
     let mut kept = acts.to_vec();
     let mut at = 0;
     while at < kept.len() {
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,6 +1,6 @@
 //! Datagrams: their layout, their signatures and their bounds.
 //!
-//! `version 1 | key 4 | life 8 | number 8 | sender | kind and its fields | records | addressee 4 | code 16`, integers big-endian, texts
+//! `version 1 | key 4 | instance_id 8 | number 8 | sender | kind and its fields | records | addressee 4 | code 16`, integers big-endian, texts
 //! with one octet of length. A record has its length before it: what a newer format adds at its end is passed over, and
 //! what an older one leaves out reads as nothing told.
 
@@ -10,57 +10,57 @@
 pub use violetward_transport::{mark, Key, Keys};
 
 /// Octets of a datagram at most: it passes every usual path whole.
-pub const DATAGRAM: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// The format that this code writes. Any format from 1 on has the same head.
-pub const VERSION: u8 = 1;
+pub const FORMAT_VERSION: u8 = 1;
 /// Octets of a name or a site.
-pub const NAME: usize = 48;
+pub const MAX_NAME_BYTES: usize = 48;
 /// Classes whose demand a record tells.
-pub const CLASSES: usize = 8;
+pub const MAX_DEMAND_CLASSES: usize = 8;
 /// Bad links that a record tells.
-pub const CUTS: usize = 4;
+pub const MAX_CUT_LINKS: usize = 4;
 /// Parts of the state whose digests are compared on their own.
-pub const BUCKETS: usize = 16;
-/// Octets that [`Kind::Said`] has room for.
-pub const SAID: usize = 1_000;
+pub const DIGEST_BUCKETS: usize = 16;
+/// Octets that [`Kind::Payload`] has room for.
+pub const MAX_PAYLOAD_BYTES: usize = 1_000;
 /// Octets of the code.
-const CODE: usize = 16;
+const MAC_BYTES: usize = 16;
 
 fn seal(keys: &Keys, out: &mut Vec<u8>) {
     let code = keys.first().code(&[out]).finalize().into_bytes();
-    out.extend_from_slice(&code[..CODE]);
+    out.extend_from_slice(&code[..MAC_BYTES]);
 }
 
-fn open<'a>(keys: &Keys, bytes: &'a [u8]) -> Result<&'a [u8], Refused> {
-    if bytes.len() > DATAGRAM {
-        return Err(Refused::Oversized);
+fn open<'a>(keys: &Keys, bytes: &'a [u8]) -> Result<&'a [u8], Rejection> {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
+        return Err(Rejection::Oversized);
     }
-    let at = bytes.len().checked_sub(CODE).filter(|&at| at >= 5).ok_or(Refused::Short)?;
+    let at = bytes.len().checked_sub(MAC_BYTES).filter(|&at| at >= 5).ok_or(Rejection::Malformed)?;
     let (body, code) = bytes.split_at(at);
-    let id = u32::from_be_bytes(body[1..5].try_into().map_err(|_| Refused::Short)?);
+    let id = u32::from_be_bytes(body[1..5].try_into().map_err(|_| Rejection::Malformed)?);
     let mut known = keys.marked(id).peekable();
     if known.peek().is_none() {
-        return Err(Refused::Key);
+        return Err(Rejection::UnknownKey);
     }
     let good = known.any(|key| key.code(&[body]).verify_truncated_left(code).is_ok());
-    good.then_some(body).ok_or(Refused::Forged)
+    good.then_some(body).ok_or(Rejection::Forged)
 }
 
 /// Why a datagram is not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refused {
+pub enum Rejection {
     /// It is cut off, or what it says does not fit.
-    Short,
+    Malformed,
     /// It is longer than any of ours.
     Oversized,
     /// Its key is not known here.
-    Key,
+    UnknownKey,
     /// Its code does not fit.
     Forged,
     /// It was seen before, or is too old to tell.
     Replayed,
-    /// Its sender has not proved yet that this life of it goes on.
-    Unproved,
+    /// Its sender has not proved yet that this instance_id of it goes on.
+    Unverified,
 }
 
 /// What is believed of a member.
@@ -78,21 +78,21 @@
 
 /// What a gateway's clients ask for: work by class, in core milliseconds a second, each to within a fifth.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Demand(pub [u8; CLASSES]);
+pub struct Demand(pub [u8; MAX_DEMAND_CLASSES]);
 
 impl Demand {
     /// From work by class; classes beyond the last place are added there.
-    pub fn of(work: &[f64]) -> Self {
-        let mut sums = [0.0; CLASSES];
+    pub fn from_work(work: &[f64]) -> Self {
+        let mut sums = [0.0; MAX_DEMAND_CLASSES];
         for (class, work) in work.iter().enumerate() {
-            sums[class.min(CLASSES - 1)] += work.max(0.0);
+            sums[class.min(MAX_DEMAND_CLASSES - 1)] += work.max(0.0);
         }
         // Quarters of powers of two from 1 ms on; 0 is nothing.
         Demand(sums.map(|w| if w < 1.0 { 0 } else { (w.log2() * 4.0).round().clamp(0.0, 254.0) as u8 + 1 }))
     }
 
     /// Work of a class.
-    pub fn class(&self, class: usize) -> f64 {
+    pub fn work_of_class(&self, class: usize) -> f64 {
         match self.0.get(class) {
             None | Some(0) => 0.0,
             Some(&code) => (f64::from(code - 1) / 4.0).exp2(),
@@ -101,15 +101,15 @@
 
     /// Work of all classes.
     pub fn total(&self) -> f64 {
-        (0..CLASSES).map(|class| self.class(class)).sum()
+        (0..MAX_DEMAND_CLASSES).map(|class| self.work_of_class(class)).sum()
     }
 }
 
 /// A direction in which a link is known to be cut, as its owner sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Cut {
+pub struct CutLink {
     /// The mark of the other's name.
-    pub other: u32,
+    pub peer_hash: u32,
     /// What the owner says does not come there; else what the other says does not come here.
     pub outbound: bool,
 }
@@ -124,25 +124,25 @@
     /// Where it takes datagrams.
     pub address: SocketAddr,
     /// Which process of that name: drawn at its start.
-    pub life: u64,
+    pub instance_id: u64,
     /// Counts its own statements on whether it lives: the higher one holds.
     pub incarnation: u32,
     /// What is believed.
     pub state: State,
     /// The mark of the name of the one who suspects it.
-    pub by: u32,
+    pub accuser: u32,
     /// Counts what it tells of itself beyond that.
-    pub beat: u32,
+    pub metadata_version: u32,
     /// What its clients ask for.
     pub demand: Demand,
     /// Links of its own that are cut.
-    pub cuts: Vec<Cut>,
+    pub cuts: Vec<CutLink>,
 }
 
 impl Record {
     /// What decides which of two records of one name holds.
-    pub fn rank(&self) -> (u32, State, u64) {
-        (self.incarnation, self.state, self.life)
+    pub fn precedence(&self) -> (u32, State, u64) {
+        (self.incarnation, self.state, self.instance_id)
     }
 }
 
@@ -154,24 +154,24 @@
     /// I do; and whether something came from you directly of late.
     Ack(u32, bool),
     /// Please ask that member for me.
-    Ask(u32, String),
+    ProbeRequest(u32, String),
     /// A ping for another: whom for.
-    Relay(u32, String),
+    RelayedPing(u32, String),
     /// The answer to that: whom for, and whether something came from there directly of late.
-    Relayed(u32, String, bool),
-    /// What became of an [`Kind::Ask`]: no answer yet, or one, with what it said.
-    Report(u32, Option<bool>),
+    RelayedAck(u32, String, bool),
+    /// What became of an [`Kind::ProbeRequest`]: no answer yet, or one, with what it said.
+    ProbeReport(u32, Option<bool>),
     /// Prove that you are not an echo.
     Challenge(u64),
     /// The proof.
-    Proof(u64),
+    ChallengeResponse(u64),
     /// Digests of the whole state, part by part, and whether the other's are wanted.
-    Digest([u32; BUCKETS], bool),
+    Digest([u32; DIGEST_BUCKETS], bool),
     /// Records alone.
-    News,
+    Records,
     /// Something that is not membership's own, for what stands on it; and the mark of the name of whom it is for, 0 where an older
     /// format does not tell it.
-    Said(Vec<u8>, u32),
+    Payload(Vec<u8>, u32),
 }
 
 /// A datagram.
@@ -180,7 +180,7 @@
     /// Who sends it.
     pub from: String,
     /// Which process of that name.
-    pub life: u64,
+    pub instance_id: u64,
     /// Its number there, from 1.
     pub number: u64,
     /// What it says.
@@ -190,7 +190,7 @@
 }
 
 fn text(out: &mut Vec<u8>, text: &str) {
-    let cut = &text.as_bytes()[..text.len().min(NAME)];
+    let cut = &text.as_bytes()[..text.len().min(MAX_NAME_BYTES)];
     out.push(cut.len() as u8);
     out.extend_from_slice(cut);
 }
@@ -211,19 +211,19 @@
         }
     }
     out.extend_from_slice(&r.address.port().to_be_bytes());
-    out.extend_from_slice(&r.life.to_be_bytes());
+    out.extend_from_slice(&r.instance_id.to_be_bytes());
     out.extend_from_slice(&r.incarnation.to_be_bytes());
     out.push(r.state as u8);
-    out.extend_from_slice(&r.by.to_be_bytes());
-    out.extend_from_slice(&r.beat.to_be_bytes());
+    out.extend_from_slice(&r.accuser.to_be_bytes());
+    out.extend_from_slice(&r.metadata_version.to_be_bytes());
     // Classes at the end that nobody asks for are not told.
-    let told = CLASSES - r.demand.0.iter().rev().take_while(|&&code| code == 0).count();
+    let told = MAX_DEMAND_CLASSES - r.demand.0.iter().rev().take_while(|&&code| code == 0).count();
     out.push(told as u8);
     out.extend_from_slice(&r.demand.0[..told]);
-    let cuts = &r.cuts[..r.cuts.len().min(CUTS)];
+    let cuts = &r.cuts[..r.cuts.len().min(MAX_CUT_LINKS)];
     out.push(cuts.len() as u8);
     for cut in cuts {
-        out.extend_from_slice(&cut.other.to_be_bytes());
+        out.extend_from_slice(&cut.peer_hash.to_be_bytes());
         out.push(u8::from(cut.outbound));
     }
     out[start] = (out.len() - start - 1) as u8;
@@ -233,9 +233,9 @@
     /// Writes it, signed. Records that find no room are left out; gives how many there are in it.
     pub fn seal(&self, keys: &Keys, out: &mut Vec<u8>) -> usize {
         out.clear();
-        out.push(VERSION);
+        out.push(FORMAT_VERSION);
         out.extend_from_slice(&mark(&keys.first().name).to_be_bytes());
-        out.extend_from_slice(&self.life.to_be_bytes());
+        out.extend_from_slice(&self.instance_id.to_be_bytes());
         out.extend_from_slice(&self.number.to_be_bytes());
         text(out, &self.from);
         let probe = |out: &mut Vec<u8>, kind: u8, probe: u32| {
@@ -248,24 +248,24 @@
                 probe(out, 2, *n);
                 out.push(u8::from(*hears));
             }
-            Kind::Ask(n, target) => {
+            Kind::ProbeRequest(n, target) => {
                 probe(out, 3, *n);
                 text(out, target);
             }
-            Kind::Relay(n, origin) => {
+            Kind::RelayedPing(n, origin) => {
                 probe(out, 4, *n);
                 text(out, origin);
             }
-            Kind::Relayed(n, origin, hears) => {
+            Kind::RelayedAck(n, origin, hears) => {
                 probe(out, 5, *n);
                 text(out, origin);
                 out.push(u8::from(*hears));
             }
-            Kind::Report(n, hears) => {
+            Kind::ProbeReport(n, hears) => {
                 probe(out, 6, *n);
                 out.push(hears.map_or(2, u8::from));
             }
-            Kind::Challenge(nonce) | Kind::Proof(nonce) => {
+            Kind::Challenge(nonce) | Kind::ChallengeResponse(nonce) => {
                 out.push(if matches!(self.kind, Kind::Challenge(_)) { 7 } else { 8 });
                 out.extend_from_slice(&nonce.to_be_bytes());
             }
@@ -274,8 +274,8 @@
                 out.push(u8::from(*wanted));
                 parts.iter().for_each(|part| out.extend_from_slice(&part.to_be_bytes()));
             }
-            Kind::News => out.push(10),
-            Kind::Said(bytes, _) => {
+            Kind::Records => out.push(10),
+            Kind::Payload(bytes, _) => {
                 out.push(11);
                 out.extend_from_slice(&(bytes.len() as u16).to_be_bytes());
                 out.extend_from_slice(bytes);
@@ -287,14 +287,14 @@
         for r in self.records.iter().take(255) {
             let before = out.len();
             record(out, r);
-            if out.len() + CODE > DATAGRAM {
+            if out.len() + MAC_BYTES > MAX_DATAGRAM_BYTES {
                 out.truncate(before);
                 break;
             }
             told += 1;
         }
         out[count] = told as u8;
-        if let Kind::Said(_, to) = self.kind {
+        if let Kind::Payload(_, to) = self.kind {
             out.extend_from_slice(&to.to_be_bytes());
         }
         seal(keys, out);
@@ -305,10 +305,10 @@
     ///
     /// # Errors
     /// Why it is not taken.
-    pub fn open(keys: &Keys, bytes: &[u8]) -> Result<Option<Datagram>, Refused> {
+    pub fn open(keys: &Keys, bytes: &[u8]) -> Result<Option<Datagram>, Rejection> {
         let body = open(keys, bytes)?;
         let mut c = Cursor(body);
-        read(&mut c).ok_or(Refused::Short)
+        read(&mut c).ok_or(Rejection::Malformed)
     }
 }
 
@@ -340,38 +340,38 @@
     fn text(&mut self) -> Option<String> {
         let n = self.u8()? as usize;
         let text = std::str::from_utf8(self.take(n)?).ok()?;
-        (n <= NAME).then(|| text.to_owned())
+        (n <= MAX_NAME_BYTES).then(|| text.to_owned())
     }
 }
 
 fn read(c: &mut Cursor<'_>) -> Option<Option<Datagram>> {
     let version = c.u8()?;
     c.u32()?;
-    let (life, number, from) = (c.u64()?, c.u64()?, c.text()?);
+    let (instance_id, number, from) = (c.u64()?, c.u64()?, c.text()?);
     let mut kind = match c.u8()? {
         1 => Kind::Ping(c.u32()?),
         2 => Kind::Ack(c.u32()?, c.u8()? == 1),
-        3 => Kind::Ask(c.u32()?, c.text()?),
-        4 => Kind::Relay(c.u32()?, c.text()?),
-        5 => Kind::Relayed(c.u32()?, c.text()?, c.u8()? == 1),
+        3 => Kind::ProbeRequest(c.u32()?, c.text()?),
+        4 => Kind::RelayedPing(c.u32()?, c.text()?),
+        5 => Kind::RelayedAck(c.u32()?, c.text()?, c.u8()? == 1),
         6 => {
             let (probe, hears) = (c.u32()?, c.u8()?);
-            Kind::Report(probe, (hears < 2).then_some(hears == 1))
+            Kind::ProbeReport(probe, (hears < 2).then_some(hears == 1))
         }
         7 => Kind::Challenge(c.u64()?),
-        8 => Kind::Proof(c.u64()?),
+        8 => Kind::ChallengeResponse(c.u64()?),
         9 => {
             let wanted = c.u8()? == 1;
-            let mut parts = [0; BUCKETS];
+            let mut parts = [0; DIGEST_BUCKETS];
             for part in &mut parts {
                 *part = c.u32()?;
             }
             Kind::Digest(parts, wanted)
         }
-        10 => Kind::News,
+        10 => Kind::Records,
         11 => {
             let n = c.u16()? as usize;
-            Kind::Said(c.take(n)?.to_vec(), 0)
+            Kind::Payload(c.take(n)?.to_vec(), 0)
         }
         _ => return Some(None),
     };
@@ -385,10 +385,10 @@
         let mut c = Cursor(c.take(n)?);
         records.push(read_record(&mut c)?);
     }
-    if let Kind::Said(_, to) = &mut kind {
+    if let Kind::Payload(_, to) = &mut kind {
         *to = c.u32().unwrap_or(0);
     }
-    Some(Some(Datagram { from, life, number, kind, records }))
+    Some(Some(Datagram { from, instance_id, number, kind, records }))
 }
 
 fn read_record(c: &mut Cursor<'_>) -> Option<Record> {
@@ -399,7 +399,7 @@
         _ => return None,
     };
     let address = SocketAddr::new(ip, c.u16()?);
-    let (life, incarnation) = (c.u64()?, c.u32()?);
+    let (instance_id, incarnation) = (c.u64()?, c.u32()?);
     let state = match c.u8()? {
         0 => State::Alive,
         1 => State::Suspect,
@@ -407,7 +407,7 @@
         3 => State::Left,
         _ => return None,
     };
-    let (by, beat) = (c.u32()?, c.u32()?);
+    let (accuser, metadata_version) = (c.u32()?, c.u32()?);
     // From here on an older format tells nothing.
     let mut demand = Demand::default();
     let told = c.u8().unwrap_or(0) as usize;
@@ -419,8 +419,8 @@
     }
     let mut cuts = Vec::new();
     for _ in 0..c.u8().unwrap_or(0) {
-        let cut = Cut { other: c.u32()?, outbound: c.u8()? == 1 };
-        if cuts.len() < CUTS {
+        let cut = CutLink { peer_hash: c.u32()?, outbound: c.u8()? == 1 };
+        if cuts.len() < MAX_CUT_LINKS {
             cuts.push(cut);
         }
     }
@@ -428,11 +428,11 @@
         name,
         site,
         address,
-        life,
+        instance_id,
         incarnation,
         state,
-        by,
-        beat,
+        accuser,
+        metadata_version,
         demand,
         cuts,
     })
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -3,9 +3,9 @@
 use std::net::SocketAddr;
 
 use proptest::prelude::*;
-use violetward_membership::sim::terms;
-use violetward_membership::wire::{Cut, Datagram, Kind, DATAGRAM};
-use violetward_membership::{Demand, Effect, Key, Keys, Membership, Record, Refused, State};
+use violetward_membership::sim::test_config;
+use violetward_membership::wire::{CutLink, Datagram, Kind, MAX_DATAGRAM_BYTES};
+use violetward_membership::{Demand, Effect, Key, Keys, Membership, Record, Rejection, State};
 
 const PERIOD: u64 = 200_000;
 
@@ -26,25 +26,25 @@
         name: name.into(),
         site: "south".into(),
         address: address(9),
-        life: 7,
+        instance_id: 7,
         incarnation: 3,
         state: State::Suspect,
-        by: 5,
-        beat: 9,
-        demand: Demand::of(&[1200.0, 0.0, 3.0]),
-        cuts: vec![Cut { other: 77, outbound: true }],
+        accuser: 5,
+        metadata_version: 9,
+        demand: Demand::from_work(&[1200.0, 0.0, 3.0]),
+        cuts: vec![CutLink { peer_hash: 77, outbound: true }],
     }
 }
 
 fn member(keys: Keys) -> Membership {
-    let mut t = terms(0, 4, PERIOD, false);
-    (t.keys, t.most) = (keys, 16);
+    let mut t = test_config(0, 4, PERIOD, false);
+    (t.keys, t.max_members) = (keys, 16);
     Membership::new(t, 1, 0)
 }
 
 fn sent(member: &mut Membership) -> Vec<(SocketAddr, Vec<u8>)> {
     let mut all = Vec::new();
-    while let Some(effect) = member.effect() {
+    while let Some(effect) = member.next_effect() {
         if let Effect::Send(to, bytes) = effect {
             all.push((to, bytes));
         }
@@ -52,22 +52,29 @@
     all
 }
 
-fn sealed(keys: &Keys, from: &str, life: u64, number: u64, kind: Kind, records: Vec<Record>) -> Vec<u8> {
+fn sealed(
+    keys: &Keys,
+    from: &str,
+    instance_id: u64,
+    number: u64,
+    kind: Kind,
+    records: Vec<Record>,
+) -> Vec<u8> {
     let mut out = Vec::new();
-    Datagram { from: from.into(), life, number, kind, records }.seal(keys, &mut out);
+    Datagram { from: from.into(), instance_id, number, kind, records }.seal(keys, &mut out);
     out
 }
 
 /// A peer that proves itself and is believed from then on.
-fn proved(member: &mut Membership, keys: &Keys, from: &str, life: u64) {
-    member.datagram(10, address(1), &sealed(keys, from, life, 1, Kind::Ping(1), vec![]));
+fn proved(member: &mut Membership, keys: &Keys, from: &str, instance_id: u64) {
+    member.handle_datagram(10, address(1), &sealed(keys, from, instance_id, 1, Kind::Ping(1), vec![]));
     let asked = sent(member);
     let nonce = asked.iter().find_map(|(_, bytes)| match Datagram::open(keys, bytes) {
         Ok(Some(Datagram { kind: Kind::Challenge(nonce), .. })) => Some(nonce),
         _ => None,
     });
-    let proof = Kind::Proof(nonce.expect("a life that is not known is asked for a proof"));
-    member.datagram(20, address(1), &sealed(keys, from, life, 2, proof, vec![]));
+    let proof = Kind::ChallengeResponse(nonce.expect("a instance_id that is not known is asked for a proof"));
+    member.handle_datagram(20, address(1), &sealed(keys, from, instance_id, 2, proof, vec![]));
     sent(member);
 }
 
@@ -77,28 +84,33 @@
     let kinds = [
         Kind::Ping(1),
         Kind::Ack(2, true),
-        Kind::Ask(3, "g7".into()),
-        Kind::Relay(4, "g8".into()),
-        Kind::Relayed(5, "g8".into(), false),
-        Kind::Report(6, None),
-        Kind::Report(7, Some(true)),
+        Kind::ProbeRequest(3, "g7".into()),
+        Kind::RelayedPing(4, "g8".into()),
+        Kind::RelayedAck(5, "g8".into(), false),
+        Kind::ProbeReport(6, None),
+        Kind::ProbeReport(7, Some(true)),
         Kind::Challenge(8),
-        Kind::Proof(9),
+        Kind::ChallengeResponse(9),
         Kind::Digest([10; 16], true),
-        Kind::News,
-        Kind::Said(vec![3; 700], 4),
+        Kind::Records,
+        Kind::Payload(vec![3; 700], 4),
     ];
     for kind in kinds {
-        let whole = Datagram { from: "g1".into(), life: 1, number: 2, kind, records: vec![record("g2")] };
+        let whole =
+            Datagram { from: "g1".into(), instance_id: 1, number: 2, kind, records: vec![record("g2")] };
         let mut out = Vec::new();
         assert_eq!(whole.seal(&keys, &mut out), 1);
         assert_eq!(Datagram::open(&keys, &out), Ok(Some(whole)));
     }
     let many = (0..200).map(|n| record(&format!("member-{n}"))).collect();
     let mut out = Vec::new();
-    let told = Datagram { from: "g1".into(), life: 1, number: 2, kind: Kind::News, records: many }
+    let told = Datagram { from: "g1".into(), instance_id: 1, number: 2, kind: Kind::Records, records: many }
         .seal(&keys, &mut out);
-    assert!(told > 10 && told < 200 && out.len() <= DATAGRAM, "{told} records in {} octets", out.len());
+    assert!(
+        told > 10 && told < 200 && out.len() <= MAX_DATAGRAM_BYTES,
+        "{told} records in {} octets",
+        out.len()
+    );
 }
 
 #[test]
@@ -106,21 +118,22 @@
     let keys = ring(&["a"]);
     let mut m = member(keys.clone());
     proved(&mut m, &keys, "g1", 11);
-    let good = sealed(&keys, "g1", 11, 3, Kind::News, vec![Record { state: State::Alive, ..record("g2") }]);
+    let good =
+        sealed(&keys, "g1", 11, 3, Kind::Records, vec![Record { state: State::Alive, ..record("g2") }]);
     let mut forged = good.clone();
     forged[30] ^= 1;
-    let before = m.counts.refused;
-    m.datagram(30, address(1), &forged);
-    m.datagram(30, address(1), &good[..20]);
-    m.datagram(30, address(1), &[0; DATAGRAM + 1]);
-    m.datagram(30, address(1), &sealed(&ring(&["b"]), "g1", 11, 4, Kind::News, vec![record("g3")]));
-    let new: Vec<u64> = m.counts.refused.iter().zip(before).map(|(a, b)| a - b).collect();
+    let before = m.counts.rejected;
+    m.handle_datagram(30, address(1), &forged);
+    m.handle_datagram(30, address(1), &good[..20]);
+    m.handle_datagram(30, address(1), &[0; MAX_DATAGRAM_BYTES + 1]);
+    m.handle_datagram(30, address(1), &sealed(&ring(&["b"]), "g1", 11, 4, Kind::Records, vec![record("g3")]));
+    let new: Vec<u64> = m.counts.rejected.iter().zip(before).map(|(a, b)| a - b).collect();
     // Unreadable ones are forged ones: the code is looked at first.
     assert_eq!(new.iter().sum::<u64>(), 4, "{new:?}");
-    assert_eq!((new[Refused::Oversized as usize], new[Refused::Key as usize]), (1, 1));
-    assert!(m.view().next().is_none() && sent(&mut m).is_empty());
-    m.datagram(40, address(1), &good);
-    assert_eq!(m.state("g2"), Some(State::Alive));
+    assert_eq!((new[Rejection::Oversized as usize], new[Rejection::UnknownKey as usize]), (1, 1));
+    assert!(m.members().next().is_none() && sent(&mut m).is_empty());
+    m.handle_datagram(40, address(1), &good);
+    assert_eq!(m.member_state("g2"), Some(State::Alive));
 }
 
 #[test]
@@ -129,21 +142,21 @@
     let mut m = member(keys.clone());
     proved(&mut m, &keys, "g1", 11);
     let ping = sealed(&keys, "g1", 11, 5, Kind::Ping(1), vec![]);
-    m.datagram(30, address(1), &ping);
+    m.handle_datagram(30, address(1), &ping);
     assert_eq!(sent(&mut m).len(), 1);
-    m.datagram(31, address(1), &ping);
-    assert_eq!(m.counts.refused[Refused::Replayed as usize], 1);
+    m.handle_datagram(31, address(1), &ping);
+    assert_eq!(m.counts.rejected[Rejection::Replayed as usize], 1);
     assert!(sent(&mut m).is_empty());
     // Out of order is no replay.
-    m.datagram(32, address(1), &sealed(&keys, "g1", 11, 4, Kind::Ping(2), vec![]));
+    m.handle_datagram(32, address(1), &sealed(&keys, "g1", 11, 4, Kind::Ping(2), vec![]));
     assert_eq!(sent(&mut m).len(), 1);
     // An earlier process's words: asked for a proof, never believed, whatever the wall clock says.
-    let old = sealed(&keys, "g1", 10, 900, Kind::News, vec![record("g3")]);
+    let old = sealed(&keys, "g1", 10, 900, Kind::Records, vec![record("g3")]);
     for _ in 0..50 {
-        m.datagram(40, address(1), &old);
+        m.handle_datagram(40, address(1), &old);
     }
     assert_eq!(sent(&mut m).len(), 1, "one question at a time");
-    assert_eq!(m.state("g3"), None);
+    assert_eq!(m.member_state("g3"), None);
 }
 
 #[test]
@@ -151,25 +164,30 @@
     let keys = ring(&["a"]);
     let mut m = member(keys.clone());
     for n in 0..10_000u64 {
-        m.datagram(
+        m.handle_datagram(
             n,
             address(1),
             &sealed(&keys, &format!("x{n}"), n, 1, Kind::Ping(1), vec![record(&format!("y{n}"))]),
         );
     }
-    let held = m.held();
+    let held = m.entry_counts();
     assert!(held.iter().all(|&h| h <= 64), "{held:?}");
     // Questions leave after a period: then others can prove themselves again.
-    m.wake(400_000);
-    assert_eq!(m.held()[2], 0);
+    m.handle_wake(400_000);
+    assert_eq!(m.entry_counts()[2], 0);
     assert!(sent(&mut m).len() <= 70, "one question for each name, and so many at once");
     proved(&mut m, &keys, "x9999", 9999);
     for n in 0..100 {
         let told = (0..20).map(|i| Record { state: State::Alive, ..record(&format!("z{n}-{i}")) }).collect();
-        m.datagram(410_000, address(1), &sealed(&keys, "x9999", 9999, 10 + n, Kind::News, told));
+        m.handle_datagram(410_000, address(1), &sealed(&keys, "x9999", 9999, 10 + n, Kind::Records, told));
     }
-    assert!(m.held()[0] > 0, "what a proved member tells of is taken in: {:?}, {:?}", m.held(), m.counts);
-    assert!(m.held()[0] <= 16, "{:?}", m.held());
+    assert!(
+        m.entry_counts()[0] > 0,
+        "what a proved member tells of is taken in: {:?}, {:?}",
+        m.entry_counts(),
+        m.counts
+    );
+    assert!(m.entry_counts()[0] <= 16, "{:?}", m.entry_counts());
 }
 
 #[test]
@@ -177,14 +195,14 @@
     // The new key is believed everywhere before it signs anywhere; the late member still signs with the old one.
     let (old, both, new) = (ring(&["a"]), ring(&["a", "b"]), ring(&["b", "a"]));
     let mut m = member(old);
-    m.keys(both);
+    m.set_keys(both);
     proved(&mut m, &new, "g1", 11);
-    m.keys(new.clone());
-    m.datagram(50, address(1), &sealed(&ring(&["a"]), "g1", 11, 9, Kind::Ping(1), vec![]));
+    m.set_keys(new.clone());
+    m.handle_datagram(50, address(1), &sealed(&ring(&["a"]), "g1", 11, 9, Kind::Ping(1), vec![]));
     let answer = sent(&mut m);
     assert_eq!(answer.len(), 1);
     assert!(Datagram::open(&new, &answer[0].1).is_ok());
-    assert_eq!(Datagram::open(&ring(&["a"]), &answer[0].1), Err(Refused::Key));
+    assert_eq!(Datagram::open(&ring(&["a"]), &answer[0].1), Err(Rejection::UnknownKey));
 }
 
 proptest! {
@@ -192,8 +210,8 @@
     fn nothing_that_comes_in_breaks_it(bytes in proptest::collection::vec(any::<u8>(), 0..1400), at in 0usize..200, bit in 0u8..8) {
         let keys = ring(&["a"]);
         let mut m = member(keys.clone());
-        m.datagram(1, address(1), &bytes);
-        let mut good = sealed(&keys, "g1", 11, 3, Kind::News, vec![record("g2")]);
+        m.handle_datagram(1, address(1), &bytes);
+        let mut good = sealed(&keys, "g1", 11, 3, Kind::Records, vec![record("g2")]);
         let at = at % good.len();
         good[at] ^= 1 << bit;
         prop_assert!(Datagram::open(&keys, &good).is_err());
@@ -201,7 +219,7 @@
 
     #[test]
     fn demand_is_told_to_within_a_fifth(work in 1.0f64..1e9) {
-        let told = Demand::of(&[work]).total();
+        let told = Demand::from_work(&[work]).total();
         prop_assert!((told / work - 1.0).abs() < 0.2, "{work} told as {told}");
     }
 }
--- a/crates/membership/tests/fleets.rs
+++ b/crates/membership/tests/fleets.rs
@@ -1,6 +1,6 @@
 //! Fleets on a virtual network: what must hold through kills, pauses, cuts, loss and returns. Each seed is a history.
 
-use violetward_membership::sim::{play, shrink, terms, Act, Fleet, Weather};
+use violetward_membership::sim::{play, shrink, test_config, Action, Fleet, Weather};
 use violetward_membership::{Demand, Link, Micros, Standing, State};
 
 const MS: Micros = 1_000;
@@ -8,7 +8,7 @@
 const PERIOD: Micros = 200 * MS;
 
 fn fleet(count: usize, seed: u64) -> Fleet {
-    let mut fleet = Fleet::new(count, seed, move |n| terms(n, count, PERIOD, false));
+    let mut fleet = Fleet::new(count, seed, move |n| test_config(n, count, PERIOD, false));
     let took = fleet.until(30 * SECOND, Fleet::agree);
     assert!(took.is_some(), "seed {seed}: {count} members never agreed");
     fleet.run(10 * SECOND);
@@ -16,7 +16,7 @@
 }
 
 fn sound(fleet: &Fleet, seed: u64) {
-    assert_eq!(fleet.findings.broken, None, "seed {seed}");
+    assert_eq!(fleet.report.first_violation, None, "seed {seed}");
 }
 
 #[test]
@@ -25,7 +25,7 @@
         let fleet = fleet(count, seed);
         assert_eq!(fleet.whole(), count, "seed {seed}");
         assert!((fleet.shares() - 1.0).abs() < 0.01, "seed {seed}: {}", fleet.shares());
-        assert_eq!(fleet.findings.false_deaths, 0);
+        assert_eq!(fleet.report.false_death_count, 0);
         sound(&fleet, seed);
     }
 }
@@ -33,7 +33,7 @@
 #[test]
 fn members_that_start_at_once_know_each_other_soon() {
     for (count, seed) in (1..=40).map(|seed| ([2, 4, 8][seed as usize % 3], seed)) {
-        let mut fleet = Fleet::new(count, seed, move |n| terms(n, count, PERIOD, false));
+        let mut fleet = Fleet::new(count, seed, move |n| test_config(n, count, PERIOD, false));
         let took = fleet.until(30 * SECOND, |f| f.agree() && f.whole() == count);
         // Five periods in which each hears what is said of its name, a few for the news to go round, and now and then a
         // seed to be asked by groups that have not met.
@@ -45,14 +45,14 @@
 fn half_are_killed_at_once_and_the_rest_take_their_share() {
     for seed in 1..=3 {
         let mut fleet = fleet(8, seed);
-        (0..4).for_each(|n| fleet.act(&Act::Kill(n)));
+        (0..4).for_each(|n| fleet.act(&Action::Kill(n)));
         assert!(fleet.until(12 * SECOND, Fleet::agree).is_some(), "seed {seed}: deaths unknown");
         assert!(fleet.until(20 * SECOND, |f| f.shares() > 0.9).is_some(), "seed {seed}: {}", fleet.shares());
         // Back, together: nobody takes more than before for longer than it takes to hear of them.
-        (0..4).for_each(|n| fleet.act(&Act::Start(n)));
+        (0..4).for_each(|n| fleet.act(&Action::Start(n)));
         assert!(fleet.until(10 * SECOND, |f| f.agree() && f.whole() == 8).is_some(), "seed {seed}");
         assert!(fleet.until(20 * SECOND, |f| (f.shares() - 1.0).abs() < 0.1).is_some(), "seed {seed}");
-        assert_eq!(fleet.findings.false_deaths, 0, "seed {seed}");
+        assert_eq!(fleet.report.false_death_count, 0, "seed {seed}");
         sound(&fleet, seed);
     }
 }
@@ -61,16 +61,19 @@
 fn one_that_stood_still_accuses_nobody_and_takes_up_its_refutation_first() {
     for (seed, still) in [(1, 500 * MS), (2, 3 * SECOND), (3, 30 * SECOND)] {
         let mut fleet = fleet(8, seed);
-        let before = fleet.member(3).expect("runs").me().incarnation;
-        fleet.act(&Act::Stop(3));
+        let before = fleet.member(3).expect("runs").own_record().incarnation;
+        fleet.act(&Action::Stop(3));
         fleet.run(still);
-        fleet.act(&Act::Continue(3));
+        fleet.act(&Action::Continue(3));
         fleet.run(20 * MS);
         let member = fleet.member(3).expect("runs");
-        assert_eq!(member.counts.paused, 1, "{still}");
-        assert_eq!(member.counts.suspected, 0, "{still}");
+        assert_eq!(member.counts.pauses, 1, "{still}");
+        assert_eq!(member.counts.suspicions, 0, "{still}");
         if still > 10 * SECOND {
-            assert!(member.me().incarnation > before, "{still}: it has not refuted what is said of it");
+            assert!(
+                member.own_record().incarnation > before,
+                "{still}: it has not refuted what is said of it"
+            );
         }
         if still >= 3 * SECOND {
             assert!(
@@ -81,8 +84,8 @@
         }
         assert!(fleet.until(10 * SECOND, |f| f.agree() && f.whole() == 8).is_some(), "{still}");
         // Nobody else was accused by it.
-        assert_eq!(fleet.findings.false_deaths, 0, "{still}");
-        assert_eq!(fleet.member(3).expect("runs").counts.declared, 0, "{still}");
+        assert_eq!(fleet.report.false_death_count, 0, "{still}");
+        assert_eq!(fleet.member(3).expect("runs").counts.declared_dead, 0, "{still}");
         sound(&fleet, seed);
     }
 }
@@ -91,17 +94,17 @@
 fn one_bad_link_neither_kills_nor_flaps() {
     for (seed, one_way) in [(1, true), (2, false)] {
         let mut fleet = fleet(8, seed);
-        fleet.act(&Act::Cut(1, 2));
+        fleet.act(&Action::Cut(1, 2));
         if !one_way {
-            fleet.act(&Act::Cut(2, 1));
+            fleet.act(&Action::Cut(2, 1));
         }
         fleet.run(60 * SECOND);
         for (n, member) in fleet.running() {
-            let dead = member.view().filter(|s| s.record.state > State::Suspect).count();
+            let dead = member.members().filter(|s| s.record.state > State::Suspect).count();
             assert_eq!(dead, 0, "seed {seed}: g{n} believes in a death");
         }
         let link = |a: usize, b: &str| {
-            fleet.member(a).expect("runs").view().find(|s| s.record.name == b).expect("known").link
+            fleet.member(a).expect("runs").members().find(|s| s.record.name == b).expect("known").link
         };
         if one_way {
             // What 1 says does not come to 2; what 2 says comes to 1: both know which way it is.
@@ -110,7 +113,7 @@
             assert!(link(1, "g2") != Link::Good && link(2, "g1") != Link::Good);
         }
         assert_eq!(link(1, "g3"), Link::Good);
-        fleet.act(&Act::Heal);
+        fleet.act(&Action::Heal);
         fleet.run(10 * SECOND);
         assert!(fleet.agree(), "seed {seed}");
         sound(&fleet, seed);
@@ -121,7 +124,7 @@
 fn one_that_nobody_hears_learns_it_and_takes_less() {
     for seed in 1..=3 {
         let mut fleet = fleet(8, seed);
-        (0..8).filter(|&n| n != 5).for_each(|n| fleet.act(&Act::Cut(5, n)));
+        (0..8).filter(|&n| n != 5).for_each(|n| fleet.act(&Action::Cut(5, n)));
         assert!(
             fleet
                 .until(5 * SECOND, |f| f.member(5).is_some_and(|m| m.standing() == Standing::Unheard))
@@ -131,8 +134,12 @@
         );
         assert!(fleet.member(5).expect("runs").share() <= 0.5 / 8.0);
         fleet.run(20 * SECOND);
-        assert_eq!(fleet.member(5).expect("runs").counts.declared, 0, "seed {seed}: it declared others dead");
-        fleet.act(&Act::Heal);
+        assert_eq!(
+            fleet.member(5).expect("runs").counts.declared_dead,
+            0,
+            "seed {seed}: it declared others dead"
+        );
+        fleet.act(&Action::Heal);
         assert!(fleet.until(20 * SECOND, |f| f.agree() && f.whole() == 8).is_some(), "seed {seed}");
         sound(&fleet, seed);
     }
@@ -142,12 +149,12 @@
 fn halves_and_thirds_part_and_agree_again() {
     for seed in 1..=3 {
         let mut fleet = fleet(9, seed);
-        fleet.act(&Act::Part((0..9).map(|n| n % 3).collect()));
+        fleet.act(&Action::Part((0..9).map(|n| n % 3).collect()));
         fleet.run(30 * SECOND);
         assert!(fleet.shares() < 2.0 + 1e-9, "seed {seed}: {}", fleet.shares());
-        fleet.act(&Act::Part((0..9).map(|n| (n % 3).min(1)).collect()));
+        fleet.act(&Action::Part((0..9).map(|n| (n % 3).min(1)).collect()));
         fleet.run(20 * SECOND);
-        fleet.act(&Act::Heal);
+        fleet.act(&Action::Heal);
         assert!(
             fleet.until(60 * SECOND, |f| f.agree() && f.whole() == 9).is_some(),
             "seed {seed}: never one again"
@@ -160,11 +167,14 @@
 #[test]
 fn groups_that_have_never_met_find_each_other_by_seeds() {
     let count = 8;
-    let mut fleet = Fleet::new(count, 1, move |n| terms(n, count, PERIOD, false));
-    fleet.act(&Act::Part((0..count).map(|n| n % 2).collect()));
+    let mut fleet = Fleet::new(count, 1, move |n| test_config(n, count, PERIOD, false));
+    fleet.act(&Action::Part((0..count).map(|n| n % 2).collect()));
     fleet.run(10 * SECOND);
-    assert!(fleet.running().all(|(_, m)| m.view().count() == 3), "they know of nobody else, dead or alive");
-    fleet.act(&Act::Heal);
+    assert!(
+        fleet.running().all(|(_, m)| m.members().count() == 3),
+        "they know of nobody else, dead or alive"
+    );
+    fleet.act(&Action::Heal);
     assert!(fleet.until(30 * SECOND, |f| f.agree() && f.whole() == count).is_some());
 }
 
@@ -172,16 +182,16 @@
 fn halves_agree_again_though_the_only_seed_is_gone() {
     let count = 8;
     let mut fleet = Fleet::new(count, 1, move |n| {
-        let mut t = terms(n, count, PERIOD, false);
+        let mut t = test_config(n, count, PERIOD, false);
         t.seeds.truncate(1);
         t
     });
     assert!(fleet.until(30 * SECOND, Fleet::agree).is_some());
-    fleet.act(&Act::Part((0..count).map(|n| n % 2).collect()));
+    fleet.act(&Action::Part((0..count).map(|n| n % 2).collect()));
     fleet.run(20 * SECOND);
-    fleet.act(&Act::Kill(0));
+    fleet.act(&Action::Kill(0));
     fleet.run(10 * SECOND);
-    fleet.act(&Act::Heal);
+    fleet.act(&Action::Heal);
     assert!(fleet.until(60 * SECOND, |f| f.agree() && f.whole() == count - 1).is_some());
 }
 
@@ -189,19 +199,22 @@
 #[test]
 fn one_that_wakes_into_silence_accuses_nobody_and_has_refuted_already() {
     let mut fleet = fleet(6, 4);
-    let before = fleet.member(2).expect("runs").me().incarnation;
+    let before = fleet.member(2).expect("runs").own_record().incarnation;
     // While it sleeps and for two seconds after it, it is heard by nobody and hears nobody: nothing waits for it either.
-    fleet.act(&Act::Part((0..6).map(|n| usize::from(n == 2)).collect()));
-    fleet.act(&Act::Stop(2));
+    fleet.act(&Action::Part((0..6).map(|n| usize::from(n == 2)).collect()));
+    fleet.act(&Action::Stop(2));
     fleet.run(30 * SECOND);
-    fleet.act(&Act::Continue(2));
+    fleet.act(&Action::Continue(2));
     fleet.run(100 * MS);
-    assert!(fleet.member(2).expect("runs").me().incarnation > before, "not refuted before anything is heard");
+    assert!(
+        fleet.member(2).expect("runs").own_record().incarnation > before,
+        "not refuted before anything is heard"
+    );
     fleet.run(2 * SECOND);
     let member = fleet.member(2).expect("runs");
-    assert_eq!((member.counts.suspected, member.counts.declared), (0, 0));
+    assert_eq!((member.counts.suspicions, member.counts.declared_dead), (0, 0));
     assert_eq!(member.standing(), Standing::Waking);
-    fleet.act(&Act::Heal);
+    fleet.act(&Action::Heal);
     assert!(fleet.until(20 * SECOND, |f| f.agree() && f.whole() == 6).is_some());
 }
 
@@ -211,14 +224,14 @@
         for seed in 1..=3 {
             let mut fleet = fleet(8, seed);
             let weather = Weather { loss, copies: 0.05, spoilt: 0.01, ..Weather::default() };
-            fleet.act(&Act::Weather(weather));
+            fleet.act(&Action::Weather(weather));
             fleet.run(60 * SECOND);
             assert!(
-                fleet.findings.false_deaths <= most * 7,
+                fleet.report.false_death_count <= most * 7,
                 "loss {loss}, seed {seed}: {:?}",
-                fleet.findings.false_deaths
+                fleet.report.false_death_count
             );
-            fleet.act(&Act::Weather(Weather::default()));
+            fleet.act(&Action::Weather(Weather::default()));
             assert!(fleet.until(30 * SECOND, Fleet::agree).is_some(), "loss {loss}, seed {seed}");
             sound(&fleet, seed);
         }
@@ -228,16 +241,16 @@
 #[test]
 fn good_byes_are_known_at_once_and_names_return() {
     let mut fleet = fleet(8, 5);
-    fleet.act(&Act::Leave(2));
+    fleet.act(&Action::Leave(2));
     assert!(fleet.until(SECOND, Fleet::agree).is_some());
-    fleet.act(&Act::Start(2));
+    fleet.act(&Action::Start(2));
     assert!(fleet.until(5 * SECOND, |f| f.agree() && f.whole() == 8).is_some());
     // Killed and back before anybody noticed: the same address, another process.
-    fleet.act(&Act::Kill(4));
+    fleet.act(&Action::Kill(4));
     fleet.run(300 * MS);
-    fleet.act(&Act::Start(4));
+    fleet.act(&Action::Start(4));
     assert!(fleet.until(5 * SECOND, |f| f.agree() && f.whole() == 8).is_some());
-    assert_eq!(fleet.findings.false_deaths, 0);
+    assert_eq!(fleet.report.false_death_count, 0);
     sound(&fleet, 5);
 }
 
@@ -247,23 +260,23 @@
         // The last one has the name of the first, and an address of its own.
         let count = 5;
         let named = move |n: usize| {
-            let mut t = terms(n, count, PERIOD, false);
+            let mut t = test_config(n, count, PERIOD, false);
             if n == 4 {
                 t.name = "g0".into();
             }
             t
         };
         let mut fleet = Fleet::new(count, seed, named);
-        fleet.act(&Act::Kill(4));
+        fleet.act(&Action::Kill(4));
         fleet.run(10 * SECOND);
-        fleet.act(&Act::Start(4));
+        fleet.act(&Action::Start(4));
         fleet.run(10 * SECOND);
         let second = fleet.member(4).expect("runs");
         assert_eq!(second.standing(), Standing::Doubled, "seed {seed}");
         assert!(second.share() <= 0.5 / 5.0, "seed {seed}");
         assert_eq!(fleet.member(0).expect("runs").standing(), Standing::Whole, "seed {seed}");
         // The first one dies: the name is free.
-        fleet.act(&Act::Kill(0));
+        fleet.act(&Action::Kill(0));
         let took = fleet.until(30 * SECOND, |f| f.member(4).is_some_and(|m| m.standing() == Standing::Whole));
         assert!(took.is_some(), "seed {seed}");
     }
@@ -274,7 +287,7 @@
     let mut fleet = fleet(4, 9);
     for n in 0..4 {
         let work = if n == 0 { 3_000.0 } else { 1_000.0 };
-        fleet.member_mut(n).expect("runs").demand(Demand::of(&[work]));
+        fleet.member_mut(n).expect("runs").set_demand(Demand::from_work(&[work]));
     }
     fleet.run(20 * SECOND);
     let first = fleet.member(0).expect("runs").share();
@@ -290,7 +303,7 @@
     let count = 7;
     for seed in 0..24u64 {
         let acts = history(seed, count);
-        let fails = |acts: &[(Micros, Act)]| failure(seed, count, acts);
+        let fails = |acts: &[(Micros, Action)]| failure(seed, count, acts);
         if let Some(why) = fails(&acts) {
             let small = shrink(&acts, |acts| fails(acts).is_some());
             panic!("seed {seed}: {why}; {} acts are enough: {small:?}", small.len());
@@ -298,7 +311,7 @@
     }
 }
 
-fn history(seed: u64, count: usize) -> Vec<(Micros, Act)> {
+fn history(seed: u64, count: usize) -> Vec<(Micros, Action)> {
     let mut dice = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut draw = move |n: u64| {
         dice ^= dice << 13;
@@ -314,38 +327,38 @@
         acts.push((
             at,
             match draw(9) {
-                0 => Act::Kill(a),
-                1 | 2 => Act::Start(a),
-                3 => Act::Stop(a),
-                4 | 5 => Act::Continue(a),
-                6 if a != b => Act::Cut(a, b),
-                7 => Act::Weather(Weather {
+                0 => Action::Kill(a),
+                1 | 2 => Action::Start(a),
+                3 => Action::Stop(a),
+                4 | 5 => Action::Continue(a),
+                6 if a != b => Action::Cut(a, b),
+                7 => Action::Weather(Weather {
                     loss: draw(5) as f64 / 10.0,
                     copies: 0.1,
                     spoilt: 0.02,
                     ..Weather::default()
                 }),
-                8 => Act::Part((0..count).map(|_| draw(2) as usize).collect()),
-                _ => Act::Heal,
+                8 => Action::Part((0..count).map(|_| draw(2) as usize).collect()),
+                _ => Action::Heal,
             },
         ));
     }
     acts
 }
 
-fn failure(seed: u64, count: usize, acts: &[(Micros, Act)]) -> Option<String> {
-    let mut fleet = play(count, seed, acts, 0, move |n| terms(n, count, PERIOD, false));
-    fleet.act(&Act::Heal);
-    fleet.act(&Act::Weather(Weather::default()));
+fn failure(seed: u64, count: usize, acts: &[(Micros, Action)]) -> Option<String> {
+    let mut fleet = play(count, seed, acts, 0, move |n| test_config(n, count, PERIOD, false));
+    fleet.act(&Action::Heal);
+    fleet.act(&Action::Weather(Weather::default()));
     for n in 0..count {
-        fleet.act(&Act::Continue(n));
+        fleet.act(&Action::Continue(n));
         if fleet.member(n).is_none() {
-            fleet.act(&Act::Start(n));
+            fleet.act(&Action::Start(n));
         }
     }
     let agreed = fleet.until(120 * SECOND, |f| f.agree() && f.whole() == count);
     fleet.run(20 * SECOND);
-    if let Some((at, what)) = &fleet.findings.broken {
+    if let Some((at, what)) = &fleet.report.first_violation {
         return Some(format!("{what} at {at}"));
     }
     if agreed.is_none() {
@@ -354,7 +367,9 @@
     if (fleet.shares() - 1.0).abs() > 0.05 {
         return Some(format!("the shares add up to {}", fleet.shares()));
     }
-    let held =
-        fleet.running().map(|(_, m)| m.held()).find(|h| h[0] != count - 1 || h[1] > 2 * count || h[4] > 4);
+    let held = fleet
+        .running()
+        .map(|(_, m)| m.entry_counts())
+        .find(|h| h[0] != count - 1 || h[1] > 2 * count || h[4] > 4);
     held.map(|held| format!("kept: {held:?}"))
 }
