--- a/crates/gateway/src/config/membership.rs
+++ b/crates/gateway/src/config/membership.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// `(membership (listen ADDRESS) (name MAX_NAME_BYTES) (site SITE) (seeds ADDRESS ...) (key MAX_NAME_BYTES "secret") ...)`.
+/// `(membership (listen ADDRESS) (name NAME) (site SITE) (seeds ADDRESS ...) (key NAME "secret") ...)`.
 pub(super) fn peer_terms(c: &mut Checker, form: &Form<'_>, folder: &Path) -> Option<PeerTerms> {
     use violetward_membership::wire::MAX_NAME_BYTES;
     let several = ["key", "via"];
@@ -80,7 +80,7 @@
                 .push(violetward_membership::Key { name: name.clone(), secret: secret.clone().into_bytes() }),
             _ => c.error_at(
                 field,
-                format!("expected (key MAX_NAME_BYTES \"secret\") or (via MAX_NAME_BYTES ADDRESS), found ({} ...)", field.name),
+                format!("expected (key NAME \"secret\") or (via NAME ADDRESS), found ({} ...)", field.name),
             ),
         }
     }
