--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,97 +1,100 @@
-//! Datagrams: their layout, their signatures and their bounds.
+//! Encoding and authentication of datagrams.
 //!
-//! `version 1 | key 4 | instance_id 8 | number 8 | sender | kind and its fields | records | addressee 4 | code 16`, integers big-endian, texts
-//! with one octet of length. A record has its length before it: what a newer format adds at its end is passed over, and
-//! what an older one leaves out reads as nothing told.
+//! The layout, with sizes in bytes, is
+//! `version 1 | key 4 | instance id 8 | number 8 | sender | kind and its fields | records | recipient 4 | MAC 16`.
+//! Integers are big-endian and strings have a one-byte length prefix. Each record has a length prefix too: a reader
+//! skips fields that a newer format appends to a record, and uses defaults for those that an older format lacks.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
 use hmac::Mac;
 pub use violetward_transport::{mark, Key, Keys};
 
-/// Octets of a datagram at most: it passes every usual path whole.
+/// Maximum size of a datagram; it fits the MTU of common network paths, so that datagrams are not fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// The format that this code writes. Any format from 1 on has the same head.
+/// Format version that this code writes. The header is the same in all versions from 1 on.
 pub const FORMAT_VERSION: u8 = 1;
-/// Octets of a name or a site.
+/// Maximum length of a member's name or site.
 pub const MAX_NAME_BYTES: usize = 48;
-/// Classes whose demand a record tells.
+/// Number of request classes whose demand a record carries.
 pub const MAX_DEMAND_CLASSES: usize = 8;
-/// Bad links that a record tells.
+/// Maximum number of cut links that a record lists.
 pub const MAX_CUT_LINKS: usize = 4;
-/// Parts of the state whose digests are compared on their own.
+/// Number of buckets into which members are hashed; each bucket has a digest of its own.
 pub const DIGEST_BUCKETS: usize = 16;
-/// Octets that [`Kind::Payload`] has room for.
+/// Maximum size of the application data in a [`Kind::Payload`].
 pub const MAX_PAYLOAD_BYTES: usize = 1_000;
-/// Octets of the code.
+/// Size of the truncated message authentication code.
 const MAC_BYTES: usize = 16;
 
-fn seal(keys: &Keys, out: &mut Vec<u8>) {
+fn sign(keys: &Keys, out: &mut Vec<u8>) {
     let code = keys.first().code(&[out]).finalize().into_bytes();
     out.extend_from_slice(&code[..MAC_BYTES]);
 }
 
-fn open<'a>(keys: &Keys, bytes: &'a [u8]) -> Result<&'a [u8], Rejection> {
+fn verify<'a>(keys: &Keys, bytes: &'a [u8]) -> Result<&'a [u8], Rejection> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(Rejection::Oversized);
     }
     let at = bytes.len().checked_sub(MAC_BYTES).filter(|&at| at >= 5).ok_or(Rejection::Malformed)?;
     let (body, code) = bytes.split_at(at);
     let id = u32::from_be_bytes(body[1..5].try_into().map_err(|_| Rejection::Malformed)?);
-    let mut known = keys.marked(id).peekable();
-    if known.peek().is_none() {
+    let mut candidates = keys.marked(id).peekable();
+    if candidates.peek().is_none() {
         return Err(Rejection::UnknownKey);
     }
-    let good = known.any(|key| key.code(&[body]).verify_truncated_left(code).is_ok());
-    good.then_some(body).ok_or(Rejection::Forged)
+    let valid = candidates.any(|key| key.code(&[body]).verify_truncated_left(code).is_ok());
+    valid.then_some(body).ok_or(Rejection::Forged)
 }
 
-/// Why a datagram is not taken.
+/// Why a datagram is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rejection {
-    /// It is cut off, or what it says does not fit.
+    /// It is truncated or cannot be decoded.
     Malformed,
-    /// It is longer than any of ours.
+    /// It is longer than [`MAX_DATAGRAM_BYTES`].
     Oversized,
-    /// Its key is not known here.
+    /// It is signed with a key that is not configured here.
     UnknownKey,
-    /// Its code does not fit.
+    /// Its authentication code does not match.
     Forged,
-    /// It was seen before, or is too old to tell.
+    /// It is a duplicate, or older than the replay window, or it answers no pending challenge, or it is addressed
+    /// to another member.
     Replayed,
-    /// Its sender has not proved yet that this instance_id of it goes on.
+    /// Its sender has not yet answered a challenge, so it may be a replay from an earlier process.
     Unverified,
 }
 
-/// What is believed of a member.
+/// Liveness state of a member. The order matters: at equal incarnations the higher state takes precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum State {
-    /// It lives.
+    /// It answers probes, or nobody has reported otherwise.
     Alive,
-    /// Somebody got no answer of it.
+    /// A probe of it failed at some member.
     Suspect,
-    /// Nobody got an answer for the whole time of suspicion.
+    /// The suspicion time-out expired without a refutation.
     Dead,
-    /// It said good-bye.
+    /// It left the group in an orderly way.
     Left,
 }
 
-/// What a gateway's clients ask for: work by class, in core milliseconds a second, each to within a fifth.
+/// Load offered by a gateway's clients, by class, in core milliseconds per second. The encoding is logarithmic, with
+/// an error below 20 %.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Demand(pub [u8; MAX_DEMAND_CLASSES]);
 
 impl Demand {
-    /// From work by class; classes beyond the last place are added there.
+    /// Encodes the offered work of each class; classes beyond the last slot are added to it.
     pub fn from_work(work: &[f64]) -> Self {
         let mut sums = [0.0; MAX_DEMAND_CLASSES];
         for (class, work) in work.iter().enumerate() {
             sums[class.min(MAX_DEMAND_CLASSES - 1)] += work.max(0.0);
         }
-        // Quarters of powers of two from 1 ms on; 0 is nothing.
+        // Code c > 0 stands for 2^((c - 1) / 4) core milliseconds per second; 0 stands for less than 1.
         Demand(sums.map(|w| if w < 1.0 { 0 } else { (w.log2() * 4.0).round().clamp(0.0, 254.0) as u8 + 1 }))
     }
 
-    /// Work of a class.
+    /// Offered work of a class, in core milliseconds per second.
     pub fn work_of_class(&self, class: usize) -> f64 {
         match self.0.get(class) {
             None | Some(0) => 0.0,
@@ -99,108 +102,109 @@
         }
     }
 
-    /// Work of all classes.
+    /// Offered work of all classes, in core milliseconds per second.
     pub fn total(&self) -> f64 {
         (0..MAX_DEMAND_CLASSES).map(|class| self.work_of_class(class)).sum()
     }
 }
 
-/// A direction in which a link is known to be cut, as its owner sees it.
+/// A direction in which a link does not work, as seen by the member that reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CutLink {
-    /// The mark of the other's name.
+    /// Hash of the name of the member at the other end.
     pub peer_hash: u32,
-    /// What the owner says does not come there; else what the other says does not come here.
+    /// If true, the reporter's datagrams do not reach the other member; else the other's do not reach the reporter.
     pub outbound: bool,
 }
 
-/// What is told of a member.
+/// Information about a member that is spread by gossip.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Record {
-    /// Its name.
+    /// Name of the member, unique in the group.
     pub name: String,
-    /// Its site.
+    /// Site where it runs.
     pub site: String,
-    /// Where it takes datagrams.
+    /// Address where it receives datagrams.
     pub address: SocketAddr,
-    /// Which process of that name: drawn at its start.
+    /// Random number that a process draws at its start; it tells processes of the same name apart.
     pub instance_id: u64,
-    /// Counts its own statements on whether it lives: the higher one holds.
+    /// Incremented by the member itself to refute a suspicion; the higher incarnation takes precedence.
     pub incarnation: u32,
-    /// What is believed.
+    /// Liveness state.
     pub state: State,
-    /// The mark of the name of the one who suspects it.
+    /// Hash of the name of the member that suspects it or declared it dead.
     pub accuser: u32,
-    /// Counts what it tells of itself beyond that.
+    /// Version of `demand` and `cuts`, incremented by the member itself.
     pub metadata_version: u32,
-    /// What its clients ask for.
+    /// Load offered by its clients.
     pub demand: Demand,
-    /// Links of its own that are cut.
+    /// Links of this member that do not work.
     pub cuts: Vec<CutLink>,
 }
 
 impl Record {
-    /// What decides which of two records of one name holds.
+    /// Of two records of the same name, the one with the greater key takes precedence.
     pub fn precedence(&self) -> (u32, State, u64) {
         (self.incarnation, self.state, self.instance_id)
     }
 }
 
-/// What a datagram says beside its records.
+/// Message carried by a datagram beside its records. The `u32` of probe messages is the probe number.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Kind {
-    /// Do you hear me?
+    /// Probe.
     Ping(u32),
-    /// I do; and whether something came from you directly of late.
+    /// Answer to a probe, and whether the answering member has recently received a datagram directly from the prober.
     Ack(u32, bool),
-    /// Please ask that member for me.
+    /// Request to probe the named member on behalf of the sender.
     ProbeRequest(u32, String),
-    /// A ping for another: whom for.
+    /// Probe on behalf of the named member.
     RelayedPing(u32, String),
-    /// The answer to that: whom for, and whether something came from there directly of late.
+    /// Answer to [`Kind::RelayedPing`]: the member on whose behalf it was sent, and whether the answering member has
+    /// recently received a datagram directly from that member.
     RelayedAck(u32, String, bool),
-    /// What became of an [`Kind::ProbeRequest`]: no answer yet, or one, with what it said.
+    /// Result of a [`Kind::ProbeRequest`]: `None` confirms the request, `Some` reports an answer of the target, with
+    /// whether the target recently received a datagram directly from the prober.
     ProbeReport(u32, Option<bool>),
-    /// Prove that you are not an echo.
+    /// Nonce to be returned, to show that the sender is a running process and not a replay.
     Challenge(u64),
-    /// The proof.
+    /// Answer to a [`Kind::Challenge`], with its nonce.
     ChallengeResponse(u64),
-    /// Digests of the whole state, part by part, and whether the other's are wanted.
+    /// Digests of the member list by bucket, and whether the recipient should send its own digests back.
     Digest([u32; DIGEST_BUCKETS], bool),
-    /// Records alone.
+    /// Records only.
     Records,
-    /// Something that is not membership's own, for what stands on it; and the mark of the name of whom it is for, 0 where an older
-    /// format does not tell it.
+    /// Application data, and the hash of the recipient's name; 0 if the datagram is of an older format that lacks it.
     Payload(Vec<u8>, u32),
 }
 
-/// A datagram.
+/// A decoded datagram.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Datagram {
-    /// Who sends it.
+    /// Name of the sender.
     pub from: String,
-    /// Which process of that name.
+    /// Instance id of the sending process.
     pub instance_id: u64,
-    /// Its number there, from 1.
+    /// Sequence number within that process, starting at 1.
     pub number: u64,
-    /// What it says.
+    /// Message.
     pub kind: Kind,
-    /// What it tells of members.
+    /// Records of members, at most 255.
     pub records: Vec<Record>,
 }
 
-fn text(out: &mut Vec<u8>, text: &str) {
+fn put_text(out: &mut Vec<u8>, text: &str) {
     let cut = &text.as_bytes()[..text.len().min(MAX_NAME_BYTES)];
     out.push(cut.len() as u8);
     out.extend_from_slice(cut);
 }
 
-fn record(out: &mut Vec<u8>, r: &Record) {
+fn put_record(out: &mut Vec<u8>, record: &Record) {
     let start = out.len();
     out.push(0);
-    text(out, &r.name);
-    text(out, &r.site);
-    match r.address.ip() {
+    put_text(out, &record.name);
+    put_text(out, &record.site);
+    match record.address.ip() {
         IpAddr::V4(ip) => {
             out.push(4);
             out.extend_from_slice(&ip.octets());
@@ -210,17 +214,18 @@
             out.extend_from_slice(&ip.octets());
         }
     }
-    out.extend_from_slice(&r.address.port().to_be_bytes());
-    out.extend_from_slice(&r.instance_id.to_be_bytes());
-    out.extend_from_slice(&r.incarnation.to_be_bytes());
-    out.push(r.state as u8);
-    out.extend_from_slice(&r.accuser.to_be_bytes());
-    out.extend_from_slice(&r.metadata_version.to_be_bytes());
-    // Classes at the end that nobody asks for are not told.
-    let told = MAX_DEMAND_CLASSES - r.demand.0.iter().rev().take_while(|&&code| code == 0).count();
-    out.push(told as u8);
-    out.extend_from_slice(&r.demand.0[..told]);
-    let cuts = &r.cuts[..r.cuts.len().min(MAX_CUT_LINKS)];
+    out.extend_from_slice(&record.address.port().to_be_bytes());
+    out.extend_from_slice(&record.instance_id.to_be_bytes());
+    out.extend_from_slice(&record.incarnation.to_be_bytes());
+    out.push(record.state as u8);
+    out.extend_from_slice(&record.accuser.to_be_bytes());
+    out.extend_from_slice(&record.metadata_version.to_be_bytes());
+    // Trailing classes without demand are omitted.
+    let class_count =
+        MAX_DEMAND_CLASSES - record.demand.0.iter().rev().take_while(|&&code| code == 0).count();
+    out.push(class_count as u8);
+    out.extend_from_slice(&record.demand.0[..class_count]);
+    let cuts = &record.cuts[..record.cuts.len().min(MAX_CUT_LINKS)];
     out.push(cuts.len() as u8);
     for cut in cuts {
         out.extend_from_slice(&cut.peer_hash.to_be_bytes());
@@ -230,39 +235,39 @@
 }
 
 impl Datagram {
-    /// Writes it, signed. Records that find no room are left out; gives how many there are in it.
+    /// Encodes and signs the datagram. Records that do not fit are left out; returns the number of records included.
     pub fn seal(&self, keys: &Keys, out: &mut Vec<u8>) -> usize {
         out.clear();
         out.push(FORMAT_VERSION);
         out.extend_from_slice(&mark(&keys.first().name).to_be_bytes());
         out.extend_from_slice(&self.instance_id.to_be_bytes());
         out.extend_from_slice(&self.number.to_be_bytes());
-        text(out, &self.from);
-        let probe = |out: &mut Vec<u8>, kind: u8, probe: u32| {
+        put_text(out, &self.from);
+        let put_probe = |out: &mut Vec<u8>, kind: u8, number: u32| {
             out.push(kind);
-            out.extend_from_slice(&probe.to_be_bytes());
+            out.extend_from_slice(&number.to_be_bytes());
         };
         match &self.kind {
-            Kind::Ping(n) => probe(out, 1, *n),
+            Kind::Ping(n) => put_probe(out, 1, *n),
             Kind::Ack(n, hears) => {
-                probe(out, 2, *n);
+                put_probe(out, 2, *n);
                 out.push(u8::from(*hears));
             }
             Kind::ProbeRequest(n, target) => {
-                probe(out, 3, *n);
-                text(out, target);
+                put_probe(out, 3, *n);
+                put_text(out, target);
             }
             Kind::RelayedPing(n, origin) => {
-                probe(out, 4, *n);
-                text(out, origin);
+                put_probe(out, 4, *n);
+                put_text(out, origin);
             }
             Kind::RelayedAck(n, origin, hears) => {
-                probe(out, 5, *n);
-                text(out, origin);
+                put_probe(out, 5, *n);
+                put_text(out, origin);
                 out.push(u8::from(*hears));
             }
             Kind::ProbeReport(n, hears) => {
-                probe(out, 6, *n);
+                put_probe(out, 6, *n);
                 out.push(hears.map_or(2, u8::from));
             }
             Kind::Challenge(nonce) | Kind::ChallengeResponse(nonce) => {
@@ -281,34 +286,34 @@
                 out.extend_from_slice(bytes);
             }
         }
-        let count = out.len();
+        let count_at = out.len();
         out.push(0);
-        let mut told = 0;
+        let mut included = 0;
         for r in self.records.iter().take(255) {
             let before = out.len();
-            record(out, r);
+            put_record(out, r);
             if out.len() + MAC_BYTES > MAX_DATAGRAM_BYTES {
                 out.truncate(before);
                 break;
             }
-            told += 1;
+            included += 1;
         }
-        out[count] = told as u8;
+        out[count_at] = included as u8;
         if let Kind::Payload(_, to) = self.kind {
             out.extend_from_slice(&to.to_be_bytes());
         }
-        seal(keys, out);
-        told
+        sign(keys, out);
+        included
     }
 
-    /// Reads one; `None` for a kind that this format does not know, signed by a newer member.
+    /// Verifies and decodes a datagram. Returns `None` for a valid datagram of a kind that only newer versions know.
     ///
     /// # Errors
-    /// Why it is not taken.
+    /// The reason for which it is rejected.
     pub fn open(keys: &Keys, bytes: &[u8]) -> Result<Option<Datagram>, Rejection> {
-        let body = open(keys, bytes)?;
+        let body = verify(keys, bytes)?;
         let mut c = Cursor(body);
-        read(&mut c).ok_or(Rejection::Malformed)
+        decode(&mut c).ok_or(Rejection::Malformed)
     }
 }
 
@@ -316,9 +321,9 @@
 
 impl<'a> Cursor<'a> {
     fn take(&mut self, n: usize) -> Option<&'a [u8]> {
-        let (taken, rest) = self.0.split_at_checked(n)?;
+        let (head, rest) = self.0.split_at_checked(n)?;
         self.0 = rest;
-        Some(taken)
+        Some(head)
     }
 
     fn u8(&mut self) -> Option<u8> {
@@ -344,7 +349,7 @@
     }
 }
 
-fn read(c: &mut Cursor<'_>) -> Option<Option<Datagram>> {
+fn decode(c: &mut Cursor<'_>) -> Option<Option<Datagram>> {
     let version = c.u8()?;
     c.u32()?;
     let (instance_id, number, from) = (c.u64()?, c.u64()?, c.text()?);
@@ -383,7 +388,7 @@
     for _ in 0..count {
         let n = c.u8()? as usize;
         let mut c = Cursor(c.take(n)?);
-        records.push(read_record(&mut c)?);
+        records.push(decode_record(&mut c)?);
     }
     if let Kind::Payload(_, to) = &mut kind {
         *to = c.u32().unwrap_or(0);
@@ -391,7 +396,7 @@
     Some(Some(Datagram { from, instance_id, number, kind, records }))
 }
 
-fn read_record(c: &mut Cursor<'_>) -> Option<Record> {
+fn decode_record(c: &mut Cursor<'_>) -> Option<Record> {
     let (name, site) = (c.text()?, c.text()?);
     let ip: IpAddr = match c.u8()? {
         4 => Ipv4Addr::from(<[u8; 4]>::try_from(c.take(4)?).ok()?).into(),
@@ -408,10 +413,10 @@
         _ => return None,
     };
     let (accuser, metadata_version) = (c.u32()?, c.u32()?);
-    // From here on an older format tells nothing.
+    // An older format ends here.
     let mut demand = Demand::default();
-    let told = c.u8().unwrap_or(0) as usize;
-    for class in 0..told {
+    let class_count = c.u8().unwrap_or(0) as usize;
+    for class in 0..class_count {
         let code = c.u8()?;
         if let Some(place) = demand.0.get_mut(class) {
             *place = code;
