--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -1,10 +1,13 @@
-//! The state machine: probes, suspicion, gossip, proofs of instance_id, and what is worked out from them.
+//! The state machine: probing, suspicion, gossip, verification of senders, and the standing and share derived
+//! from them.
+//!
+//! A period is one probe interval.
 
-mod beliefs;
 mod gossip;
-mod lives;
+mod instances;
 mod probing;
 mod standing;
+mod suspicion;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -15,130 +18,143 @@
     MAX_PAYLOAD_BYTES,
 };
 
-/// Microseconds of a clock that never goes back.
+/// Microseconds of a monotonic clock.
 pub type Micros = u64;
 
-/// Rounds in which a probe is repeated before it fails: loss must hit all of them.
+/// Rounds of a probe before it fails; packet loss must hit all of them.
 const PROBE_ROUNDS: u32 = 4;
-/// Others that are asked to try in each round.
+/// Members asked to probe the target in each round after the first.
 const PROBE_HELPERS: usize = 3;
-/// The time of suspicion: at least so many periods for each power of ten of members, and how many times that at most.
+/// Minimum suspicion time-out in periods, multiplied by the decimal logarithm of the group size.
 const SUSPICION_MIN_PERIODS: f64 = 4.0;
+/// Maximum suspicion time-out as a multiple of the minimum.
 const SUSPICION_MAX_FACTOR: f64 = 6.0;
-/// Further accusers after which the time of suspicion is at its least.
+/// Number of further accusers that reduces the suspicion time-out to its minimum.
 const MAX_CONFIRMATIONS: usize = 3;
-/// Worst local health: spans grow by it, plus one.
+/// Maximum local health penalty; the probe interval is multiplied by the penalty plus one.
 const MAX_HEALTH_PENALTY: u32 = 8;
-/// Each piece of news is sent on so many times for each power of two of members.
+/// Number of times that a record is retransmitted, multiplied by the bit length of the group size.
 const RETRANSMIT_FACTOR: u32 = 3;
-/// Records in one datagram, beside those of an exchange of state.
+/// Maximum number of gossip records appended to a message.
 const MAX_PIGGYBACKED_RECORDS: usize = 6;
-/// Datagrams of one exchange of state.
+/// Maximum number of datagrams of one state exchange.
 const MAX_SYNC_DATAGRAMS: usize = 8;
-/// Periods between two exchanges of digests.
+/// Time for which a new member waits for an answer before it announces itself as the first one.
+const JOIN_TIMEOUT_PERIODS: u64 = 5;
+/// Time for which another process with this member's name may answer a challenge.
+const NAME_CHALLENGE_PERIODS: u64 = 2;
+/// A wake-up or datagram that is late by more than half a period, and by more than this, shows a pause of the
+/// process.
+const MIN_PAUSE: Micros = 100_000;
+/// An increase of the share is reported from this factor on.
+const SHARE_REPORT_FACTOR: f64 = 1.02;
+/// Interval between two exchanges of digests, before random jitter of up to one period.
 const SYNC_INTERVAL_PERIODS: u64 = 8;
-/// Periods without a word, or without an answer, after which this one counts as cut off or unheard.
+/// Time without received datagrams, or without answered probes, after which this member is cut off or
+/// unheard.
 const ISOLATION_PERIODS: u64 = 6;
-/// Periods for which a member that is dead or has left is remembered, so that it can be asked again and old news of it
-/// are known as old.
+/// Time for which a dead or departed member is kept, so that it can be contacted again and stale records of
+/// it are recognized.
 const DEAD_RETENTION_PERIODS: u64 = 2_000;
-/// Periods between two demands told, and the change that makes one worth telling.
+/// Minimum interval between two advertisements of this member's demand and cut links.
 const ADVERTISE_INTERVAL_PERIODS: u64 = 4;
+/// Relative change of the demand that causes an advertisement.
 const ADVERTISE_MIN_CHANGE: f64 = 0.2;
-/// Periods for which a word counts as recent, at most.
+/// Upper limit of the time for which a datagram from a member counts as recent.
 const MAX_RECENT_PERIODS: u64 = 64;
-/// Lives of one name that are believed at once: a process and the one that takes its place.
+/// Verified processes per name: a process and its replacement.
 const MAX_INSTANCES_PER_NAME: usize = 2;
-/// Proofs given and questions relayed at once; more are dropped until some are over.
+/// Maximum number of relayed probes, and minimum capacity for pending challenges; further ones are dropped.
 const MAX_PENDING: usize = 64;
-/// Datagrams that count as recent behind the highest number seen.
+/// Number of sequence numbers below the highest one seen that are checked for duplicates; lower ones are
+/// rejected.
 const REPLAY_WINDOW: u64 = 64;
 
-/// What a member needs to know at its start.
+/// Configuration of a member.
 #[derive(Debug, Clone)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// Name of the member; it stays the same after a restart.
     pub name: String,
-    /// Its site.
+    /// Site where it runs.
     pub site: String,
-    /// Where it takes datagrams.
+    /// Address where it receives datagrams.
     pub address: SocketAddr,
-    /// Where members may be found at the start.
+    /// Addresses of members to contact at the start.
     pub seeds: Vec<SocketAddr>,
-    /// Where to send what is for a member, in place of the address that it tells.
+    /// Addresses to use for members in place of those that they advertise.
     pub address_overrides: BTreeMap<String, SocketAddr>,
-    /// The keys.
+    /// Keys that authenticate datagrams; the first one signs.
     pub keys: Keys,
-    /// Between two probes.
+    /// Interval between two probes.
     pub probe_interval: Micros,
-    /// Members that are known at once; names beyond them are not taken in.
+    /// Maximum number of members kept; further names are ignored.
     pub max_members: usize,
-    /// Gateways that the configuration names.
+    /// Number of gateways in the configuration.
     pub configured_gateways: u32,
-    /// The most that all shares may add up to, whatever each believes.
+    /// Maximum sum of the shares of all gateways, however their views differ.
     pub max_total_share: f64,
-    /// How much of the even share the share widens by in a second.
+    /// Growth of the share per second, as a fraction of the even share.
     pub share_growth_per_s: f64,
-    /// Without the extensions: plain SWIM, as a baseline.
+    /// Runs plain SWIM without the extensions, as a baseline for comparison.
     pub plain_swim: bool,
 }
 
-/// What is to be done.
+/// An action for the caller to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Send a datagram.
     Send(SocketAddr, Vec<u8>),
-    /// Something has changed.
+    /// The view of the group has changed.
     Changed(Change),
-    /// The share of the fleet is this now.
+    /// The share of the fleet has this new value.
     Share(f64),
-    /// A member, proved to live, said something to what stands on membership.
+    /// Application data from a verified member: its name and the data.
     Received(String, Vec<u8>),
 }
 
-/// A change worth a line in the log.
+/// A change that is worth logging.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
-    /// A member's state.
+    /// State of a member.
     Member {
-        /// Its name.
+        /// Name of the member.
         name: String,
-        /// The state before; `None` for a member that is new.
+        /// Previous state; `None` for a new member.
         previous: Option<State>,
-        /// The state.
+        /// New state.
         state: State,
-        /// Its incarnation.
+        /// Incarnation of the member.
         incarnation: u32,
     },
-    /// How this one stands with the others.
+    /// New standing of this member.
     Standing(Standing),
-    /// This process stood still for so long.
+    /// This process was paused for the given time.
     Paused(Micros),
-    /// A link's state.
+    /// State of the link to the named member.
     Link(String, Link),
-    /// Another process has this one's name, there.
+    /// Another process at the given address uses this member's name.
     NameConflict(SocketAddr),
 }
 
-/// How a member stands with the others.
+/// Connectivity of this member with the group, as seen by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Standing {
-    /// It has heard of nobody yet.
+    /// It has not announced itself yet.
     Joining,
-    /// It hears others and they hear it.
+    /// It receives datagrams from others and they answer its own.
     Whole,
-    /// It hears nobody.
+    /// It receives nothing, or knows of no other living member.
     CutOff,
-    /// It hears others, and nobody hears it.
+    /// It receives datagrams, but its own probes are not answered.
     Unheard,
-    /// It stood still and has not been answered since.
+    /// It was paused and none of its probes has been answered since.
     Waking,
-    /// Another process that was there before has its name.
+    /// Another process holds its name.
     Doubled,
 }
 
 impl Standing {
-    /// A word for the log and the table.
+    /// Name for logs and tables.
     pub fn as_str(self) -> &'static str {
         match self {
             Standing::Joining => "joining",
@@ -151,46 +167,46 @@
     }
 }
 
-/// What is known of the link to a member.
+/// State of the link to a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Link {
-    /// Both ways, or nothing is known.
+    /// It works in both directions, or its state is unknown.
     Good,
-    /// What is sent there does not come there, whether or not what comes from there comes.
+    /// Datagrams to the member are lost; those from it may or may not arrive.
     Outbound,
-    /// What is sent there comes there; what comes from there does not come here.
+    /// Datagrams to the member arrive; those from it are lost.
     Inbound,
 }
 
-/// Counts since the start.
+/// Counters since the start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Datagrams sent, and their octets.
+    /// Datagrams and bytes sent.
     pub sent: (u64, u64),
-    /// Datagrams taken, and their octets.
+    /// Datagrams and bytes accepted.
     pub received: (u64, u64),
-    /// Datagrams that were not taken: unreadable, oversized, of an unknown key, forged, replayed, unproved.
+    /// Datagrams rejected, indexed by [`Rejection`].
     pub rejected: [u64; 6],
     /// Probes that failed.
     pub failed_probes: u64,
-    /// Suspicions raised here.
+    /// Suspicions raised by this member.
     pub suspicions: u64,
-    /// Members declared dead here.
+    /// Members declared dead by this member.
     pub declared_dead: u64,
-    /// Own refutations.
+    /// Refutations of suspicions about this member.
     pub refutations: u64,
-    /// Pauses noticed.
+    /// Pauses of this process that were detected.
     pub pauses: u64,
 }
 
-/// A row of the view.
+/// What this member knows of another one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MemberView {
-    /// What is believed.
+    /// Current record.
     pub record: Record,
-    /// Since when.
+    /// When the state last changed or a suspicion was last renewed.
     pub since: Micros,
-    /// The link there.
+    /// Link to the member.
     pub link: Link,
 }
 
@@ -198,63 +214,75 @@
 struct Member {
     record: Record,
     since: Micros,
-    /// Marks of those who suspect it, and when that becomes its death, at the least and at the most.
+    /// Hashes of the names of the members that suspect it.
     accusers: Vec<u32>,
     link: Link,
-    /// Probes in a row that were answered only by others' hands.
-    indirect: u32,
-    /// When something last came from it directly.
-    heard: Option<Micros>,
+    /// Consecutive probes that were answered only through helpers.
+    consecutive_indirect_answers: u32,
+    /// When a datagram last came from it directly.
+    last_received_at: Option<Micros>,
 }
 
-/// What is known of the datagrams of one process.
+/// A verified process and its replay window.
 #[derive(Debug)]
 struct Peer {
     instance_id: u64,
-    /// Where its datagrams come from, and when it proved itself.
+    /// Address of its latest datagram.
     address: SocketAddr,
-    proved: Micros,
-    highest: u64,
-    seen: u64,
+    verified_at: Micros,
+    highest_number: u64,
+    /// Bit `i` is set if the datagram `highest_number - i` has been received.
+    seen_bits: u64,
 }
 
 #[derive(Debug)]
 struct PendingChallenge {
     instance_id: u64,
     nonce: u64,
-    until: Micros,
+    expires_at: Micros,
 }
 
 #[derive(Debug)]
 struct Probe {
     number: u32,
     target: String,
-    began: Micros,
+    started_at: Micros,
     round: u32,
-    next: Micros,
-    helped: bool,
+    next_round_at: Micros,
+    /// Whether a helper has confirmed a request of this probe.
+    helper_responded: bool,
 }
 
 #[derive(Debug)]
 struct RelayedProbe {
     number: u32,
     origin: String,
-    theirs: u32,
-    until: Micros,
+    /// Number of the probe at the member that requested it.
+    origin_number: u32,
+    expires_at: Micros,
 }
 
-/// A member. See the crate's documentation.
+/// A challenge to another process with this member's name.
+#[derive(Debug, Clone, Copy)]
+struct NameConflict {
+    address: SocketAddr,
+    instance_id: u64,
+    nonce: u64,
+    expires_at: Micros,
+}
+
+/// The state machine of one member.
 #[derive(Debug)]
 pub struct Membership {
     config: Config,
     rng: u64,
     now: Micros,
-    started: Micros,
+    started_at: Micros,
     own: Record,
     members: BTreeMap<String, Member>,
     peers: BTreeMap<String, Vec<Peer>>,
     challenges: BTreeMap<String, PendingChallenge>,
-    /// News by name: how often each has been sent on.
+    /// Records to gossip by member name, with the number of times that each has been sent.
     updates: BTreeMap<String, u32>,
     probe_order: Vec<String>,
     probe: Option<Probe>,
@@ -263,17 +291,17 @@
     next_probe_at: Micros,
     next_sync_at: Micros,
     next_advertise_at: Micros,
-    /// The wake-up asked for last: one that comes much later tells that this process stood still.
+    /// Wake-up last requested; one that comes much later shows that this process was paused.
     planned_wake: Micros,
     health_penalty: u32,
     last_received_at: Micros,
     last_answered_at: Micros,
-    /// Nobody is accused before this process has been answered, after a pause.
+    /// Set after a pause until a probe is answered; no member is suspected or declared dead meanwhile.
     paused_at: Option<Micros>,
     joined: bool,
     announced: bool,
-    /// A process with this one's name: where, its instance_id, the question to it, and until when it may answer.
-    name_conflict: Option<(SocketAddr, u64, u64, Micros)>,
+    /// Another process with this member's name that has been challenged.
+    name_conflict: Option<NameConflict>,
     next_conflict_check_at: Micros,
     name_taken: bool,
     left: bool,
@@ -282,17 +310,19 @@
     announced_share: f64,
     demand: Demand,
     last_datagram_number: u64,
-    /// Names that are suspected, and what is worked out from all members when something of them has changed.
+    /// Names of suspected members.
     suspects: BTreeSet<String>,
+    /// Whether `share_inputs` must be recomputed from the members.
     inputs_changed: bool,
     share_inputs: ShareInputs,
     effects: VecDeque<Effect>,
-    /// Counts since the start.
+    /// Counters since the start.
     pub counts: Counts,
 }
 
 impl Membership {
-    /// A member that starts at a time. `seed` feeds its instance_id and all that it draws.
+    /// Creates a member that starts at `now`. `seed` initializes the random generator that also draws its
+    /// instance id.
     pub fn new(config: Config, seed: u64, now: Micros) -> Self {
         let mut rng = seed;
         let instance_id = draw(&mut rng);
@@ -315,14 +345,14 @@
             announced_share: 0.0,
             own,
             now,
-            started: now,
+            started_at: now,
             members: BTreeMap::new(),
             peers: BTreeMap::new(),
             challenges: BTreeMap::new(),
             updates: BTreeMap::new(),
             probe_order: Vec::new(),
             probe: None,
-            // Two processes of one name must not take each other's answers for theirs.
+            // A random start, so that two processes of one name do not accept each other's answers.
             last_probe_number: draw(&mut rng) as u32,
             relayed_probes: Vec::new(),
             next_probe_at: now,
@@ -345,7 +375,7 @@
             suspects: BTreeSet::new(),
             inputs_changed: true,
             share_inputs: ShareInputs {
-                fleet: config.configured_gateways,
+                configured_gateways: config.configured_gateways,
                 members: 1,
                 living: 1,
                 load: None,
@@ -358,53 +388,53 @@
         }
     }
 
-    // ---- What comes from outside -----------------------------------------------------------------------
+    // ---- Inputs and effects ----------------------------------------------------------------------------
 
-    /// The next effect.
+    /// Removes and returns the next effect.
     pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
-    /// When [`Membership::wake`] wants to be called.
+    /// When [`Membership::handle_wake`] is to be called next; `u64::MAX` after [`Membership::leave`].
     pub fn next_wake(&self) -> Micros {
-        let probe = self.probe.as_ref().map_or(u64::MAX, |p| p.next);
+        let probe = self.probe.as_ref().map_or(u64::MAX, |p| p.next_round_at);
         let suspects = self.suspects.iter().filter_map(|name| self.members.get(name));
-        let deaths = suspects.filter_map(|m| self.suspicion_deadline(m)).min().unwrap_or(u64::MAX);
-        let rival = self.name_conflict.map_or(u64::MAX, |r| r.3);
+        let deadlines = suspects.filter_map(|m| self.suspicion_deadline(m)).min().unwrap_or(u64::MAX);
+        let conflict = self.name_conflict.map_or(u64::MAX, |c| c.expires_at);
         if self.left {
             return u64::MAX;
         }
-        probe.min(self.next_probe_at).min(deaths).min(rival)
+        probe.min(self.next_probe_at).min(deadlines).min(conflict)
     }
 
-    /// Time has passed.
+    /// Runs the timers that are due.
     pub fn handle_wake(&mut self, now: Micros) {
         self.advance_clock(now);
         self.run_due_timers();
         self.planned_wake = self.next_wake();
     }
 
-    /// A datagram has come from an address.
+    /// Processes a datagram received from an address.
     pub fn handle_datagram(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
         self.advance_clock(now);
-        if let Err(why) = self.accept_datagram(from, bytes) {
-            self.counts.rejected[why as usize] += 1;
+        if let Err(rejection) = self.accept_datagram(from, bytes) {
+            self.counts.rejected[rejection as usize] += 1;
         }
         self.planned_wake = self.next_wake();
     }
 
-    /// What this gateway's clients ask for now.
+    /// Sets the load offered by this gateway's clients.
     pub fn set_demand(&mut self, demand: Demand) {
         self.demand = demand;
     }
 
-    /// New keys: the first signs from now on.
+    /// Replaces the keys; the first one signs.
     pub fn set_keys(&mut self, keys: Keys) {
         self.config.keys = keys;
     }
 
-    /// Says something that is not membership's own to a member; a datagram, which may get lost. Gives whether it is known
-    /// where that member is, and there is room.
+    /// Sends application data to a member in a datagram, which may be lost. Returns false if the member is
+    /// unknown or the data exceed [`MAX_PAYLOAD_BYTES`].
     pub fn send_payload(&mut self, now: Micros, name: &str, bytes: &[u8]) -> bool {
         self.advance_clock(now);
         let known = bytes.len() <= MAX_PAYLOAD_BYTES && self.members.contains_key(name);
@@ -415,47 +445,49 @@
         known
     }
 
-    /// Says good-bye to everybody that lives. Nothing is answered from then on.
+    /// Announces the departure to living members, up to a fixed number of datagrams. Only application data is
+    /// accepted afterwards.
     pub fn leave(&mut self, now: Micros) {
         self.advance_clock(now);
         self.own.state = State::Left;
         let living: Vec<String> = self.living_members().map(|m| m.record.name.clone()).collect();
-        let me = self.own.clone();
-        // Twice each: one loss must not cost the whole time of suspicion.
+        let departure = self.own.clone();
+        // Sent twice, so that a single loss does not delay the others by the suspicion time-out.
         for name in living.iter().chain(&living).take(MAX_SYNC_DATAGRAMS * PROBE_HELPERS) {
-            self.send_to(name, Kind::Records, vec![me.clone()]);
+            self.send_to(name, Kind::Records, vec![departure.clone()]);
         }
         self.left = true;
     }
 
-    // ---- What is known ---------------------------------------------------------------------------------
+    // ---- Accessors -------------------------------------------------------------------------------------
 
     /// This member's own record.
     pub fn own_record(&self) -> &Record {
         &self.own
     }
 
-    /// All other members that are remembered, by name.
+    /// All other members that are kept, in order of their names.
     pub fn members(&self) -> impl Iterator<Item = MemberView> + '_ {
         self.members.values().map(|m| MemberView { record: m.record.clone(), since: m.since, link: m.link })
     }
 
-    /// What is believed of a member.
+    /// State of a member, if it is known.
     pub fn member_state(&self, name: &str) -> Option<State> {
         self.members.get(name).map(|m| m.record.state)
     }
 
-    /// How this one stands with the others.
+    /// Connectivity of this member with the group.
     pub fn standing(&self) -> Standing {
         self.standing
     }
 
-    /// The share of the fleet as it was last worked out.
+    /// Share of the fleet as last computed.
     pub fn share(&self) -> f64 {
-        self.share.now
+        self.share.value
     }
 
-    /// Entries of every map and list.
+    /// Number of entries of members, verified processes, pending challenges, updates, relayed probes and the
+    /// probe order, for checks of memory bounds.
     pub fn entry_counts(&self) -> [usize; 6] {
         let peers = self.peers.values().map(Vec::len).sum();
         [
@@ -468,15 +500,17 @@
         ]
     }
 
-    /// Whether two members believe the same of everybody.
+    /// Digests by bucket of the members' incarnations, states and instance ids; equal digests mean equal
+    /// views.
     pub fn digest(&self) -> [u32; DIGEST_BUCKETS] {
         let mut parts = [0u32; DIGEST_BUCKETS];
         let known = self.members.values().map(|m| &m.record);
         for r in known.chain(self.announced.then_some(&self.own)) {
-            // Suspicion and demand come and go: they must not make two halves send each other everything.
-            let settled = if r.state == State::Suspect { State::Alive } else { r.state };
+            // Suspicion and demand change often: they are left out so that they do not cause full state
+            // exchanges.
+            let digest_state = if r.state == State::Suspect { State::Alive } else { r.state };
             let mut seed = u64::from(mark(&r.name)) << 32 | u64::from(r.incarnation);
-            seed ^= (settled as u64) << 24 ^ r.instance_id.rotate_left(7);
+            seed ^= (digest_state as u64) << 24 ^ r.instance_id.rotate_left(7);
             parts[bucket(&r.name)] ^= draw(&mut seed) as u32;
         }
         parts
@@ -488,16 +522,18 @@
 
     // ---- Time ------------------------------------------------------------------------------------------
 
+    /// Sets the clock and detects pauses of this process.
     fn advance_clock(&mut self, now: Micros) {
         let now = now.max(self.now);
-        let stall = self.config.probe_interval.max(200_000) / 2;
+        let pause_threshold = (self.config.probe_interval / 2).max(MIN_PAUSE);
         let late = now.saturating_sub(self.planned_wake.max(self.now));
         self.now = now;
-        if late <= stall || self.planned_wake == u64::MAX || self.config.plain_swim {
+        if late <= pause_threshold || self.planned_wake == u64::MAX || self.config.plain_swim {
             return;
         }
-        // This process stood still. Whatever ran out meanwhile proves nothing: nobody could have been heard. The others may
-        // have given it up, and it can't know before it is answered.
+        // This process was paused. Time-outs that expired meanwhile prove nothing, as no datagram could be
+        // received. The others may have declared this member dead, which it cannot know before a probe is
+        // answered.
         self.counts.pauses += 1;
         self.effects.push_back(Effect::Changed(Change::Paused(late)));
         self.probe = None;
@@ -511,12 +547,13 @@
         self.next_probe_at = now;
         self.next_sync_at = now;
         if self.announced && late > self.suspicion_timeout(1) {
-            // Its own refutation first: the accusation is on its way, or has been believed.
+            // Refute at once: by now this member may be suspected or declared dead.
             self.refute(self.own.incarnation);
         }
         self.update_standing();
     }
 
+    /// Probe interval, lengthened by the local health penalty.
     fn scaled_period(&self) -> Micros {
         if self.config.plain_swim {
             return self.config.probe_interval;
@@ -535,20 +572,21 @@
             self.next_probe_at = self.now + self.scaled_period();
             self.run_period();
         }
-        self.relayed_probes.retain(|e| e.until > self.now);
+        self.relayed_probes.retain(|e| e.expires_at > self.now);
         let now = self.now;
-        self.challenges.retain(|_, q| q.until > now);
+        self.challenges.retain(|_, q| q.expires_at > now);
         self.update_standing();
     }
 
-    /// What happens once in a period.
+    /// Runs the work of one period.
     fn run_period(&mut self) {
         if !self.announced {
-            // Before it says a word of itself it hears what is said of its name. Nobody there: it is the first.
-            let waited = self.now.saturating_sub(self.started);
-            let alone = waited >= 5 * self.config.probe_interval;
-            let free = self.name_conflict.is_none() && !self.name_taken;
-            if free && (self.joined || alone || self.config.seeds.is_empty()) {
+            // Before it announces itself it learns what is known of its name. If nobody answers, it is the
+            // first member.
+            let waited = self.now.saturating_sub(self.started_at);
+            let timed_out = waited >= JOIN_TIMEOUT_PERIODS * self.config.probe_interval;
+            let name_free = self.name_conflict.is_none() && !self.name_taken;
+            if name_free && (self.joined || timed_out || self.config.seeds.is_empty()) {
                 self.announced = true;
                 self.enqueue_update(self.own.name.clone());
             }
@@ -556,29 +594,31 @@
         self.advertise_own_state();
         self.start_probe();
         if self.now >= self.next_sync_at {
-            let spread = draw(&mut self.rng) % self.config.probe_interval.max(1);
-            // Who knows nobody asks the seeds again with the next period: two that start at once have nothing to tell yet.
-            let knows = self.joined && self.living_members().next().is_some();
+            let jitter = draw(&mut self.rng) % self.config.probe_interval.max(1);
+            // A member that knows no other asks the seeds in every period: two that start at once know
+            // nothing at first.
+            let knows_others = self.joined && self.living_members().next().is_some();
             self.next_sync_at = self.now
-                + if knows { SYNC_INTERVAL_PERIODS * self.config.probe_interval + spread } else { 0 };
+                + if knows_others { SYNC_INTERVAL_PERIODS * self.config.probe_interval + jitter } else { 0 };
             self.start_sync();
         }
-        let (now, keep) = (self.now, DEAD_RETENTION_PERIODS * self.config.probe_interval);
+        let (now, dead_retention) = (self.now, DEAD_RETENTION_PERIODS * self.config.probe_interval);
         let before = self.members.len();
-        self.members.retain(|_, m| m.record.state <= State::Suspect || now < m.since + keep);
+        self.members.retain(|_, m| m.record.state <= State::Suspect || now < m.since + dead_retention);
         self.inputs_changed |= before != self.members.len();
-        let (members, fresh) = (&self.members, SYNC_INTERVAL_PERIODS * self.config.probe_interval);
-        self.peers
-            .retain(|name, lives| members.contains_key(name) || lives.iter().any(|p| now < p.proved + fresh));
+        let (members, retention) = (&self.members, SYNC_INTERVAL_PERIODS * self.config.probe_interval);
+        self.peers.retain(|name, instances| {
+            members.contains_key(name) || instances.iter().any(|p| now < p.verified_at + retention)
+        });
         self.updates.retain(|name, _| members.contains_key(name) || *name == self.config.name);
     }
 
-    /// Tells the demand of its clients, and its bad links, when they have changed.
+    /// Advertises the demand of this gateway's clients and its cut links when they have changed.
     fn advertise_own_state(&mut self) {
         if self.now < self.next_advertise_at {
             return;
         }
-        let (old, new) = (self.own.demand.total(), self.demand.total());
+        let (advertised, current) = (self.own.demand.total(), self.demand.total());
         let cuts: Vec<CutLink> = self
             .members
             .values()
@@ -586,7 +626,8 @@
             .map(|m| CutLink { peer_hash: mark(&m.record.name), outbound: m.link == Link::Outbound })
             .take(MAX_CUT_LINKS)
             .collect();
-        let changed = (old - new).abs() > ADVERTISE_MIN_CHANGE * old.max(1.0) || cuts != self.own.cuts;
+        let changed = (advertised - current).abs() > ADVERTISE_MIN_CHANGE * advertised.max(1.0)
+            || cuts != self.own.cuts;
         if changed {
             self.next_advertise_at = self.now + ADVERTISE_INTERVAL_PERIODS * self.config.probe_interval;
             self.inputs_changed = true;
@@ -600,39 +641,38 @@
 
     fn accept_datagram(&mut self, from: SocketAddr, bytes: &[u8]) -> Result<(), Rejection> {
         let Some(datagram) = Datagram::open(&self.config.keys, bytes)? else { return Ok(()) };
-        // What stands on membership may still have to be ended in order; nothing else is heard any more.
+        // After leaving, only application data is accepted, so that users of membership can shut down in
+        // order.
         if self.left && !matches!(datagram.kind, Kind::Payload(..)) {
             return Ok(());
         }
-        // Guards against what was said to another one and is led here by somebody in between.
+        // Rejects data addressed to another member that a third party has redirected here.
         if matches!(datagram.kind, Kind::Payload(_, to) if to != 0 && to != mark(&self.own.name)) {
             return Err(Rejection::Replayed);
         }
         if let Kind::Challenge(nonce) = datagram.kind {
-            // Whoever asks is answered where the question came from: a name is not believed yet.
+            // The answer goes to the source address, as the sender's name is not verified yet.
             self.send(from, Kind::ChallengeResponse(nonce), Vec::new());
             return Ok(());
         }
         if datagram.from == self.own.name {
-            // Another process with this name, or an echo of this one.
-            if let (Kind::ChallengeResponse(nonce), Some((address, instance_id, asked, _))) =
-                (&datagram.kind, self.name_conflict)
-            {
-                if *nonce == asked && datagram.instance_id == instance_id {
-                    self.resolve_name_conflict(address, instance_id);
+            // Another process with this name, or a replayed datagram of this one.
+            if let (Kind::ChallengeResponse(nonce), Some(conflict)) = (&datagram.kind, self.name_conflict) {
+                if *nonce == conflict.nonce && datagram.instance_id == conflict.instance_id {
+                    self.resolve_name_conflict(conflict.address, conflict.instance_id);
                 }
             }
             return Ok(());
         }
         if let Kind::ChallengeResponse(nonce) = datagram.kind {
-            return self.accept_proof(&datagram, nonce, from);
+            return self.accept_challenge_response(&datagram, nonce, from);
         }
         let peers = self.peers.get_mut(&datagram.from).map(Vec::as_mut_slice).unwrap_or_default();
         let Some(peer) = peers.iter_mut().find(|p| p.instance_id == datagram.instance_id) else {
             self.challenge(&datagram, from);
             return Err(Rejection::Unverified);
         };
-        if !peer.is_new(datagram.number) {
+        if !peer.accept_number(datagram.number) {
             return Err(Rejection::Replayed);
         }
         peer.address = from;
@@ -640,70 +680,79 @@
         self.counts.received.1 += bytes.len() as u64;
         self.last_received_at = self.now;
         if let Some(member) = self.members.get_mut(&datagram.from) {
-            member.heard = Some(self.now);
+            member.last_received_at = Some(self.now);
         }
-        let stated = matches!(datagram.kind, Kind::Records);
+        let has_state = matches!(datagram.kind, Kind::Records);
         for record in datagram.records {
             self.merge_record(record);
         }
-        self.joined |= stated;
+        self.joined |= has_state;
         self.handle_message(&datagram.from, from, datagram.kind);
         self.update_standing();
         Ok(())
     }
 
+    /// Whether a datagram has recently come directly from the named member.
     fn heard_recently(&self, name: &str) -> bool {
-        // Everybody asks everybody once in as many periods as there are members, in an order that is drawn anew each time.
+        // Each member probes every other one once per cycle of as many periods as there are members, in a
+        // random order.
         let recent = (4 + 2 * u64::from(self.share_inputs.living)).min(MAX_RECENT_PERIODS)
             * self.config.probe_interval;
-        self.members.get(name).and_then(|m| m.heard).is_some_and(|at| self.now < at + recent)
+        self.members.get(name).and_then(|m| m.last_received_at).is_some_and(|at| self.now < at + recent)
     }
 
-    /// Answers go where the question came from: a name may have two processes, and an address may have changed.
-    fn handle_message(&mut self, from: &str, back: SocketAddr, kind: Kind) {
+    /// Handles the message of a datagram. Answers go to its source address, as a name may have two processes
+    /// and an address may have changed.
+    fn handle_message(&mut self, from: &str, source: SocketAddr, kind: Kind) {
         match kind {
             Kind::Ping(number) => {
-                let hears = self.heard_recently(from);
-                self.send(back, Kind::Ack(number, hears), Vec::new());
+                let heard = self.heard_recently(from);
+                self.send(source, Kind::Ack(number, heard), Vec::new());
             }
-            Kind::Ack(number, hears) => self.probe_succeeded(number, true, hears),
-            Kind::ProbeRequest(theirs, target) => {
+            Kind::Ack(number, heard) => self.probe_succeeded(number, true, heard),
+            Kind::ProbeRequest(origin_number, target) => {
                 if target == self.own.name || self.relayed_probes.len() >= MAX_PENDING {
                     return;
                 }
                 self.last_probe_number = self.last_probe_number.wrapping_add(1);
-                let (number, until) = (self.last_probe_number, self.now + self.config.probe_interval);
-                self.relayed_probes.push(RelayedProbe { number, origin: from.to_owned(), theirs, until });
-                let about = self.members.get(&target).map(|m| m.record.clone());
-                let about = about.filter(|r| r.state == State::Suspect).into_iter().collect();
-                self.send_to(&target, Kind::RelayedPing(number, from.to_owned()), about);
-                // Whoever asked knows that it is heard, even if the target says nothing.
-                self.send(back, Kind::ProbeReport(theirs, None), Vec::new());
+                let (number, expires_at) = (self.last_probe_number, self.now + self.config.probe_interval);
+                self.relayed_probes.push(RelayedProbe {
+                    number,
+                    origin: from.to_owned(),
+                    origin_number,
+                    expires_at,
+                });
+                let suspicion = self.members.get(&target).map(|m| m.record.clone());
+                let suspicion = suspicion.filter(|r| r.state == State::Suspect).into_iter().collect();
+                self.send_to(&target, Kind::RelayedPing(number, from.to_owned()), suspicion);
+                // Confirm the request, so that the prober knows it can be heard even if the target does not
+                // answer.
+                self.send(source, Kind::ProbeReport(origin_number, None), Vec::new());
             }
             Kind::RelayedPing(number, origin) => {
-                let hears = self.heard_recently(&origin);
-                self.send(back, Kind::RelayedAck(number, origin, hears), Vec::new());
+                let heard = self.heard_recently(&origin);
+                self.send(source, Kind::RelayedAck(number, origin, heard), Vec::new());
             }
-            Kind::RelayedAck(number, origin, hears) => {
+            Kind::RelayedAck(number, origin, heard) => {
                 let at = self.relayed_probes.iter().position(|e| e.number == number && e.origin == origin);
                 if let Some(at) = at {
-                    let errand = self.relayed_probes.swap_remove(at);
-                    self.send_to(&origin, Kind::ProbeReport(errand.theirs, Some(hears)), Vec::new());
+                    let relayed = self.relayed_probes.swap_remove(at);
+                    self.send_to(&origin, Kind::ProbeReport(relayed.origin_number, Some(heard)), Vec::new());
                 }
             }
             Kind::ProbeReport(number, None) => {
-                // Somebody hears this one: its silence is the target's.
+                // A helper received the request, so the missing answer is not due to this member's own link.
                 if let Some(probe) = self.probe.as_mut().filter(|p| p.number == number) {
-                    probe.helped = true;
+                    probe.helper_responded = true;
                     self.record_answer();
                 }
             }
-            Kind::ProbeReport(number, Some(hears)) => self.probe_succeeded(number, false, hears),
-            Kind::Digest(theirs, wanted) => {
-                self.send_differing_records(back, &theirs);
+            Kind::ProbeReport(number, Some(heard)) => self.probe_succeeded(number, false, heard),
+            Kind::Digest(peer_digest, wanted) => {
+                self.send_differing_records(source, &peer_digest);
                 if wanted {
                     let digest = self.digest();
-                    self.send(back, Kind::Digest(digest, false), Vec::new());
+                    self.send(source, Kind::Digest(digest, false), Vec::new());
                 }
             }
             Kind::Payload(bytes, _) => self.effects.push_back(Effect::Received(from.to_owned(), bytes)),
@@ -712,51 +761,53 @@
     }
 
     fn send_to(&mut self, name: &str, kind: Kind, records: Vec<Record>) -> usize {
-        let told = self.members.get(name).map(|m| m.record.address);
-        // One that has not said yet where it is to be found is answered where it spoke from.
-        let spoke = || self.peers.get(name).and_then(|p| p.last()).map(|p| p.address);
-        let to = self.config.address_overrides.get(name).copied().or(told).or_else(spoke);
+        let advertised = self.members.get(name).map(|m| m.record.address);
+        // A member that has not advertised its address yet is answered at the source of its datagrams.
+        let source = || self.peers.get(name).and_then(|p| p.last()).map(|p| p.address);
+        let to = self.config.address_overrides.get(name).copied().or(advertised).or_else(source);
         let Some(to) = to else { return records.len() };
         self.send(to, kind, records)
     }
 
-    /// Sends; gives how many of the records have found room. Others' news ride along where none of its own fill it.
+    /// Sends a message with records and returns how many of the records fitted. Gossip records are appended
+    /// to messages of the probe protocol and to digests.
     fn send(&mut self, to: SocketAddr, kind: Kind, mut records: Vec<Record>) -> usize {
-        let own = records.len();
-        let plain = matches!(
+        let own_count = records.len();
+        let excludes_gossip = matches!(
             kind,
             Kind::Records | Kind::Challenge(_) | Kind::ChallengeResponse(_) | Kind::Payload(..)
         );
-        if !plain {
+        if !excludes_gossip {
             records.extend(self.piggybacked_records());
         }
         self.last_datagram_number += 1;
         let (from, instance_id, number) =
             (self.own.name.clone(), self.own.instance_id, self.last_datagram_number);
         let mut bytes = Vec::new();
-        let told = Datagram { from, instance_id, number, kind, records }.seal(&self.config.keys, &mut bytes);
+        let included =
+            Datagram { from, instance_id, number, kind, records }.seal(&self.config.keys, &mut bytes);
         self.counts.sent.0 += 1;
         self.counts.sent.1 += bytes.len() as u64;
         self.effects.push_back(Effect::Send(to, bytes));
-        told.min(own)
+        included.min(own_count)
     }
 }
 
 impl Peer {
-    /// Whether a number has not been seen, and is not too old to tell.
-    fn is_new(&mut self, number: u64) -> bool {
-        if number > self.highest {
-            let ahead = number - self.highest;
-            self.seen = if ahead >= REPLAY_WINDOW { 0 } else { self.seen << ahead };
-            self.seen |= 1;
-            self.highest = number;
+    /// Records a sequence number; returns false if it was seen before or is older than the replay window.
+    fn accept_number(&mut self, number: u64) -> bool {
+        if number > self.highest_number {
+            let ahead = number - self.highest_number;
+            self.seen_bits = if ahead >= REPLAY_WINDOW { 0 } else { self.seen_bits << ahead };
+            self.seen_bits |= 1;
+            self.highest_number = number;
             return true;
         }
-        let behind = self.highest - number;
-        if behind >= REPLAY_WINDOW || self.seen >> behind & 1 == 1 {
+        let behind = self.highest_number - number;
+        if behind >= REPLAY_WINDOW || self.seen_bits >> behind & 1 == 1 {
             return false;
         }
-        self.seen |= 1 << behind;
+        self.seen_bits |= 1 << behind;
         true
     }
 }
@@ -765,7 +816,7 @@
     mark(name) as usize % DIGEST_BUCKETS
 }
 
-/// A stream of numbers (splitmix64).
+/// Next number of a splitmix64 random generator.
 pub(crate) fn draw(state: &mut u64) -> u64 {
     *state = state.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let mut z = *state;
--- a/crates/membership/src/machine/gossip.rs
+++ b/crates/membership/src/machine/gossip.rs
@@ -1,12 +1,12 @@
-//! News that rides along, and digests by which two members find what they know differently.
+//! Gossip records appended to messages, and state exchange by digests (anti-entropy).
 
 use super::*;
 
 impl Membership {
-    /// Asks somebody whether they believe the same: one that lives, now and then one that does not, or a seed.
+    /// Sends the digests to a random living member, or now and then to a dead one or to a seed.
     pub(super) fn start_sync(&mut self) {
         let digest = self.digest();
-        let turn = draw(&mut self.rng) % 4;
+        let choice = draw(&mut self.rng) % 4;
         let dead: Vec<String> = self
             .members
             .values()
@@ -14,13 +14,15 @@
             .map(|m| m.record.name.clone())
             .collect();
         if !self.joined || self.living_members().next().is_none() {
-            // Nobody is known: seeds are asked, a few at a time.
+            // No living member is known.
             self.sync_with_seeds(PROBE_HELPERS, digest);
-        } else if turn == 1 && !self.config.plain_swim {
-            // Members that start at once may meet in groups that know nothing of each other: seeds bring them together.
+        } else if choice == 1 && !self.config.plain_swim {
+            // Members that start at the same time may form groups that do not know each other; a common seed
+            // joins them.
             self.sync_with_seeds(1, digest);
-        } else if turn == 0 && !dead.is_empty() && !self.config.plain_swim {
-            // Two halves of a cut believe each other dead: somebody has to ask.
+        } else if choice == 0 && !dead.is_empty() && !self.config.plain_swim {
+            // After a network partition both sides hold each other for dead; contacting the dead rejoins
+            // them.
             let at = (draw(&mut self.rng) % dead.len() as u64) as usize;
             self.send_to(&dead[at].clone(), Kind::Digest(digest, true), Vec::new());
         } else if let Some(name) = self.random_members(1, "").pop() {
@@ -28,47 +30,47 @@
         }
     }
 
-    fn sync_with_seeds(&mut self, n: usize, digest: [u32; DIGEST_BUCKETS]) {
+    fn sync_with_seeds(&mut self, count: usize, digest: [u32; DIGEST_BUCKETS]) {
         let seeds = self.config.seeds.clone();
-        let from = (draw(&mut self.rng) % seeds.len().max(1) as u64) as usize;
-        for seed in seeds.iter().cycle().skip(from).take(seeds.len().min(n)) {
+        let start = (draw(&mut self.rng) % seeds.len().max(1) as u64) as usize;
+        for seed in seeds.iter().cycle().skip(start).take(seeds.len().min(count)) {
             if *seed != self.own.address {
                 self.send(*seed, Kind::Digest(digest, true), Vec::new());
             }
         }
     }
 
-    /// Sends what lies in parts that differ.
-    pub(super) fn send_differing_records(&mut self, to: SocketAddr, theirs: &[u32; DIGEST_BUCKETS]) {
-        let mine = self.digest();
+    /// Sends the records of the buckets whose digests differ.
+    pub(super) fn send_differing_records(&mut self, to: SocketAddr, peer_digest: &[u32; DIGEST_BUCKETS]) {
+        let own_digest = self.digest();
         let mut records: Vec<Record> = self
             .members
             .values()
             .map(|m| m.record.clone())
             .chain(self.announced.then(|| self.own.clone()))
-            .filter(|r| mine[bucket(&r.name)] != theirs[bucket(&r.name)])
+            .filter(|r| own_digest[bucket(&r.name)] != peer_digest[bucket(&r.name)])
             .collect();
         if records.is_empty() {
             self.send(to, Kind::Records, Vec::new());
             return;
         }
-        // What finds no room in one exchange goes with a later one: each begins elsewhere.
-        let from = (draw(&mut self.rng) % records.len() as u64) as usize;
-        records.rotate_left(from);
+        // A random start, so that records that do not fit are sent in a later exchange.
+        let start = (draw(&mut self.rng) % records.len() as u64) as usize;
+        records.rotate_left(start);
         for _ in 0..MAX_SYNC_DATAGRAMS {
-            let told = self.send(to, Kind::Records, records.clone());
-            records.drain(..told.min(records.len()));
+            let included = self.send(to, Kind::Records, records.clone());
+            records.drain(..included.min(records.len()));
             if records.is_empty() {
                 break;
             }
         }
     }
 
-    /// News that ride on a datagram: what was sent on least often first.
+    /// Records to append to a datagram: those sent least often first, in random order among equals.
     pub(super) fn piggybacked_records(&mut self) -> Vec<Record> {
-        let n = self.members.len() as u32 + 1;
-        let most = RETRANSMIT_FACTOR * (u32::BITS - n.leading_zeros());
-        self.updates.retain(|_, sent| *sent < most);
+        let member_count = self.members.len() as u32 + 1;
+        let max_sends = RETRANSMIT_FACTOR * (u32::BITS - member_count.leading_zeros());
+        self.updates.retain(|_, sent| *sent < max_sends);
         let mut names: Vec<(u32, u64, String)> =
             self.updates.iter().map(|(name, &sent)| (sent, draw(&mut self.rng), name.clone())).collect();
         names.sort();
--- a/crates/membership/src/machine/standing.rs
+++ b/crates/membership/src/machine/standing.rs
@@ -1,11 +1,12 @@
-//! Where this member stands, and its share.
+//! The standing of this member and its share of the fleet.
 
 use super::*;
 
 impl Membership {
+    /// Recomputes the standing and the share, and reports changes.
     pub(super) fn update_standing(&mut self) {
-        let alone = ISOLATION_PERIODS * self.config.probe_interval;
-        let others = self.config.configured_gateways > 1
+        let timeout = ISOLATION_PERIODS * self.config.probe_interval;
+        let expects_others = self.config.configured_gateways > 1
             || self.members.values().any(|m| m.record.state != State::Left);
         let standing = if self.name_taken {
             Standing::Doubled
@@ -13,15 +14,15 @@
             Standing::Waking
         } else if !self.announced {
             Standing::Joining
-        } else if others && self.now >= self.last_received_at + alone {
+        } else if expects_others && self.now >= self.last_received_at + timeout {
             Standing::CutOff
-        } else if others
-            && self.now >= self.last_answered_at + alone
+        } else if expects_others
+            && self.now >= self.last_answered_at + timeout
             && self.living_members().next().is_some()
         {
             Standing::Unheard
-        } else if others && self.living_members().next().is_none() {
-            // Everybody is dead, or this one is alone on its side.
+        } else if expects_others && self.living_members().next().is_none() {
+            // All others are dead, or this member is alone on its side of a partition.
             Standing::CutOff
         } else {
             Standing::Whole
@@ -31,18 +32,23 @@
         }
         if std::mem::take(&mut self.inputs_changed) {
             let living = self.living_members().count() as u32 + 1;
-            let gone = self.members.values().filter(|m| m.record.state == State::Left).count();
-            let mine = self.own.demand.total();
-            let all: f64 = mine + self.living_members().map(|m| m.record.demand.total()).sum::<f64>();
-            let members = (self.members.len() + 1 - gone) as u32;
-            self.share_inputs =
-                ShareInputs { members, living, load: (all > 0.0).then(|| mine / all), ..self.share_inputs };
+            let left = self.members.values().filter(|m| m.record.state == State::Left).count();
+            let own_demand = self.own.demand.total();
+            let total_demand: f64 =
+                own_demand + self.living_members().map(|m| m.record.demand.total()).sum::<f64>();
+            let members = (self.members.len() + 1 - left) as u32;
+            self.share_inputs = ShareInputs {
+                members,
+                living,
+                load: (total_demand > 0.0).then(|| own_demand / total_demand),
+                ..self.share_inputs
+            };
         }
         self.share_inputs.standing = standing;
-        let known = self.share_inputs;
-        let share = self.share.next(self.now, &known);
-        // Narrowing is told at once, widening in steps worth telling.
-        if share < self.announced_share || share > self.announced_share * 1.02 {
+        let inputs = self.share_inputs;
+        let share = self.share.update(self.now, &inputs);
+        // A decrease is reported at once, an increase only if it is significant.
+        if share < self.announced_share || share > self.announced_share * SHARE_REPORT_FACTOR {
             self.announced_share = share;
             self.effects.push_back(Effect::Share(share));
         }
--- a/crates/membership/src/share.rs
+++ b/crates/membership/src/share.rs
@@ -1,78 +1,84 @@
-//! Which share of the fleet a gateway takes, from what it knows of the others.
+//! Computes the share of the engine fleet that a gateway may use from its view of the group.
 //!
-//! The invariant: with `fleet` gateways configured and no more processes than that, the shares of all of them add up to
-//! at most `widest`, whatever each believes; and what any takes of a cold engine is at most `1 / fleet`, so that all of
-//! them together never take more than one. Argument: each share is capped by `widest / max(fleet, members known)` in
-//! [`Share::next`], the last step before it is told, so no belief can lift it; the sum over at most `fleet` processes
-//! follows. Where all believe the same, the shares add up to one at most: they are `1/2n + demand/(2 · all demand)`,
-//! which sum to one over the `n` members, before the cap takes from it.
+//! Invariant: with `N` configured gateways and at most as many processes, the shares add up to at most
+//! `max_total_share`, however their views differ; and each gateway uses at most `1 / N` of a cold engine, so
+//! that all of them together use at most one. This holds because [`Share::update`] caps each share at
+//! `max_total_share / max(N, known members)` as its last step. When all views agree on `n` living members,
+//! the shares are `1/2n + demand / (2 · total demand)` before the cap, and these add up to one.
 
 use crate::machine::{Micros, Standing};
 
-/// Part of the share that goes by offered load; the rest is even.
+/// Fraction of the share that follows the offered load; the rest is divided evenly.
 const LOAD_WEIGHT: f64 = 0.5;
-/// What a gateway keeps of its even share while it cannot tell whether it is the one that is cut off.
+/// Fraction of its even share that a gateway keeps while it cannot rule out that it is cut off.
 const ISOLATED_SHARE_FACTOR: f64 = 0.5;
 
-/// What a share is worked out from.
+/// The inputs of the share.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ShareInputs {
-    /// Gateways that the configuration names.
-    pub fleet: u32,
-    /// Members that are not known to have left, dead ones included.
+    /// Number of gateways in the configuration.
+    pub configured_gateways: u32,
+    /// Number of members that have not left, including dead ones.
     pub members: u32,
-    /// Members that live or are only suspected, this one included.
+    /// Number of members that are alive or suspected, including this one.
     pub living: u32,
-    /// This gateway's part of the living members' offered load; `None` if none is told.
+    /// This gateway's fraction of the living members' offered load; `None` if no load is known.
     pub load: Option<f64>,
-    /// How this gateway stands with the others.
+    /// Connectivity of this gateway with the group.
     pub standing: Standing,
 }
 
-/// The share as it was last told.
+/// The share of one gateway over time.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Share {
-    /// The most that all may take together.
-    pub widest: f64,
-    /// How much of the even share it widens by in a second.
-    pub widen: f64,
-    /// The share.
-    pub now: f64,
-    at: Micros,
-    /// Members that lived when it was last worked out.
+    /// Maximum sum of the shares of all gateways.
+    pub max_total_share: f64,
+    /// Growth of the share per second, as a fraction of the even share.
+    pub growth_per_s: f64,
+    /// Current share.
+    pub value: f64,
+    updated_at: Micros,
+    /// Number of living members at the last update.
     living: u32,
 }
 
 impl Share {
-    /// A share before anything is known: that of a gateway that cannot tell.
-    pub fn new(widest: f64, widen: f64, fleet: u32, at: Micros) -> Self {
-        Share { widest, widen, now: ISOLATED_SHARE_FACTOR / f64::from(fleet.max(1)), at, living: 0 }
+    /// Initial share: that of a gateway which may be cut off.
+    pub fn new(max_total_share: f64, growth_per_s: f64, configured_gateways: u32, now: Micros) -> Self {
+        Share {
+            max_total_share,
+            growth_per_s,
+            value: ISOLATED_SHARE_FACTOR / f64::from(configured_gateways.max(1)),
+            updated_at: now,
+            living: 0,
+        }
     }
 
-    /// The share at a time. It widens slowly. It narrows at once where more members live or this one's standing is bad, and
-    /// as slowly as it widens where only load has moved: else noise in what clients ask for would narrow one share at once
-    /// and widen the others late, and leave part of the fleet to nobody.
-    pub fn next(&mut self, now: Micros, known: &ShareInputs) -> f64 {
-        let fleet = f64::from(known.fleet.max(known.members).max(1));
-        let even = 1.0 / fleet;
-        let living = f64::from(known.living.max(1));
-        let goal = match known.standing {
+    /// Computes the share at `now`. It grows at a limited rate. It shrinks at once if more members are alive
+    /// or the standing is bad, and at the same limited rate if only the load has changed: otherwise
+    /// fluctuations of the load would shrink one share at once but grow the others late, which would leave
+    /// part of the fleet unused.
+    pub fn update(&mut self, now: Micros, inputs: &ShareInputs) -> f64 {
+        let gateway_count = f64::from(inputs.configured_gateways.max(inputs.members).max(1));
+        let even_share = 1.0 / gateway_count;
+        let living = f64::from(inputs.living.max(1));
+        let target = match inputs.standing {
             Standing::Whole => {
-                let by_load = known.load.map_or(1.0 / living, |load| load.clamp(0.0, 1.0));
+                let by_load = inputs.load.map_or(1.0 / living, |load| load.clamp(0.0, 1.0));
                 (1.0 - LOAD_WEIGHT) / living + LOAD_WEIGHT * by_load
             }
-            // Whether the others are dead or this one is cut off from them looks the same from here: taking less is
-            // the error that harms nobody else.
-            _ => ISOLATED_SHARE_FACTOR * even,
+            // Dead peers and a cut-off gateway cannot be told apart here; the smaller share does not harm the
+            // others.
+            _ => ISOLATED_SHARE_FACTOR * even_share,
         };
-        let goal = goal.min(self.widest * even);
-        let span = now.saturating_sub(self.at) as f64 / 1e6;
-        let step = self.widen * even * span;
-        let more = known.living > std::mem::replace(&mut self.living, known.living);
-        let at_once = more || known.standing != Standing::Whole;
-        let floor = if at_once { goal } else { goal.max(self.now - step) };
-        self.at = self.at.max(now);
-        self.now = floor.min(self.now + step).min(self.widest * even);
-        self.now
+        let target = target.min(self.max_total_share * even_share);
+        let elapsed_s = now.saturating_sub(self.updated_at) as f64 / 1e6;
+        let step = self.growth_per_s * even_share * elapsed_s;
+        let more_living = inputs.living > std::mem::replace(&mut self.living, inputs.living);
+        let immediate = more_living || inputs.standing != Standing::Whole;
+        let floor = if immediate { target } else { target.max(self.value - step) };
+        self.updated_at = self.updated_at.max(now);
+        self.value = floor.min(self.value + step).min(self.max_total_share * even_share);
+        self.value
     }
 }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -1,9 +1,10 @@
 //! Encoding and authentication of datagrams.
 //!
 //! The layout, with sizes in bytes, is
-//! `version 1 | key 4 | instance id 8 | number 8 | sender | kind and its fields | records | recipient 4 | MAC 16`.
-//! Integers are big-endian and strings have a one-byte length prefix. Each record has a length prefix too: a reader
-//! skips fields that a newer format appends to a record, and uses defaults for those that an older format lacks.
+//! `version 1 | key 4 | instance id 8 | number 8 | sender | kind, fields | records | recipient 4 | MAC 16`.
+//! Integers are big-endian and strings have a one-byte length prefix. Only [`Kind::Payload`] has a recipient.
+//! Each record has a length prefix too: a reader skips fields that a newer format appends to a record, and uses
+//! defaults for those that an older format lacks.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
@@ -58,8 +59,8 @@
     UnknownKey,
     /// Its authentication code does not match.
     Forged,
-    /// It is a duplicate, or older than the replay window, or it answers no pending challenge, or it is addressed
-    /// to another member.
+    /// It is a duplicate, or older than the replay window, or it answers no pending challenge, or it is
+    /// addressed to another member.
     Replayed,
     /// Its sender has not yet answered a challenge, so it may be a replay from an earlier process.
     Unverified,
@@ -78,8 +79,8 @@
     Left,
 }
 
-/// Load offered by a gateway's clients, by class, in core milliseconds per second. The encoding is logarithmic, with
-/// an error below 20 %.
+/// Load offered by a gateway's clients, by class, in core milliseconds per second. The encoding is
+/// logarithmic, with an error below 20 %.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Demand(pub [u8; MAX_DEMAND_CLASSES]);
 
@@ -113,7 +114,8 @@
 pub struct CutLink {
     /// Hash of the name of the member at the other end.
     pub peer_hash: u32,
-    /// If true, the reporter's datagrams do not reach the other member; else the other's do not reach the reporter.
+    /// If true, the reporter's datagrams do not reach the other member; else the other's do not reach the
+    /// reporter.
     pub outbound: bool,
 }
 
@@ -154,17 +156,18 @@
 pub enum Kind {
     /// Probe.
     Ping(u32),
-    /// Answer to a probe, and whether the answering member has recently received a datagram directly from the prober.
+    /// Answer to a probe, and whether the answering member has recently received a datagram directly from the
+    /// prober.
     Ack(u32, bool),
     /// Request to probe the named member on behalf of the sender.
     ProbeRequest(u32, String),
     /// Probe on behalf of the named member.
     RelayedPing(u32, String),
-    /// Answer to [`Kind::RelayedPing`]: the member on whose behalf it was sent, and whether the answering member has
-    /// recently received a datagram directly from that member.
+    /// Answer to [`Kind::RelayedPing`]: the member on whose behalf it was sent, and whether the answering
+    /// member has recently received a datagram directly from that member.
     RelayedAck(u32, String, bool),
-    /// Result of a [`Kind::ProbeRequest`]: `None` confirms the request, `Some` reports an answer of the target, with
-    /// whether the target recently received a datagram directly from the prober.
+    /// Result of a [`Kind::ProbeRequest`]: `None` confirms the request, `Some` reports an answer of the
+    /// target, with whether the target recently received a datagram directly from the prober.
     ProbeReport(u32, Option<bool>),
     /// Nonce to be returned, to show that the sender is a running process and not a replay.
     Challenge(u64),
@@ -174,7 +177,8 @@
     Digest([u32; DIGEST_BUCKETS], bool),
     /// Records only.
     Records,
-    /// Application data, and the hash of the recipient's name; 0 if the datagram is of an older format that lacks it.
+    /// Application data, and the hash of the recipient's name; 0 if the datagram is of an older format that
+    /// lacks it.
     Payload(Vec<u8>, u32),
 }
 
@@ -235,7 +239,8 @@
 }
 
 impl Datagram {
-    /// Encodes and signs the datagram. Records that do not fit are left out; returns the number of records included.
+    /// Encodes and signs the datagram. Records that do not fit are left out; returns the number of records
+    /// included.
     pub fn seal(&self, keys: &Keys, out: &mut Vec<u8>) -> usize {
         out.clear();
         out.push(FORMAT_VERSION);
@@ -249,9 +254,9 @@
         };
         match &self.kind {
             Kind::Ping(n) => put_probe(out, 1, *n),
-            Kind::Ack(n, hears) => {
+            Kind::Ack(n, heard) => {
                 put_probe(out, 2, *n);
-                out.push(u8::from(*hears));
+                out.push(u8::from(*heard));
             }
             Kind::ProbeRequest(n, target) => {
                 put_probe(out, 3, *n);
@@ -261,14 +266,14 @@
                 put_probe(out, 4, *n);
                 put_text(out, origin);
             }
-            Kind::RelayedAck(n, origin, hears) => {
+            Kind::RelayedAck(n, origin, heard) => {
                 put_probe(out, 5, *n);
                 put_text(out, origin);
-                out.push(u8::from(*hears));
+                out.push(u8::from(*heard));
             }
-            Kind::ProbeReport(n, hears) => {
+            Kind::ProbeReport(n, heard) => {
                 put_probe(out, 6, *n);
-                out.push(hears.map_or(2, u8::from));
+                out.push(heard.map_or(2, u8::from));
             }
             Kind::Challenge(nonce) | Kind::ChallengeResponse(nonce) => {
                 out.push(if matches!(self.kind, Kind::Challenge(_)) { 7 } else { 8 });
@@ -306,7 +311,8 @@
         included
     }
 
-    /// Verifies and decodes a datagram. Returns `None` for a valid datagram of a kind that only newer versions know.
+    /// Verifies and decodes a datagram. Returns `None` for a valid datagram of a kind that only newer
+    /// versions know.
     ///
     /// # Errors
     /// The reason for which it is rejected.
@@ -360,8 +366,8 @@
         4 => Kind::RelayedPing(c.u32()?, c.text()?),
         5 => Kind::RelayedAck(c.u32()?, c.text()?, c.u8()? == 1),
         6 => {
-            let (probe, hears) = (c.u32()?, c.u8()?);
-            Kind::ProbeReport(probe, (hears < 2).then_some(hears == 1))
+            let (probe, heard) = (c.u32()?, c.u8()?);
+            Kind::ProbeReport(probe, (heard < 2).then_some(heard == 1))
         }
         7 => Kind::Challenge(c.u64()?),
         8 => Kind::ChallengeResponse(c.u64()?),
