--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/wire.rs
@@ -3,8 +3,8 @@
 //! The layout, with sizes in bytes, is
 //! `version 1 | key 4 | instance id 8 | number 8 | sender | kind, fields | records | recipient 4 | MAC 16`.
 //! Integers are big-endian and strings have a one-byte length prefix. Only [`Kind::Payload`] has a recipient.
-//! Each record has a length prefix too: a reader skips fields that a newer format appends to a record, and uses
-//! defaults for those that an older format lacks.
+//! Each record has a length prefix too: a reader skips fields that a newer format appends to a record, and
+//! uses defaults for those that an older format lacks.
 
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
 
--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -1,4 +1,5 @@
-//! Datagrams that are not what they say: forged, replayed, cut, too long, of invented names, of other keys and formats.
+//! Encoding of datagrams, and rejection of invalid ones: forged, replayed, truncated, oversized, from
+//! invented names or signed with other keys.
 
 use std::net::SocketAddr;
 
@@ -7,9 +8,10 @@
 use violetward_membership::wire::{CutLink, Datagram, Kind, MAX_DATAGRAM_BYTES};
 use violetward_membership::{Demand, Effect, Key, Keys, Membership, Record, Rejection, State};
 
-const PERIOD: u64 = 200_000;
+const PERIOD_US: u64 = 200_000;
+const MAX_MEMBERS: usize = 16;
 
-fn ring(names: &[&str]) -> Keys {
+fn key_ring(names: &[&str]) -> Keys {
     let key = |name: &&str| Key {
         name: (*name).into(),
         secret: format!("the secret of {name}, long enough").into(),
@@ -36,20 +38,20 @@
     }
 }
 
-fn member(keys: Keys) -> Membership {
-    let mut t = test_config(0, 4, PERIOD, false);
-    (t.keys, t.max_members) = (keys, 16);
-    Membership::new(t, 1, 0)
+fn new_member(keys: Keys) -> Membership {
+    let mut config = test_config(0, 4, PERIOD_US, false);
+    (config.keys, config.max_members) = (keys, MAX_MEMBERS);
+    Membership::new(config, 1, 0)
 }
 
-fn sent(member: &mut Membership) -> Vec<(SocketAddr, Vec<u8>)> {
-    let mut all = Vec::new();
+fn sent_datagrams(member: &mut Membership) -> Vec<(SocketAddr, Vec<u8>)> {
+    let mut datagrams = Vec::new();
     while let Some(effect) = member.next_effect() {
         if let Effect::Send(to, bytes) = effect {
-            all.push((to, bytes));
+            datagrams.push((to, bytes));
         }
     }
-    all
+    datagrams
 }
 
 fn sealed(
@@ -65,22 +67,22 @@
     out
 }
 
-/// A peer that proves itself and is believed from then on.
-fn proved(member: &mut Membership, keys: &Keys, from: &str, instance_id: u64) {
+/// Lets a peer answer its challenge, so that its datagrams are accepted from then on.
+fn verify_peer(member: &mut Membership, keys: &Keys, from: &str, instance_id: u64) {
     member.handle_datagram(10, address(1), &sealed(keys, from, instance_id, 1, Kind::Ping(1), vec![]));
-    let asked = sent(member);
-    let nonce = asked.iter().find_map(|(_, bytes)| match Datagram::open(keys, bytes) {
+    let answers = sent_datagrams(member);
+    let nonce = answers.iter().find_map(|(_, bytes)| match Datagram::open(keys, bytes) {
         Ok(Some(Datagram { kind: Kind::Challenge(nonce), .. })) => Some(nonce),
         _ => None,
     });
-    let proof = Kind::ChallengeResponse(nonce.expect("a instance_id that is not known is asked for a proof"));
+    let proof = Kind::ChallengeResponse(nonce.expect("an unknown process is challenged"));
     member.handle_datagram(20, address(1), &sealed(keys, from, instance_id, 2, proof, vec![]));
-    sent(member);
+    sent_datagrams(member);
 }
 
 #[test]
-fn what_is_written_is_read_and_fits() {
-    let keys = ring(&["a"]);
+fn datagrams_survive_a_round_trip_and_fit_the_maximum_size() {
+    let keys = key_ring(&["a"]);
     let kinds = [
         Kind::Ping(1),
         Kind::Ack(2, true),
@@ -96,121 +98,136 @@
         Kind::Payload(vec![3; 700], 4),
     ];
     for kind in kinds {
-        let whole =
+        let datagram =
             Datagram { from: "g1".into(), instance_id: 1, number: 2, kind, records: vec![record("g2")] };
         let mut out = Vec::new();
-        assert_eq!(whole.seal(&keys, &mut out), 1);
-        assert_eq!(Datagram::open(&keys, &out), Ok(Some(whole)));
+        assert_eq!(datagram.seal(&keys, &mut out), 1);
+        assert_eq!(Datagram::open(&keys, &out), Ok(Some(datagram)));
     }
-    let many = (0..200).map(|n| record(&format!("member-{n}"))).collect();
+    let records = (0..200).map(|n| record(&format!("member-{n}"))).collect();
     let mut out = Vec::new();
-    let told = Datagram { from: "g1".into(), instance_id: 1, number: 2, kind: Kind::Records, records: many }
+    let included = Datagram { from: "g1".into(), instance_id: 1, number: 2, kind: Kind::Records, records }
         .seal(&keys, &mut out);
     assert!(
-        told > 10 && told < 200 && out.len() <= MAX_DATAGRAM_BYTES,
-        "{told} records in {} octets",
+        included > 10 && included < 200 && out.len() <= MAX_DATAGRAM_BYTES,
+        "{included} records in {} bytes",
         out.len()
     );
 }
 
 #[test]
-fn forged_cut_long_and_foreign_ones_are_counted_and_change_nothing() {
-    let keys = ring(&["a"]);
-    let mut m = member(keys.clone());
-    proved(&mut m, &keys, "g1", 11);
+fn forged_truncated_oversized_and_foreign_datagrams_are_counted_and_ignored() {
+    let keys = key_ring(&["a"]);
+    let mut member = new_member(keys.clone());
+    verify_peer(&mut member, &keys, "g1", 11);
     let good =
         sealed(&keys, "g1", 11, 3, Kind::Records, vec![Record { state: State::Alive, ..record("g2") }]);
     let mut forged = good.clone();
     forged[30] ^= 1;
-    let before = m.counts.rejected;
-    m.handle_datagram(30, address(1), &forged);
-    m.handle_datagram(30, address(1), &good[..20]);
-    m.handle_datagram(30, address(1), &[0; MAX_DATAGRAM_BYTES + 1]);
-    m.handle_datagram(30, address(1), &sealed(&ring(&["b"]), "g1", 11, 4, Kind::Records, vec![record("g3")]));
-    let new: Vec<u64> = m.counts.rejected.iter().zip(before).map(|(a, b)| a - b).collect();
-    // Unreadable ones are forged ones: the code is looked at first.
-    assert_eq!(new.iter().sum::<u64>(), 4, "{new:?}");
-    assert_eq!((new[Rejection::Oversized as usize], new[Rejection::UnknownKey as usize]), (1, 1));
-    assert!(m.members().next().is_none() && sent(&mut m).is_empty());
-    m.handle_datagram(40, address(1), &good);
-    assert_eq!(m.member_state("g2"), Some(State::Alive));
+    let before = member.counts.rejected;
+    member.handle_datagram(30, address(1), &forged);
+    member.handle_datagram(30, address(1), &good[..20]);
+    member.handle_datagram(30, address(1), &[0; MAX_DATAGRAM_BYTES + 1]);
+    member.handle_datagram(
+        30,
+        address(1),
+        &sealed(&key_ring(&["b"]), "g1", 11, 4, Kind::Records, vec![record("g3")]),
+    );
+    let rejected: Vec<u64> = member.counts.rejected.iter().zip(before).map(|(a, b)| a - b).collect();
+    // Authentication codes are checked before decoding, so unreadable datagrams count as forged if they are
+    // long enough to hold a code.
+    assert_eq!(rejected.iter().sum::<u64>(), 4, "{rejected:?}");
+    assert_eq!((rejected[Rejection::Oversized as usize], rejected[Rejection::UnknownKey as usize]), (1, 1));
+    assert!(member.members().next().is_none() && sent_datagrams(&mut member).is_empty());
+    member.handle_datagram(40, address(1), &good);
+    assert_eq!(member.member_state("g2"), Some(State::Alive));
 }
 
 #[test]
-fn what_was_seen_before_counts_once_and_an_echo_of_an_earlier_life_never() {
-    let keys = ring(&["a"]);
-    let mut m = member(keys.clone());
-    proved(&mut m, &keys, "g1", 11);
+fn replays_are_rejected_and_earlier_processes_are_never_believed() {
+    let keys = key_ring(&["a"]);
+    let mut member = new_member(keys.clone());
+    verify_peer(&mut member, &keys, "g1", 11);
     let ping = sealed(&keys, "g1", 11, 5, Kind::Ping(1), vec![]);
-    m.handle_datagram(30, address(1), &ping);
-    assert_eq!(sent(&mut m).len(), 1);
-    m.handle_datagram(31, address(1), &ping);
-    assert_eq!(m.counts.rejected[Rejection::Replayed as usize], 1);
-    assert!(sent(&mut m).is_empty());
-    // Out of order is no replay.
-    m.handle_datagram(32, address(1), &sealed(&keys, "g1", 11, 4, Kind::Ping(2), vec![]));
-    assert_eq!(sent(&mut m).len(), 1);
-    // An earlier process's words: asked for a proof, never believed, whatever the wall clock says.
+    member.handle_datagram(30, address(1), &ping);
+    assert_eq!(sent_datagrams(&mut member).len(), 1);
+    member.handle_datagram(31, address(1), &ping);
+    assert_eq!(member.counts.rejected[Rejection::Replayed as usize], 1);
+    assert!(sent_datagrams(&mut member).is_empty());
+    // A datagram that arrives out of order is accepted.
+    member.handle_datagram(32, address(1), &sealed(&keys, "g1", 11, 4, Kind::Ping(2), vec![]));
+    assert_eq!(sent_datagrams(&mut member).len(), 1);
+    // Datagrams of an earlier process are answered with a challenge and never accepted; this does not rely on
+    // wall clocks.
     let old = sealed(&keys, "g1", 10, 900, Kind::Records, vec![record("g3")]);
     for _ in 0..50 {
-        m.handle_datagram(40, address(1), &old);
+        member.handle_datagram(40, address(1), &old);
     }
-    assert_eq!(sent(&mut m).len(), 1, "one question at a time");
-    assert_eq!(m.member_state("g3"), None);
+    assert_eq!(sent_datagrams(&mut member).len(), 1, "one pending challenge per name");
+    assert_eq!(member.member_state("g3"), None);
 }
 
 #[test]
-fn a_flood_of_invented_names_is_bounded() {
-    let keys = ring(&["a"]);
-    let mut m = member(keys.clone());
+fn memory_is_bounded_under_a_flood_of_invented_names() {
+    let keys = key_ring(&["a"]);
+    let mut member = new_member(keys.clone());
     for n in 0..10_000u64 {
-        m.handle_datagram(
+        member.handle_datagram(
             n,
             address(1),
             &sealed(&keys, &format!("x{n}"), n, 1, Kind::Ping(1), vec![record(&format!("y{n}"))]),
         );
     }
-    let held = m.entry_counts();
-    assert!(held.iter().all(|&h| h <= 64), "{held:?}");
-    // Questions leave after a period: then others can prove themselves again.
-    m.handle_wake(400_000);
-    assert_eq!(m.entry_counts()[2], 0);
-    assert!(sent(&mut m).len() <= 70, "one question for each name, and so many at once");
-    proved(&mut m, &keys, "x9999", 9999);
+    let counts = member.entry_counts();
+    assert!(counts.iter().all(|&count| count <= 64), "{counts:?}");
+    // Challenges expire after a period, so that other processes can be verified again.
+    member.handle_wake(400_000);
+    assert_eq!(member.entry_counts()[2], 0);
+    assert!(
+        sent_datagrams(&mut member).len() <= 70,
+        "one challenge per name, up to the maximum of pending challenges"
+    );
+    verify_peer(&mut member, &keys, "x9999", 9999);
     for n in 0..100 {
-        let told = (0..20).map(|i| Record { state: State::Alive, ..record(&format!("z{n}-{i}")) }).collect();
-        m.handle_datagram(410_000, address(1), &sealed(&keys, "x9999", 9999, 10 + n, Kind::Records, told));
+        let records =
+            (0..20).map(|i| Record { state: State::Alive, ..record(&format!("z{n}-{i}")) }).collect();
+        member.handle_datagram(
+            410_000,
+            address(1),
+            &sealed(&keys, "x9999", 9999, 10 + n, Kind::Records, records),
+        );
     }
     assert!(
-        m.entry_counts()[0] > 0,
-        "what a proved member tells of is taken in: {:?}, {:?}",
-        m.entry_counts(),
-        m.counts
+        member.entry_counts()[0] > 0,
+        "records from a verified member are merged: {:?}, {:?}",
+        member.entry_counts(),
+        member.counts
     );
-    assert!(m.entry_counts()[0] <= 16, "{:?}", m.entry_counts());
+    assert!(member.entry_counts()[0] <= MAX_MEMBERS, "{:?}", member.entry_counts());
 }
 
 #[test]
-fn a_key_changes_in_service_with_one_member_late() {
-    // The new key is believed everywhere before it signs anywhere; the late member still signs with the old one.
-    let (old, both, new) = (ring(&["a"]), ring(&["a", "b"]), ring(&["b", "a"]));
-    let mut m = member(old);
-    m.set_keys(both);
-    proved(&mut m, &new, "g1", 11);
-    m.set_keys(new.clone());
-    m.handle_datagram(50, address(1), &sealed(&ring(&["a"]), "g1", 11, 9, Kind::Ping(1), vec![]));
-    let answer = sent(&mut m);
+fn keys_are_rotated_while_one_member_is_late() {
+    // Every member accepts the new key before any signs with it; the late member still signs with the old
+    // key.
+    let (old, both, new) = (key_ring(&["a"]), key_ring(&["a", "b"]), key_ring(&["b", "a"]));
+    let mut member = new_member(old);
+    member.set_keys(both);
+    verify_peer(&mut member, &new, "g1", 11);
+    member.set_keys(new.clone());
+    member.handle_datagram(50, address(1), &sealed(&key_ring(&["a"]), "g1", 11, 9, Kind::Ping(1), vec![]));
+    let answer = sent_datagrams(&mut member);
     assert_eq!(answer.len(), 1);
     assert!(Datagram::open(&new, &answer[0].1).is_ok());
-    assert_eq!(Datagram::open(&ring(&["a"]), &answer[0].1), Err(Rejection::UnknownKey));
+    assert_eq!(Datagram::open(&key_ring(&["a"]), &answer[0].1), Err(Rejection::UnknownKey));
 }
 
 proptest! {
     #[test]
-    fn nothing_that_comes_in_breaks_it(bytes in proptest::collection::vec(any::<u8>(), 0..1400), at in 0usize..200, bit in 0u8..8) {
-        let keys = ring(&["a"]);
-        let mut m = member(keys.clone());
-        m.handle_datagram(1, address(1), &bytes);
+    fn arbitrary_bytes_do_not_panic_and_a_flipped_bit_is_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..1400), at in 0usize..200, bit in 0u8..8) {
+        let keys = key_ring(&["a"]);
+        let mut member = new_member(keys.clone());
+        member.handle_datagram(1, address(1), &bytes);
         let mut good = sealed(&keys, "g1", 11, 3, Kind::Records, vec![record("g2")]);
         let at = at % good.len();
         good[at] ^= 1 << bit;
@@ -218,8 +235,8 @@
     }
 
     #[test]
-    fn demand_is_told_to_within_a_fifth(work in 1.0f64..1e9) {
-        let told = Demand::from_work(&[work]).total();
-        prop_assert!((told / work - 1.0).abs() < 0.2, "{work} told as {told}");
+    fn demand_is_encoded_with_an_error_below_a_fifth(work in 1.0f64..1e9) {
+        let decoded = Demand::from_work(&[work]).total();
+        prop_assert!((decoded / work - 1.0).abs() < 0.2, "{work} decoded as {decoded}");
     }
 }
