--- a/crates/lab/src/membership.rs
+++ b/crates/lab/src/membership.rs
@@ -42,8 +42,8 @@
     };
     for seed in 1..=seeds {
         let mut fleet = Fleet::new(count, seed, move |n| test_config(n, count, PERIOD, plain));
-        fleet.until(120 * SECOND, Fleet::agree);
-        fleet.act(&Action::Weather(Weather { loss, ..Weather::default() }));
+        fleet.run_until(120 * SECOND, Fleet::views_agree);
+        fleet.apply(&Action::Weather(Weather { loss, ..Weather::default() }));
         fleet.run(5 * SECOND);
         fleet.report = Default::default();
         let (start, began) = (fleet.now, Instant::now());
@@ -53,9 +53,9 @@
             if pauses {
                 let sleepers: Vec<usize> =
                     (0..count.div_ceil(20)).map(|i| (turn * 7 + i * 20) % count).collect();
-                sleepers.iter().for_each(|&n| fleet.act(&Action::Stop(n)));
+                sleepers.iter().for_each(|&n| fleet.apply(&Action::Pause(n)));
                 fleet.run(4 * SECOND);
-                sleepers.iter().for_each(|&n| fleet.act(&Action::Continue(n)));
+                sleepers.iter().for_each(|&n| fleet.apply(&Action::Resume(n)));
                 fleet.run(6 * SECOND);
                 turn += 1;
             } else {
@@ -72,7 +72,7 @@
         // One dies, and how long that takes to be known.
         fleet.report.detection_times.clear();
         fleet.report.agreement_times.clear();
-        fleet.act(&Action::Kill(count / 2));
+        fleet.apply(&Action::Kill(count / 2));
         fleet.run(40 * SECOND);
         row.detected.append(&mut fleet.report.detection_times);
         row.agreed.append(&mut fleet.report.agreement_times);
--- a/crates/membership/src/machine.rs
+++ b/crates/membership/src/machine.rs
@@ -45,7 +45,7 @@
 const NAME_CHALLENGE_PERIODS: u64 = 2;
 /// A wake-up or datagram that is late by more than half a period, and by more than this, shows a pause of the
 /// process.
-const MIN_PAUSE: Micros = 100_000;
+const MIN_PAUSE_US: Micros = 100_000;
 /// An increase of the share is reported from this factor on.
 const SHARE_REPORT_FACTOR: f64 = 1.02;
 /// Interval between two exchanges of digests, before random jitter of up to one period.
@@ -525,7 +525,7 @@
     /// Sets the clock and detects pauses of this process.
     fn advance_clock(&mut self, now: Micros) {
         let now = now.max(self.now);
-        let pause_threshold = (self.config.probe_interval / 2).max(MIN_PAUSE);
+        let pause_threshold = (self.config.probe_interval / 2).max(MIN_PAUSE_US);
         let late = now.saturating_sub(self.planned_wake.max(self.now));
         self.now = now;
         if late <= pause_threshold || self.planned_wake == u64::MAX || self.config.plain_swim {
--- a/crates/membership/src/sim.rs
+++ b/crates/membership/src/sim.rs
@@ -1,7 +1,8 @@
-//! Whole fleets of members on a virtual network and a virtual clock, all drawn from a seed: the same code as in service.
+//! Deterministic simulation of whole fleets of members on a virtual network and clock. It runs the production
+//! code.
 //!
-//! A history is a list of [`Action`]s at their times; what holds at each step is checked as it runs. The same seed and acts
-//! give the same history, so that a failing one replays, and [`shrink`] drops acts that it does not need.
+//! A history is a list of timed [`Action`]s; invariants are checked at each step. The same seed and actions
+//! reproduce the same run, and [`minimize`] removes actions that a failure does not need.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -12,73 +13,81 @@
 use crate::machine::{Change, Config, Effect, Membership, Micros, Standing};
 use crate::wire::{Key, Keys, State};
 
-/// Something that happens to a fleet. Members are told by number.
+/// Number of datagrams that the socket buffer of a paused process holds.
+const SOCKET_BUFFER_DATAGRAMS: usize = 200;
+/// Interval at which [`Fleet::run_until`] checks its condition.
+const CHECK_INTERVAL_US: Micros = 20_000;
+/// Virtual time at which a fleet starts.
+const START_TIME_US: Micros = 1_000_000;
+
+/// An action on a fleet. Members are identified by number.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// A process ends without a word.
+    /// Ends a process without notice.
     Kill(usize),
-    /// It starts anew, under its name.
+    /// Starts a process under the member's name.
     Start(usize),
-    /// It says good-bye and ends.
+    /// Makes the member leave the group, and ends its process.
     Leave(usize),
-    /// It stands still.
-    Stop(usize),
-    /// It goes on.
-    Continue(usize),
-    /// Nothing passes from one to the other.
-    Cut(usize, usize),
-    /// It passes again.
-    Mend(usize, usize),
-    /// Nothing passes between groups any more.
-    Part(Vec<usize>),
-    /// All links are whole again.
+    /// Pauses a process.
+    Pause(usize),
+    /// Resumes a paused process.
+    Resume(usize),
+    /// Drops all datagrams from the first member to the second.
+    CutLink(usize, usize),
+    /// Delivers them again.
+    RestoreLink(usize, usize),
+    /// Drops all datagrams between members with different group numbers; the vector holds one for each
+    /// member.
+    Partition(Vec<usize>),
+    /// Restores all links and removes partitions.
     Heal,
-    /// The network is like this from now on.
+    /// Sets loss, delay, duplication and corruption of the network.
     Weather(Weather),
 }
 
 struct Node {
     member: Option<Membership>,
-    stopped: bool,
-    /// What came while it stood still: a socket's buffer.
-    waiting: Vec<(SocketAddr, Vec<u8>)>,
-    killed: Option<Micros>,
-    planned: Micros,
+    paused: bool,
+    /// Datagrams received during a pause, as in the buffer of a socket.
+    buffered: Vec<(SocketAddr, Vec<u8>)>,
+    killed_at: Option<Micros>,
+    planned_wake: Micros,
 }
 
-/// What a history has shown.
+/// Results of a run.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Report {
-    /// Spans from a death to each living member's knowing of it.
+    /// Time from the end of a process until a running member declares it dead, for each such member.
     pub detection_times: Vec<Micros>,
-    /// Spans from a death to the last member's knowing.
+    /// Time from the end of a process until the last running member declares it dead.
     pub agreement_times: Vec<Micros>,
-    /// Times that a member was declared dead that ran, was not stopped and not cut off.
+    /// Number of times that a member was declared dead while it was running and neither paused nor cut off.
     pub false_death_count: usize,
-    /// Datagrams and octets sent by all.
+    /// Datagrams and bytes sent by all members.
     pub sent: (u64, u64),
-    /// Wake-ups of all.
+    /// Number of wake-ups of all members.
     pub wake_count: u64,
-    /// The largest sum of shares over all running processes.
+    /// Largest sum of the shares of all processes.
     pub max_total_share: f64,
-    /// The first thing that did not hold, and when.
+    /// First violation of an invariant, and its time.
     pub first_violation: Option<(Micros, String)>,
 }
 
-/// A fleet.
+/// A simulated fleet.
 pub struct Fleet {
     nodes: Vec<Node>,
-    terms: Box<dyn Fn(usize) -> Config>,
-    dice: Dice,
-    /// The virtual time.
+    config: Box<dyn Fn(usize) -> Config>,
+    rng: Dice,
+    /// Virtual time.
     pub now: Micros,
     weather: Weather,
     cuts: HashSet<(usize, usize)>,
     groups: Vec<usize>,
     queue: Queue<Event>,
     addresses: HashMap<SocketAddr, usize>,
-    known_dead: BTreeMap<usize, HashSet<usize>>,
-    /// What has been seen.
+    death_observers: BTreeMap<usize, HashSet<usize>>,
+    /// Results so far.
     pub report: Report,
 }
 
@@ -88,7 +97,7 @@
     Arrive(usize, SocketAddr, Vec<u8>),
 }
 
-/// Config of member `n` of a fleet of `count`, with a period.
+/// Configuration of member `n` of a fleet of `count` members.
 pub fn test_config(n: usize, count: usize, probe_interval: Micros, plain_swim: bool) -> Config {
     let address = |n: usize| SocketAddr::from(([10, 0, (n / 250) as u8, (n % 250) as u8 + 1], 7000));
     let key = Key { name: "ring".into(), secret: b"not a secret at all".to_vec() };
@@ -98,7 +107,7 @@
         address: address(n),
         seeds: (0..count.min(8)).map(address).collect(),
         address_overrides: BTreeMap::new(),
-        keys: Keys::new(vec![key]).expect("a ring"),
+        keys: Keys::new(vec![key]).expect("valid keys"),
         probe_interval,
         max_members: 4 * count.max(8),
         configured_gateways: count as u32,
@@ -109,29 +118,29 @@
 }
 
 impl Fleet {
-    /// Members `0..count`, started one after the other within a second.
-    pub fn new(count: usize, seed: u64, terms: impl Fn(usize) -> Config + 'static) -> Fleet {
-        let addresses = (0..count).map(|n| (terms(n).address, n)).collect();
+    /// Creates members `0..count` and starts them all at the same virtual time.
+    pub fn new(count: usize, seed: u64, config: impl Fn(usize) -> Config + 'static) -> Fleet {
+        let addresses = (0..count).map(|n| (config(n).address, n)).collect();
         let mut fleet = Fleet {
             nodes: Vec::new(),
-            terms: Box::new(terms),
-            dice: Dice(seed),
-            now: 1_000_000,
+            config: Box::new(config),
+            rng: Dice(seed),
+            now: START_TIME_US,
             weather: Weather::default(),
             cuts: HashSet::new(),
             groups: vec![0; count],
-            queue: Queue::new(1_000_000),
+            queue: Queue::new(START_TIME_US),
             addresses,
-            known_dead: BTreeMap::new(),
+            death_observers: BTreeMap::new(),
             report: Report::default(),
         };
         for _ in 0..count {
             fleet.nodes.push(Node {
                 member: None,
-                stopped: false,
-                waiting: Vec::new(),
-                killed: None,
-                planned: 0,
+                paused: false,
+                buffered: Vec::new(),
+                killed_at: None,
+                planned_wake: 0,
             });
         }
         for n in 0..count {
@@ -140,32 +149,32 @@
         fleet
     }
 
-    /// A running member.
+    /// The member of a running or paused process.
     pub fn member(&self, n: usize) -> Option<&Membership> {
         self.nodes[n].member.as_ref()
     }
 
-    /// The same, to be told something.
+    /// Mutable access to [`Fleet::member`].
     pub fn member_mut(&mut self, n: usize) -> Option<&mut Membership> {
         self.nodes[n].member.as_mut()
     }
 
-    /// Members that run and do not stand still.
+    /// Members whose process runs and is not paused.
     pub fn running(&self) -> impl Iterator<Item = (usize, &Membership)> {
         self.nodes
             .iter()
             .enumerate()
-            .filter(|(_, n)| !n.stopped)
+            .filter(|(_, n)| !n.paused)
             .filter_map(|(i, n)| Some((i, n.member.as_ref()?)))
     }
 
-    /// The sum of all running members' shares.
-    pub fn shares(&self) -> f64 {
+    /// Sum of the shares of all running members.
+    pub fn total_share(&self) -> f64 {
         self.running().map(|(_, m)| m.share()).sum()
     }
 
-    /// Whether all that run believe of each of them that it lives, and of nobody else.
-    pub fn agree(&self) -> bool {
+    /// Whether every running member holds exactly the running members for alive.
+    pub fn views_agree(&self) -> bool {
         let names: HashSet<String> = self.running().map(|(_, m)| m.own_record().name.clone()).collect();
         self.running().all(|(_, m)| {
             let living = m.members().filter(|s| s.record.state == State::Alive).map(|s| s.record.name);
@@ -175,22 +184,22 @@
     }
 
     fn start(&mut self, n: usize) {
-        let seed = self.dice.draw();
-        let member = Membership::new((self.terms)(n), seed, self.now);
+        let seed = self.rng.draw();
+        let member = Membership::new((self.config)(n), seed, self.now);
         self.nodes[n].member = Some(member);
-        (self.nodes[n].killed, self.nodes[n].stopped) = (None, false);
-        self.known_dead.remove(&n);
-        self.plan(n, true);
+        (self.nodes[n].killed_at, self.nodes[n].paused) = (None, false);
+        self.death_observers.remove(&n);
+        self.schedule_wake(n, true);
     }
 
-    /// Lets something happen.
-    pub fn act(&mut self, act: &Action) {
-        match act {
+    /// Performs an action now.
+    pub fn apply(&mut self, action: &Action) {
+        match action {
             Action::Kill(n) => {
                 self.nodes[*n].member = None;
-                self.nodes[*n].waiting.clear();
-                self.nodes[*n].killed = Some(self.now);
-                self.known_dead.insert(*n, HashSet::new());
+                self.nodes[*n].buffered.clear();
+                self.nodes[*n].killed_at = Some(self.now);
+                self.death_observers.insert(*n, HashSet::new());
             }
             Action::Start(n) => self.start(*n),
             Action::Leave(n) => {
@@ -198,25 +207,25 @@
                 if let Some(member) = &mut self.nodes[*n].member {
                     member.leave(now);
                 }
-                self.carry_out(*n);
+                self.carry_out_effects(*n);
                 self.nodes[*n].member = None;
             }
-            Action::Stop(n) => self.nodes[*n].stopped = true,
-            Action::Continue(n) => {
-                self.nodes[*n].stopped = false;
-                // What was due fires first, then the socket's buffer is read.
-                self.plan(*n, true);
-                for (from, bytes) in std::mem::take(&mut self.nodes[*n].waiting) {
+            Action::Pause(n) => self.nodes[*n].paused = true,
+            Action::Resume(n) => {
+                self.nodes[*n].paused = false;
+                // Timers that are due run first, then the buffered datagrams are read.
+                self.schedule_wake(*n, true);
+                for (from, bytes) in std::mem::take(&mut self.nodes[*n].buffered) {
                     self.queue.push(self.now, Event::Arrive(*n, from, bytes));
                 }
             }
-            Action::Cut(a, b) => {
+            Action::CutLink(a, b) => {
                 self.cuts.insert((*a, *b));
             }
-            Action::Mend(a, b) => {
+            Action::RestoreLink(a, b) => {
                 self.cuts.remove(&(*a, *b));
             }
-            Action::Part(groups) => self.groups = groups.clone(),
+            Action::Partition(groups) => self.groups = groups.clone(),
             Action::Heal => {
                 self.cuts.clear();
                 self.groups.iter_mut().for_each(|g| *g = 0);
@@ -225,29 +234,30 @@
         }
     }
 
-    fn plan(&mut self, n: usize, now: bool) {
+    fn schedule_wake(&mut self, n: usize, immediate: bool) {
         let Some(member) = &self.nodes[n].member else { return };
-        let at = if now { self.now } else { member.next_wake().max(self.now) };
-        if at < u64::MAX && (now || at != self.nodes[n].planned) {
-            self.nodes[n].planned = at;
+        let at = if immediate { self.now } else { member.next_wake().max(self.now) };
+        if at < u64::MAX && (immediate || at != self.nodes[n].planned_wake) {
+            self.nodes[n].planned_wake = at;
             self.queue.push(at, Event::Wake(n, at));
         }
     }
 
-    /// Whether a datagram can come from one to the other.
-    pub fn passes(&self, from: usize, to: usize) -> bool {
+    /// Whether the network delivers datagrams from one member to the other.
+    pub fn delivers(&self, from: usize, to: usize) -> bool {
         self.groups[from] == self.groups[to] && !self.cuts.contains(&(from, to))
     }
 
-    /// Neither stopped nor cut off from anybody: it has a right to be believed alive.
-    fn is_sound(&self, n: usize) -> bool {
+    /// Whether a member runs and is neither paused nor cut off from any other, so that nobody may declare it
+    /// dead.
+    fn is_reachable(&self, n: usize) -> bool {
         let node = &self.nodes[n];
         let cut = self.cuts.iter().any(|&(a, b)| a == n || b == n)
             || self.groups.iter().any(|&g| g != self.groups[n]);
-        node.member.is_some() && !node.stopped && !cut
+        node.member.is_some() && !node.paused && !cut
     }
 
-    fn carry_out(&mut self, n: usize) {
+    fn carry_out_effects(&mut self, n: usize) {
         while let Some(effect) = self.nodes[n].member.as_mut().and_then(Membership::next_effect) {
             match effect {
                 Effect::Send(to, bytes) => {
@@ -255,56 +265,58 @@
                     self.report.sent.1 += bytes.len() as u64;
                     let Some(&target) = self.addresses.get(&to) else { continue };
                     if bytes.len() > crate::wire::MAX_DATAGRAM_BYTES {
-                        self.broke(format!("g{n} sent {} octets", bytes.len()));
+                        self.record_violation(format!("g{n} sent {} bytes", bytes.len()));
                     }
-                    if !self.passes(n, target) {
+                    if !self.delivers(n, target) {
                         continue;
                     }
-                    let from = (self.terms)(n).address;
-                    for (delay, bytes) in self.weather.carry(&mut self.dice, bytes) {
+                    let from = (self.config)(n).address;
+                    for (delay, bytes) in self.weather.carry(&mut self.rng, bytes) {
                         self.queue.push(self.now + delay, Event::Arrive(target, from, bytes));
                     }
                 }
                 Effect::Changed(Change::Member { name, state: State::Dead, previous: Some(_), .. }) => {
-                    let Some(of) = name.strip_prefix('g').and_then(|n| n.parse::<usize>().ok()) else {
+                    let Some(dead) = name.strip_prefix('g').and_then(|n| n.parse::<usize>().ok()) else {
                         continue;
                     };
-                    match self.nodes[of].killed {
+                    match self.nodes[dead].killed_at {
                         Some(at) => {
                             self.report.detection_times.push(self.now - at);
                             let running = self.running().count();
-                            let known = self.known_dead.entry(of).or_default();
-                            if known.insert(n) && known.len() == running {
+                            let observers = self.death_observers.entry(dead).or_default();
+                            if observers.insert(n) && observers.len() == running {
                                 self.report.agreement_times.push(self.now - at);
                             }
                         }
-                        None if self.is_sound(of) && self.is_sound(n) => self.report.false_death_count += 1,
+                        None if self.is_reachable(dead) && self.is_reachable(n) => {
+                            self.report.false_death_count += 1
+                        }
                         None => {}
                     }
                 }
                 Effect::Changed(_) | Effect::Received(..) => {}
                 Effect::Share(_) => {
-                    // The invariant: whatever each believes, all together take a bounded part of the fleet.
-                    let terms = (self.terms)(n);
+                    // Invariant: the sum of the shares is bounded, however the members' views differ.
+                    let config = (self.config)(n);
                     let processes = self.nodes.iter().filter(|n| n.member.is_some()).count();
-                    let bound = terms.max_total_share
-                        * (processes as f64 / f64::from(terms.configured_gateways)).max(1.0);
+                    let bound = config.max_total_share
+                        * (processes as f64 / f64::from(config.configured_gateways)).max(1.0);
                     let sum: f64 =
                         self.nodes.iter().filter_map(|n| n.member.as_ref()).map(Membership::share).sum();
                     self.report.max_total_share = self.report.max_total_share.max(sum);
                     if sum > bound + 1e-9 {
-                        self.broke(format!("shares add up to {sum:.3} of {bound:.3}"));
+                        self.record_violation(format!("shares add up to {sum:.3} of {bound:.3}"));
                     }
                 }
             }
         }
     }
 
-    fn broke(&mut self, what: String) {
-        self.report.first_violation.get_or_insert((self.now, what));
+    fn record_violation(&mut self, description: String) {
+        self.report.first_violation.get_or_insert((self.now, description));
     }
 
-    /// Lets virtual time pass.
+    /// Advances the virtual time by `span` and processes the events in it.
     pub fn run(&mut self, span: Micros) {
         let until = self.now + span;
         while let Some(event) = self.queue.pop(until) {
@@ -313,7 +325,7 @@
             let n = match event {
                 Event::Wake(n, planned) => {
                     let node = &mut self.nodes[n];
-                    if node.stopped || node.planned != planned {
+                    if node.paused || node.planned_wake != planned {
                         continue;
                     }
                     let Some(member) = &mut node.member else { continue };
@@ -323,10 +335,9 @@
                 }
                 Event::Arrive(n, from, bytes) => {
                     let node = &mut self.nodes[n];
-                    if node.stopped {
-                        // A socket's buffer is bounded too.
-                        if node.waiting.len() < 200 {
-                            node.waiting.push((from, bytes));
+                    if node.paused {
+                        if node.buffered.len() < SOCKET_BUFFER_DATAGRAMS {
+                            node.buffered.push((from, bytes));
                         }
                         continue;
                     }
@@ -335,64 +346,64 @@
                     n
                 }
             };
-            self.carry_out(n);
-            self.plan(n, false);
+            self.carry_out_effects(n);
+            self.schedule_wake(n, false);
         }
         self.now = until;
     }
 
-    /// Runs until something holds, at most for a span; gives how long that took.
-    pub fn until(&mut self, most: Micros, holds: impl Fn(&Fleet) -> bool) -> Option<Micros> {
+    /// Runs until the condition holds, at most for `timeout`; returns the time that it took.
+    pub fn run_until(&mut self, timeout: Micros, condition: impl Fn(&Fleet) -> bool) -> Option<Micros> {
         let start = self.now;
-        while self.now < start + most {
-            if holds(self) {
+        while self.now < start + timeout {
+            if condition(self) {
                 return Some(self.now - start);
             }
-            self.run(20_000);
+            self.run(CHECK_INTERVAL_US);
         }
-        holds(self).then_some(most)
+        condition(self).then_some(timeout)
     }
 
-    /// Members that count themselves whole.
-    pub fn whole(&self) -> usize {
+    /// Number of running members whose standing is [`Standing::Whole`].
+    pub fn whole_count(&self) -> usize {
         self.running().filter(|(_, m)| m.standing() == Standing::Whole).count()
     }
 }
 
-/// Plays a history: acts at their times, in order, then `rest` to settle.
-pub fn play(
+/// Runs a history: the actions at their times, in order, and then `settle_time` more.
+pub fn run_history(
     count: usize,
     seed: u64,
-    acts: &[(Micros, Action)],
-    rest: Micros,
-    terms: impl Fn(usize) -> Config + 'static,
+    actions: &[(Micros, Action)],
+    settle_time: Micros,
+    config: impl Fn(usize) -> Config + 'static,
 ) -> Fleet {
-    let mut fleet = Fleet::new(count, seed, terms);
+    let mut fleet = Fleet::new(count, seed, config);
     let start = fleet.now;
-    for (at, act) in acts {
+    for (at, action) in actions {
         let span = (start + at).saturating_sub(fleet.now);
         fleet.run(span);
-        fleet.act(act);
+        fleet.apply(action);
     }
-    fleet.run(rest);
+    fleet.run(settle_time);
     fleet
 }
 
-/// Drops acts one after the other as long as the rest still fails.
-pub fn shrink(
-    acts: &[(Micros, Action)],
+/// Removes actions one by one as long as the remaining ones still fail.
+pub fn minimize(
+    actions: &[(Micros, Action)],
     fails: impl Fn(&[(Micros, Action)]) -> bool,
 ) -> Vec<(Micros, Action)> {
-    let mut kept = acts.to_vec();
+    let mut minimal = actions.to_vec();
     let mut at = 0;
-    while at < kept.len() {
-        let mut fewer = kept.clone();
+    while at < minimal.len() {
+        let mut fewer = minimal.clone();
         fewer.remove(at);
         if fails(&fewer) {
-            kept = fewer;
+            minimal = fewer;
         } else {
             at += 1;
         }
     }
-    kept
+    minimal
 }
