--- a/crates/membership/tests/datagrams.rs
+++ b/crates/membership/tests/datagrams.rs
@@ -224,7 +224,11 @@
 
 proptest! {
     #[test]
-    fn arbitrary_bytes_do_not_panic_and_a_flipped_bit_is_rejected(bytes in proptest::collection::vec(any::<u8>(), 0..1400), at in 0usize..200, bit in 0u8..8) {
+    fn arbitrary_bytes_do_not_panic_and_a_flipped_bit_is_rejected(
+        bytes in proptest::collection::vec(any::<u8>(), 0..1400),
+        at in 0usize..200,
+        bit in 0u8..8,
+    ) {
         let keys = key_ring(&["a"]);
         let mut member = new_member(keys.clone());
         member.handle_datagram(1, address(1), &bytes);
--- a/crates/membership/tests/fleets.rs
+++ b/crates/membership/tests/fleets.rs
@@ -1,58 +1,63 @@
-//! Fleets on a virtual network: what must hold through kills, pauses, cuts, loss and returns. Each seed is a history.
+//! Simulated fleets: detection, agreement and shares under kills, pauses, cut links, packet loss and
+//! restarts. Each seed gives a reproducible run.
 
 use violetward_membership::sim::{minimize, run_history, test_config, Action, Fleet, Weather};
 use violetward_membership::{Demand, Link, Micros, Standing, State};
 
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-const PERIOD: Micros = 200 * MS;
+const PROBE_INTERVAL: Micros = 200 * MS;
 
-fn fleet(count: usize, seed: u64) -> Fleet {
-    let mut fleet = Fleet::new(count, seed, move |n| test_config(n, count, PERIOD, false));
+/// Starts a fleet and runs it until all views agree, and 10 s more.
+fn agreed_fleet(count: usize, seed: u64) -> Fleet {
+    let mut fleet = Fleet::new(count, seed, move |n| test_config(n, count, PROBE_INTERVAL, false));
     let took = fleet.run_until(30 * SECOND, Fleet::views_agree);
     assert!(took.is_some(), "seed {seed}: {count} members never agreed");
     fleet.run(10 * SECOND);
     fleet
 }
 
-fn sound(fleet: &Fleet, seed: u64) {
+fn assert_no_violation(fleet: &Fleet, seed: u64) {
     assert_eq!(fleet.report.first_violation, None, "seed {seed}");
 }
 
 #[test]
-fn members_find_each_other_and_share_the_fleet() {
+fn members_discover_each_other_and_share_the_fleet() {
     for (count, seed) in [(1, 1), (2, 2), (8, 3), (40, 4)] {
-        let fleet = fleet(count, seed);
+        let fleet = agreed_fleet(count, seed);
         assert_eq!(fleet.whole_count(), count, "seed {seed}");
         assert!((fleet.total_share() - 1.0).abs() < 0.01, "seed {seed}: {}", fleet.total_share());
         assert_eq!(fleet.report.false_death_count, 0);
-        sound(&fleet, seed);
+        assert_no_violation(&fleet, seed);
     }
 }
 
 #[test]
-fn members_that_start_at_once_know_each_other_soon() {
+fn members_started_together_agree_within_12_seconds() {
     for (count, seed) in (1..=40).map(|seed| ([2, 4, 8][seed as usize % 3], seed)) {
-        let mut fleet = Fleet::new(count, seed, move |n| test_config(n, count, PERIOD, false));
+        let mut fleet = Fleet::new(count, seed, move |n| test_config(n, count, PROBE_INTERVAL, false));
         let took = fleet.run_until(30 * SECOND, |f| f.views_agree() && f.whole_count() == count);
-        // Five periods in which each hears what is said of its name, a few for the news to go round, and now and then a
-        // seed to be asked by groups that have not met.
+        // Each member waits up to five periods before it announces itself. Gossip takes a few more, and
+        // groups that do not know each other yet must contact a common seed.
         assert!(took.is_some_and(|t| t <= 12 * SECOND), "{count} members, seed {seed}: {took:?}");
     }
 }
 
 #[test]
-fn half_are_killed_at_once_and_the_rest_take_their_share() {
+fn survivors_take_over_the_share_of_killed_members() {
     for seed in 1..=3 {
-        let mut fleet = fleet(8, seed);
+        let mut fleet = agreed_fleet(8, seed);
         (0..4).for_each(|n| fleet.apply(&Action::Kill(n)));
-        assert!(fleet.run_until(12 * SECOND, Fleet::views_agree).is_some(), "seed {seed}: deaths unknown");
+        assert!(
+            fleet.run_until(12 * SECOND, Fleet::views_agree).is_some(),
+            "seed {seed}: not all deaths were detected"
+        );
         assert!(
             fleet.run_until(20 * SECOND, |f| f.total_share() > 0.9).is_some(),
             "seed {seed}: {}",
             fleet.total_share()
         );
-        // Back, together: nobody takes more than before for longer than it takes to hear of them.
+        // After a common restart the shares return to their previous values.
         (0..4).for_each(|n| fleet.apply(&Action::Start(n)));
         assert!(
             fleet.run_until(10 * SECOND, |f| f.views_agree() && f.whole_count() == 8).is_some(),
@@ -63,50 +68,47 @@
             "seed {seed}"
         );
         assert_eq!(fleet.report.false_death_count, 0, "seed {seed}");
-        sound(&fleet, seed);
+        assert_no_violation(&fleet, seed);
     }
 }
 
 #[test]
-fn one_that_stood_still_accuses_nobody_and_takes_up_its_refutation_first() {
-    for (seed, still) in [(1, 500 * MS), (2, 3 * SECOND), (3, 30 * SECOND)] {
-        let mut fleet = fleet(8, seed);
+fn a_paused_member_suspects_nobody_and_refutes_first() {
+    for (seed, pause) in [(1, 500 * MS), (2, 3 * SECOND), (3, 30 * SECOND)] {
+        let mut fleet = agreed_fleet(8, seed);
         let before = fleet.member(3).expect("runs").own_record().incarnation;
         fleet.apply(&Action::Pause(3));
-        fleet.run(still);
+        fleet.run(pause);
         fleet.apply(&Action::Resume(3));
         fleet.run(20 * MS);
         let member = fleet.member(3).expect("runs");
-        assert_eq!(member.counts.pauses, 1, "{still}");
-        assert_eq!(member.counts.suspicions, 0, "{still}");
-        if still > 10 * SECOND {
-            assert!(
-                member.own_record().incarnation > before,
-                "{still}: it has not refuted what is said of it"
-            );
+        assert_eq!(member.counts.pauses, 1, "{pause}");
+        assert_eq!(member.counts.suspicions, 0, "{pause}");
+        if pause > 10 * SECOND {
+            assert!(member.own_record().incarnation > before, "{pause}: it has not refuted its own death");
         }
-        if still >= 3 * SECOND {
+        if pause >= 3 * SECOND {
             assert!(
                 member.share() < 1.0 / 8.0,
-                "{still}: it may have been given up, and takes {}",
+                "{pause}: it may have been declared dead, but its share is {}",
                 member.share()
             );
         }
         assert!(
             fleet.run_until(10 * SECOND, |f| f.views_agree() && f.whole_count() == 8).is_some(),
-            "{still}"
+            "{pause}"
         );
-        // Nobody else was accused by it.
-        assert_eq!(fleet.report.false_death_count, 0, "{still}");
-        assert_eq!(fleet.member(3).expect("runs").counts.declared_dead, 0, "{still}");
-        sound(&fleet, seed);
+        // It declared no other member dead.
+        assert_eq!(fleet.report.false_death_count, 0, "{pause}");
+        assert_eq!(fleet.member(3).expect("runs").counts.declared_dead, 0, "{pause}");
+        assert_no_violation(&fleet, seed);
     }
 }
 
 #[test]
-fn one_bad_link_neither_kills_nor_flaps() {
+fn one_cut_link_causes_no_deaths() {
     for (seed, one_way) in [(1, true), (2, false)] {
-        let mut fleet = fleet(8, seed);
+        let mut fleet = agreed_fleet(8, seed);
         fleet.apply(&Action::CutLink(1, 2));
         if !one_way {
             fleet.apply(&Action::CutLink(2, 1));
@@ -114,13 +116,13 @@
         fleet.run(60 * SECOND);
         for (n, member) in fleet.running() {
             let dead = member.members().filter(|s| s.record.state > State::Suspect).count();
-            assert_eq!(dead, 0, "seed {seed}: g{n} believes in a death");
+            assert_eq!(dead, 0, "seed {seed}: g{n} holds a member for dead");
         }
         let link = |a: usize, b: &str| {
             fleet.member(a).expect("runs").members().find(|s| s.record.name == b).expect("known").link
         };
         if one_way {
-            // What 1 says does not come to 2; what 2 says comes to 1: both know which way it is.
+            // Datagrams from 1 to 2 are lost, those from 2 to 1 arrive; both ends know the direction.
             assert_eq!((link(1, "g2"), link(2, "g1")), (Link::Outbound, Link::Inbound));
         } else {
             assert!(link(1, "g2") != Link::Good && link(2, "g1") != Link::Good);
@@ -129,14 +131,14 @@
         fleet.apply(&Action::Heal);
         fleet.run(10 * SECOND);
         assert!(fleet.views_agree(), "seed {seed}");
-        sound(&fleet, seed);
+        assert_no_violation(&fleet, seed);
     }
 }
 
 #[test]
-fn one_that_nobody_hears_learns_it_and_takes_less() {
+fn an_unheard_member_detects_it_and_reduces_its_share() {
     for seed in 1..=3 {
-        let mut fleet = fleet(8, seed);
+        let mut fleet = agreed_fleet(8, seed);
         (0..8).filter(|&n| n != 5).for_each(|n| fleet.apply(&Action::CutLink(5, n)));
         assert!(
             fleet
@@ -157,14 +159,14 @@
             fleet.run_until(20 * SECOND, |f| f.views_agree() && f.whole_count() == 8).is_some(),
             "seed {seed}"
         );
-        sound(&fleet, seed);
+        assert_no_violation(&fleet, seed);
     }
 }
 
 #[test]
-fn halves_and_thirds_part_and_agree_again() {
+fn partitions_into_thirds_and_halves_heal() {
     for seed in 1..=3 {
-        let mut fleet = fleet(9, seed);
+        let mut fleet = agreed_fleet(9, seed);
         fleet.apply(&Action::Partition((0..9).map(|n| n % 3).collect()));
         fleet.run(30 * SECOND);
         assert!(fleet.total_share() < 2.0 + 1e-9, "seed {seed}: {}", fleet.total_share());
@@ -173,37 +175,37 @@
         fleet.apply(&Action::Heal);
         assert!(
             fleet.run_until(60 * SECOND, |f| f.views_agree() && f.whole_count() == 9).is_some(),
-            "seed {seed}: never one again"
+            "seed {seed}: no agreement after the partitions"
         );
         assert!(
             fleet.run_until(10 * SECOND, |f| (f.total_share() - 1.0).abs() < 0.1).is_some(),
             "seed {seed}"
         );
-        sound(&fleet, seed);
+        assert_no_violation(&fleet, seed);
     }
 }
 
 #[test]
-fn groups_that_have_never_met_find_each_other_by_seeds() {
+fn groups_that_never_met_merge_through_seeds() {
     let count = 8;
-    let mut fleet = Fleet::new(count, 1, move |n| test_config(n, count, PERIOD, false));
+    let mut fleet = Fleet::new(count, 1, move |n| test_config(n, count, PROBE_INTERVAL, false));
     fleet.apply(&Action::Partition((0..count).map(|n| n % 2).collect()));
     fleet.run(10 * SECOND);
     assert!(
         fleet.running().all(|(_, m)| m.members().count() == 3),
-        "they know of nobody else, dead or alive"
+        "a member knows others than the three of its group"
     );
     fleet.apply(&Action::Heal);
     assert!(fleet.run_until(30 * SECOND, |f| f.views_agree() && f.whole_count() == count).is_some());
 }
 
 #[test]
-fn halves_agree_again_though_the_only_seed_is_gone() {
+fn a_partition_heals_without_the_only_seed() {
     let count = 8;
     let mut fleet = Fleet::new(count, 1, move |n| {
-        let mut t = test_config(n, count, PERIOD, false);
-        t.seeds.truncate(1);
-        t
+        let mut config = test_config(n, count, PROBE_INTERVAL, false);
+        config.seeds.truncate(1);
+        config
     });
     assert!(fleet.run_until(30 * SECOND, Fleet::views_agree).is_some());
     fleet.apply(&Action::Partition((0..count).map(|n| n % 2).collect()));
@@ -214,12 +216,14 @@
     assert!(fleet.run_until(60 * SECOND, |f| f.views_agree() && f.whole_count() == count - 1).is_some());
 }
 
-/// What it would have accused while it slept is not held against anybody after it wakes, with all news lost for a while.
+/// Guards against suspicions from time-outs that expired during a pause: the member resumes while all its
+/// datagrams are lost, and must refute its own death but suspect nobody.
 #[test]
-fn one_that_wakes_into_silence_accuses_nobody_and_has_refuted_already() {
-    let mut fleet = fleet(6, 4);
+fn a_member_resumed_in_isolation_refutes_and_suspects_nobody() {
+    let mut fleet = agreed_fleet(6, 4);
     let before = fleet.member(2).expect("runs").own_record().incarnation;
-    // While it sleeps and for two seconds after it, it is heard by nobody and hears nobody: nothing waits for it either.
+    // It is isolated during the pause and for two seconds after it, so no datagrams are buffered for it
+    // either.
     fleet.apply(&Action::Partition((0..6).map(|n| usize::from(n == 2)).collect()));
     fleet.apply(&Action::Pause(2));
     fleet.run(30 * SECOND);
@@ -227,7 +231,7 @@
     fleet.run(100 * MS);
     assert!(
         fleet.member(2).expect("runs").own_record().incarnation > before,
-        "not refuted before anything is heard"
+        "not refuted before the first datagram arrives"
     );
     fleet.run(2 * SECOND);
     let member = fleet.member(2).expect("runs");
@@ -238,54 +242,54 @@
 }
 
 #[test]
-fn loss_for_a_minute_kills_nobody_that_lives() {
-    for (loss, most) in [(0.2, 0), (0.4, 1)] {
+fn packet_loss_for_a_minute_causes_hardly_any_false_deaths() {
+    for (loss, max_false_deaths) in [(0.2, 0), (0.4, 1)] {
         for seed in 1..=3 {
-            let mut fleet = fleet(8, seed);
+            let mut fleet = agreed_fleet(8, seed);
             let weather = Weather { loss, copies: 0.05, spoilt: 0.01, ..Weather::default() };
             fleet.apply(&Action::Weather(weather));
             fleet.run(60 * SECOND);
             assert!(
-                fleet.report.false_death_count <= most * 7,
+                fleet.report.false_death_count <= max_false_deaths * 7,
                 "loss {loss}, seed {seed}: {:?}",
                 fleet.report.false_death_count
             );
             fleet.apply(&Action::Weather(Weather::default()));
             assert!(fleet.run_until(30 * SECOND, Fleet::views_agree).is_some(), "loss {loss}, seed {seed}");
-            sound(&fleet, seed);
+            assert_no_violation(&fleet, seed);
         }
     }
 }
 
 #[test]
-fn good_byes_are_known_at_once_and_names_return() {
-    let mut fleet = fleet(8, 5);
+fn departures_are_known_at_once_and_names_can_be_reused() {
+    let mut fleet = agreed_fleet(8, 5);
     fleet.apply(&Action::Leave(2));
     assert!(fleet.run_until(SECOND, Fleet::views_agree).is_some());
     fleet.apply(&Action::Start(2));
     assert!(fleet.run_until(5 * SECOND, |f| f.views_agree() && f.whole_count() == 8).is_some());
-    // Killed and back before anybody noticed: the same address, another process.
+    // Killed and restarted before the death is detected: another process at the same address.
     fleet.apply(&Action::Kill(4));
     fleet.run(300 * MS);
     fleet.apply(&Action::Start(4));
     assert!(fleet.run_until(5 * SECOND, |f| f.views_agree() && f.whole_count() == 8).is_some());
     assert_eq!(fleet.report.false_death_count, 0);
-    sound(&fleet, 5);
+    assert_no_violation(&fleet, 5);
 }
 
 #[test]
-fn a_second_process_of_a_name_yields_to_the_first() {
+fn a_second_process_with_the_same_name_yields_to_the_first() {
     for seed in 1..=3 {
-        // The last one has the name of the first, and an address of its own.
+        // The last member has the name of the first one, but its own address.
         let count = 5;
-        let named = move |n: usize| {
-            let mut t = test_config(n, count, PERIOD, false);
+        let duplicate_name = move |n: usize| {
+            let mut config = test_config(n, count, PROBE_INTERVAL, false);
             if n == 4 {
-                t.name = "g0".into();
+                config.name = "g0".into();
             }
-            t
+            config
         };
-        let mut fleet = Fleet::new(count, seed, named);
+        let mut fleet = Fleet::new(count, seed, duplicate_name);
         fleet.apply(&Action::Kill(4));
         fleet.run(10 * SECOND);
         fleet.apply(&Action::Start(4));
@@ -294,7 +298,7 @@
         assert_eq!(second.standing(), Standing::Doubled, "seed {seed}");
         assert!(second.share() <= 0.5 / 5.0, "seed {seed}");
         assert_eq!(fleet.member(0).expect("runs").standing(), Standing::Whole, "seed {seed}");
-        // The first one dies: the name is free.
+        // After the first process ends, the second one takes over the name.
         fleet.apply(&Action::Kill(0));
         let took =
             fleet.run_until(30 * SECOND, |f| f.member(4).is_some_and(|m| m.standing() == Standing::Whole));
@@ -304,47 +308,48 @@
 
 #[test]
 fn shares_follow_offered_load() {
-    let mut fleet = fleet(4, 9);
+    let mut fleet = agreed_fleet(4, 9);
     for n in 0..4 {
         let work = if n == 0 { 3_000.0 } else { 1_000.0 };
         fleet.member_mut(n).expect("runs").set_demand(Demand::from_work(&[work]));
     }
     fleet.run(20 * SECOND);
-    let first = fleet.member(0).expect("runs").share();
-    // Half even, half by load: 1/8 + 3/12, to within the steps of what is told.
-    assert!((first - 0.375).abs() < 0.02, "{first}");
+    let share = fleet.member(0).expect("runs").share();
+    // Half is divided evenly and half by load, 1/8 + 3/12, up to the rounding of the advertised demand.
+    assert!((share - 0.375).abs() < 0.02, "{share}");
     assert!(fleet.total_share() < 1.02, "{}", fleet.total_share());
 }
 
-/// Random histories: kills, starts, pauses, cuts and bad weather, then rest. At every step the shares stay under their
-/// bound; in the end all agree, nothing is kept of what is gone, and nobody is out.
+/// Random kills, starts, pauses, cut links, partitions and network faults, followed by a quiet time. The sum
+/// of the shares stays bounded at every step. In the end all views agree, every member takes part, and no
+/// state of ended processes remains.
 #[test]
 fn random_histories_end_in_agreement() {
     let count = 7;
     for seed in 0..24u64 {
-        let acts = history(seed, count);
-        let fails = |acts: &[(Micros, Action)]| failure(seed, count, acts);
-        if let Some(why) = fails(&acts) {
-            let small = minimize(&acts, |acts| fails(acts).is_some());
-            panic!("seed {seed}: {why}; {} acts are enough: {small:?}", small.len());
+        let actions = random_actions(seed, count);
+        let fails = |actions: &[(Micros, Action)]| find_failure(seed, count, actions);
+        if let Some(failure) = fails(&actions) {
+            let minimal = minimize(&actions, |actions| fails(actions).is_some());
+            panic!("seed {seed}: {failure}; {} actions are enough: {minimal:?}", minimal.len());
         }
     }
 }
 
-fn history(seed: u64, count: usize) -> Vec<(Micros, Action)> {
-    let mut dice = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
+fn random_actions(seed: u64, count: usize) -> Vec<(Micros, Action)> {
+    let mut rng = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
     let mut draw = move |n: u64| {
-        dice ^= dice << 13;
-        dice ^= dice >> 7;
-        dice ^= dice << 17;
-        dice % n
+        rng ^= rng << 13;
+        rng ^= rng >> 7;
+        rng ^= rng << 17;
+        rng % n
     };
-    let mut acts = Vec::new();
+    let mut actions = Vec::new();
     let mut at = 8 * SECOND;
     for _ in 0..25 {
         at += draw(3 * SECOND);
         let (a, b) = (draw(count as u64) as usize, draw(count as u64) as usize);
-        acts.push((
+        actions.push((
             at,
             match draw(9) {
                 0 => Action::Kill(a),
@@ -363,11 +368,12 @@
             },
         ));
     }
-    acts
+    actions
 }
 
-fn failure(seed: u64, count: usize, acts: &[(Micros, Action)]) -> Option<String> {
-    let mut fleet = run_history(count, seed, acts, 0, move |n| test_config(n, count, PERIOD, false));
+fn find_failure(seed: u64, count: usize, actions: &[(Micros, Action)]) -> Option<String> {
+    let mut fleet =
+        run_history(count, seed, actions, 0, move |n| test_config(n, count, PROBE_INTERVAL, false));
     fleet.apply(&Action::Heal);
     fleet.apply(&Action::Weather(Weather::default()));
     for n in 0..count {
@@ -378,18 +384,18 @@
     }
     let agreed = fleet.run_until(120 * SECOND, |f| f.views_agree() && f.whole_count() == count);
     fleet.run(20 * SECOND);
-    if let Some((at, what)) = &fleet.report.first_violation {
-        return Some(format!("{what} at {at}"));
+    if let Some((at, violation)) = &fleet.report.first_violation {
+        return Some(format!("{violation} at {at}"));
     }
     if agreed.is_none() {
-        return Some("they never agreed again".into());
+        return Some("the views did not agree again".into());
     }
     if (fleet.total_share() - 1.0).abs() > 0.05 {
         return Some(format!("the shares add up to {}", fleet.total_share()));
     }
-    let held = fleet
+    let leaked = fleet
         .running()
         .map(|(_, m)| m.entry_counts())
-        .find(|h| h[0] != count - 1 || h[1] > 2 * count || h[4] > 4);
-    held.map(|held| format!("kept: {held:?}"))
+        .find(|counts| counts[0] != count - 1 || counts[1] > 2 * count || counts[4] > 4);
+    leaked.map(|counts| format!("state of ended processes remains: {counts:?}"))
 }
