--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant, SystemTime};
 
 use crate::host::Host;
-use crate::membership::{Membership, Verdict};
+use crate::membership::{EngineRegistry, ReadOutcome};
 
 /// Time after a change during which the engine list is read at each check.
 const REREAD_AFTER_CHANGE: Duration = Duration::from_secs(2);
@@ -13,7 +13,7 @@
 const MIN_KEY_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Reads the engine list whenever its file changes, applies it and logs the differences. Never returns.
-pub async fn watch_engine_list(host: Rc<Host>, membership: Rc<RefCell<Membership>>) {
+pub async fn watch_engine_list(host: Rc<Host>, registry: Rc<RefCell<EngineRegistry>>) {
     let path = host.config.engines.clone();
     let mut last_stamp: Option<(SystemTime, u64)> = None;
     let mut changed_at = Instant::now();
@@ -31,7 +31,7 @@
                 Ok(new) if new == text => {}
                 Ok(new) => {
                     text = new;
-                    apply_engine_list(&host, &text, &mut membership.borrow_mut());
+                    apply_engine_list(&host, &text, &mut registry.borrow_mut());
                 }
                 Err(e) => {
                     tracing::warn!(
@@ -68,26 +68,27 @@
 }
 
 /// Applies the text of the engine list. A text that cannot be used leaves the old list in place.
-fn apply_engine_list(host: &Rc<Host>, text: &str, membership: &mut Membership) {
+fn apply_engine_list(host: &Rc<Host>, text: &str, registry: &mut EngineRegistry) {
     let (file, names) = (host.config.engines.display().to_string(), &host.config.names);
-    let known = membership.list().clone();
+    let known = registry.engines().clone();
     let (verdict, diagnostics) = match &host.config.origin {
         Some(origin) => {
-            membership.zone(text, origin, names, &mut |name| read_include(&host.config.engines, name))
+            registry.read_zone_file(text, origin, names, &mut |name| read_include(&host.config.engines, name))
         }
-        None => membership.forms(text, names),
+        None => registry.read_expressions(text, names),
     };
     diagnostics.iter().for_each(|diagnostic| tracing::warn!("{file}:{diagnostic}"));
     let new = match verdict {
-        Verdict::Holds(new) => new,
-        Verdict::Stands(why) => {
+        ReadOutcome::Applied(new) => new,
+        ReadOutcome::Rejected(why) => {
             tracing::warn!("{file}: {why}; the old list remains in use");
             return;
         }
     };
     for (name, record) in &new {
         if known.get(name) != Some(record) {
-            tracing::info!(engine = name, state = ?record.entry.listed, at = host.now(), "learned of an engine");
+            let state = record.entry.listed;
+            tracing::info!(engine = name, ?state, at = host.now(), "learned of an engine");
         }
     }
     for name in known.keys().filter(|name| !new.contains_key(*name)) {
