--- a/crates/gateway/src/custody.rs
+++ b/crates/gateway/src/custody.rs
@@ -226,7 +226,7 @@
     }
 }
 
-fn is_live(seen: &violetward_membership::Seen) -> bool {
+fn is_live(seen: &violetward_membership::MemberView) -> bool {
     seen.record.state <= violetward_membership::State::Suspect
 }
 
@@ -671,8 +671,8 @@
     /// Passes the members that membership knows to the protocol.
     pub fn update_members(&self, host: &Rc<Host>) {
         let Some(peers) = host.peers() else { return };
-        let member = |seen: violetward_membership::Seen| Member {
-            incarnation: Incarnation { name: seen.record.name, number: seen.record.life },
+        let member = |seen: violetward_membership::MemberView| Member {
+            incarnation: Incarnation { name: seen.record.name, number: seen.record.instance_id },
             site: seen.record.site,
             state: member_state(seen.record.state),
         };
@@ -842,14 +842,15 @@
         for (gateway, term) in token.gateways.iter().filter(|(gateway, _)| *gateway != self.incarnation) {
             let known = members.iter().find(|s| s.record.name == gateway.name);
             all_ended &= known.is_some_and(|s| {
-                s.record.life != gateway.number || s.record.state == violetward_membership::State::Left
+                s.record.instance_id != gateway.number || s.record.state == violetward_membership::State::Left
             });
-            if !known.is_some_and(|s| s.record.life == gateway.number && is_live(s)) {
+            if !known.is_some_and(|s| s.record.instance_id == gateway.number && is_live(s)) {
                 unfenced.push((gateway.clone(), *term));
             }
         }
         for gone in members.iter().filter(|s| !is_live(s)) {
-            unfenced.push((Incarnation { name: gone.record.name.clone(), number: gone.record.life }, 0));
+            unfenced
+                .push((Incarnation { name: gone.record.name.clone(), number: gone.record.instance_id }, 0));
         }
         let lost_after = micros(self.terms.lease) * LOST_AFTER_LEASES;
         if token.key.accepted_by == self.incarnation
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -543,7 +543,7 @@
         for site in (0..self.terms.sites.len()).filter(|&s| inner.watch.reaches(now, s)) {
             bits[site / 8] |= 1 << (site % 8);
         }
-        let is_live = |s: &violetward_membership::Seen| s.record.state <= MemberState::Suspect;
+        let is_live = |s: &violetward_membership::MemberView| s.record.state <= MemberState::Suspect;
         let mut names: Vec<String> =
             self.peers.members().into_iter().filter(is_live).map(|s| s.record.name).collect();
         for index in 0..names.len().min(REACHABILITY_RECEIVERS) {
--- a/crates/gateway/src/outage/summaries.rs
+++ b/crates/gateway/src/outage/summaries.rs
@@ -13,7 +13,7 @@
         messages: &mut Vec<(String, Vec<u8>)>,
     ) {
         if now >= inner.gossip.next_poll_at() {
-            let is_live = |s: &violetward_membership::Seen| s.record.state <= MemberState::Suspect;
+            let is_live = |s: &violetward_membership::MemberView| s.record.state <= MemberState::Suspect;
             let members = || {
                 self.peers.members().into_iter().filter(is_live).map(|s| s.record.name).collect::<Vec<_>>()
             };
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -10,8 +10,8 @@
 use async_io::Async;
 use futures_lite::future;
 use serde::{Deserialize, Serialize};
-use violetward_membership::wire::CLASSES;
-use violetward_membership::{Change, Demand, Effect, Link, Membership, Standing, State, Terms};
+use violetward_membership::wire::MAX_DEMAND_CLASSES;
+use violetward_membership::{Change, Config, Demand, Effect, Link, Membership, Standing, State};
 use violetward_net::Alarm;
 use violetward_transport::sockets::{self, Datagrams};
 
@@ -29,7 +29,7 @@
 const DEMAND_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 /// Size of the read buffer: one byte more than the longest valid datagram, so that an oversized one is
 /// recognized.
-const READ_BUFFER_BYTES: usize = violetward_membership::wire::DATAGRAM + 1;
+const READ_BUFFER_BYTES: usize = violetward_membership::wire::MAX_DATAGRAM_BYTES + 1;
 
 /// Membership of this gateway: what it knows of the other gateways, and its link to them.
 pub struct Peers {
@@ -130,22 +130,22 @@
             Some(address) => address,
             None => datagrams.address()?,
         };
-        let membership_terms = Terms {
+        let membership_config = Config {
             name: terms.name.clone(),
             site: terms.site.clone(),
             address,
             seeds: terms.seeds.clone(),
-            via: terms.address_overrides.clone(),
+            address_overrides: terms.address_overrides.clone(),
             keys: terms.keys.clone(),
-            period: terms.probe_interval.as_micros() as u64,
-            most: terms.max_members,
-            fleet: host.config.settings.gateways,
-            widest: terms.max_total_share,
-            widen: terms.share_growth_per_s,
-            plain: false,
+            probe_interval: terms.probe_interval.as_micros() as u64,
+            max_members: terms.max_members,
+            configured_gateways: host.config.settings.gateways,
+            max_total_share: terms.max_total_share,
+            share_growth_per_s: terms.share_growth_per_s,
+            plain_swim: false,
         };
         tracing::info!(name = terms.name, site = terms.site, %address, "membership");
-        let membership = RefCell::new(Membership::new(membership_terms, rand::random(), host.now()));
+        let membership = RefCell::new(Membership::new(membership_config, rand::random(), host.now()));
         let peers = Rc::new(Peers {
             membership,
             address_overrides: terms.address_overrides.clone(),
@@ -161,7 +161,7 @@
             let apply_keys = move |text: &str| {
                 let keys = read_membership_keys(text)?;
                 watching_host.custody().iter().for_each(|custody| custody.set_keys(keys.clone()));
-                watching_peers.membership.borrow_mut().keys(keys);
+                watching_peers.membership.borrow_mut().set_keys(keys);
                 Ok(())
             };
             host.spawn(watch::watch_key_file(file, host.config.host.list_poll_interval, apply_keys));
@@ -178,7 +178,7 @@
     fn update<T>(&self, host: &Rc<Host>, operation: impl FnOnce(&mut Membership, u64) -> T) -> T {
         let result = operation(&mut self.membership.borrow_mut(), host.now());
         loop {
-            let effect = self.membership.borrow_mut().effect();
+            let effect = self.membership.borrow_mut().next_effect();
             match effect {
                 Some(effect) => self.apply_effect(host, effect),
                 None => break,
@@ -197,26 +197,28 @@
                 let share = host.outage().map_or(share, |outage| outage.effective_share(share));
                 host.with_core(|core, now| core.set_share(now, share));
             }
-            Effect::Heard(from, bytes) if bytes.first() == Some(&custody::MESSAGE_TAG) => {
+            Effect::Received(from, bytes) if bytes.first() == Some(&custody::MESSAGE_TAG) => {
                 host.custody().iter().for_each(|custody| custody.receive_message(host, &from, &bytes[1..]));
             }
-            Effect::Heard(from, bytes) if bytes.first() == Some(&outage::MESSAGE_TAG) => {
+            Effect::Received(from, bytes) if bytes.first() == Some(&outage::MESSAGE_TAG) => {
                 host.outage().iter().for_each(|outage| outage.receive_message(host, &from, &bytes[1..]));
             }
-            Effect::Heard(from, bytes) => {
+            Effect::Received(from, bytes) => {
                 let agreement = host.agreed.borrow().clone();
                 agreement.iter().for_each(|agreement| agreement.receive(host, &from, &bytes));
             }
-            Effect::Told(change) => {
+            Effect::Changed(change) => {
                 let at = host.now();
                 match change {
-                    Change::Member { name, was, state, incarnation } => {
+                    Change::Member { name, previous: was, state, incarnation } => {
                         let was = was.map_or("unknown", state_word);
                         let state = state_word(state);
                         tracing::info!(member = name, was, state, incarnation, at, "member");
                         host.custody().iter().for_each(|custody| custody.update_members(host));
                     }
-                    Change::Standing(standing) => tracing::info!(standing = standing.word(), at, "standing"),
+                    Change::Standing(standing) => {
+                        tracing::info!(standing = standing.as_str(), at, "standing")
+                    }
                     Change::Paused(span) => {
                         tracing::warn!(ms = span / 1000, at, "this process stood still");
                         host.outage().iter().for_each(|outage| outage.record_pause(host, span));
@@ -224,7 +226,7 @@
                     Change::Link(name, link) => {
                         tracing::info!(member = name, link = link_word(link), at, "link")
                     }
-                    Change::Rival(address) => {
+                    Change::NameConflict(address) => {
                         tracing::error!(%address, at, "another process uses this gateway's name");
                     }
                 }
@@ -239,16 +241,16 @@
             // Due timers run first: the protocol detects a pause of this process by a late timer, and must do
             // so before it handles datagrams that arrived during the pause.
             if self.membership.borrow().next_wake() <= host.now() {
-                self.update(&host, Membership::wake);
+                self.update(&host, Membership::handle_wake);
             }
-            self.update(&host, |membership, now| membership.datagram(now, from, bytes));
+            self.update(&host, |membership, now| membership.handle_datagram(now, from, bytes));
         }
     }
 
     async fn run_timers(self: Rc<Self>, host: Rc<Host>) {
         loop {
             self.alarm.wait(&host.clock, || self.next_wake()).await;
-            self.update(&host, Membership::wake);
+            self.update(&host, Membership::handle_wake);
             future::yield_now().await;
         }
     }
@@ -266,13 +268,13 @@
                 *rate = *rate * decay + (now - was) / interval_s * (1.0 - decay);
             }
             previous = offered;
-            self.membership.borrow_mut().demand(Demand::of(&rates));
+            self.membership.borrow_mut().set_demand(Demand::from_work(&rates));
         }
     }
 
     /// Sends a message of another protocol to a member.
     pub fn send_message(&self, host: &Rc<Host>, name: &str, bytes: &[u8]) {
-        self.update(host, |membership, now| membership.say(now, name, bytes));
+        self.update(host, |membership, now| membership.send_payload(now, name, bytes));
     }
 
     /// Sends a message of another protocol to all members that are not dead or gone.
@@ -282,9 +284,9 @@
 
     /// Sends a message of another protocol to at most `max_members` random members that are not dead or gone.
     pub fn send_to_sample(&self, host: &Rc<Host>, bytes: &[u8], max_members: usize) {
-        let is_live = |seen: &violetward_membership::Seen| seen.record.state <= State::Suspect;
+        let is_live = |seen: &violetward_membership::MemberView| seen.record.state <= State::Suspect;
         let mut names: Vec<String> =
-            self.membership.borrow().view().filter(is_live).map(|seen| seen.record.name).collect();
+            self.membership.borrow().members().filter(is_live).map(|seen| seen.record.name).collect();
         for index in 0..names.len().min(max_members) {
             let chosen = rand::random_range(index..names.len());
             names.swap(index, chosen);
@@ -296,8 +298,11 @@
     pub fn local_member(&self) -> (Incarnation, String) {
         let membership = self.membership.borrow();
         (
-            Incarnation { name: membership.me().name.clone(), number: membership.me().life },
-            membership.me().site.clone(),
+            Incarnation {
+                name: membership.own_record().name.clone(),
+                number: membership.own_record().instance_id,
+            },
+            membership.own_record().site.clone(),
         )
     }
 
@@ -305,12 +310,14 @@
     pub fn total_demand(&self) -> Vec<f64> {
         let membership = self.membership.borrow();
         let demands: Vec<Demand> = membership
-            .view()
+            .members()
             .filter(|seen| seen.record.state <= State::Suspect)
             .map(|seen| seen.record.demand)
-            .chain([membership.me().demand])
+            .chain([membership.own_record().demand])
             .collect();
-        (0..CLASSES).map(|class| demands.iter().map(|demand| demand.class(class)).sum()).collect()
+        (0..MAX_DEMAND_CLASSES)
+            .map(|class| demands.iter().map(|demand| demand.work_of_class(class)).sum())
+            .collect()
     }
 
     /// Reachability of this gateway among the others, and its share of the fleet.
@@ -320,8 +327,8 @@
     }
 
     /// All other known members.
-    pub fn members(&self) -> Vec<violetward_membership::Seen> {
-        self.membership.borrow().view().collect()
+    pub fn members(&self) -> Vec<violetward_membership::MemberView> {
+        self.membership.borrow().members().collect()
     }
 
     /// Names of all other known members.
@@ -331,31 +338,34 @@
 
     /// Address at which a member accepts streams.
     pub fn stream_address(&self, name: &str) -> Option<SocketAddr> {
-        let known = self.membership.borrow().view().find(|seen| seen.record.name == name);
+        let known = self.membership.borrow().members().find(|seen| seen.record.name == name);
         known.map(|seen| self.address_overrides.get(name).copied().unwrap_or(seen.record.address))
     }
 
     /// Whether this process of a gateway is a known member that is alive or suspect.
     pub fn may_be_alive(&self, incarnation: &Incarnation) -> bool {
-        let known = self.membership.borrow().view().find(|seen| seen.record.name == incarnation.name);
-        known
-            .is_some_and(|seen| seen.record.life == incarnation.number && seen.record.state <= State::Suspect)
+        let known = self.membership.borrow().members().find(|seen| seen.record.name == incarnation.name);
+        known.is_some_and(|seen| {
+            seen.record.instance_id == incarnation.number && seen.record.state <= State::Suspect
+        })
     }
 
     /// Whether this process of a gateway is known to have ended at least `span` microseconds ago, or is not
     /// known at all.
     pub fn ended_for(&self, incarnation: &Incarnation, now: u64, span: u64) -> bool {
-        let known = self.membership.borrow().view().find(|seen| seen.record.name == incarnation.name);
+        let known = self.membership.borrow().members().find(|seen| seen.record.name == incarnation.name);
         known.is_none_or(|seen| {
-            let ended = seen.record.life != incarnation.number || seen.record.state > State::Suspect;
+            let ended = seen.record.instance_id != incarnation.number || seen.record.state > State::Suspect;
             ended && now >= seen.since + span
         })
     }
 
     /// Whether this process of a gateway is a known member that is alive and not suspect.
     pub fn is_alive(&self, incarnation: &Incarnation) -> bool {
-        let known = self.membership.borrow().view().find(|seen| seen.record.name == incarnation.name);
-        known.is_some_and(|seen| seen.record.life == incarnation.number && seen.record.state == State::Alive)
+        let known = self.membership.borrow().members().find(|seen| seen.record.name == incarnation.name);
+        known.is_some_and(|seen| {
+            seen.record.instance_id == incarnation.number && seen.record.state == State::Alive
+        })
     }
 
     /// Listener for streams of records, on the port of the datagrams; only the first call gets it.
@@ -371,7 +381,7 @@
     /// The answer of `/v1/members`.
     pub fn status(&self) -> MembershipStatus {
         let membership = self.membership.borrow();
-        let row = |seen: violetward_membership::Seen| MemberStatus {
+        let row = |seen: violetward_membership::MemberView| MemberStatus {
             name: seen.record.name,
             site: seen.record.site,
             address: seen.record.address.to_string(),
@@ -383,19 +393,19 @@
         };
         let counts = membership.counts;
         MembershipStatus {
-            name: membership.me().name.clone(),
-            standing: Standing::word(membership.standing()).into(),
-            address: membership.me().address.to_string(),
+            name: membership.own_record().name.clone(),
+            standing: Standing::as_str(membership.standing()).into(),
+            address: membership.own_record().address.to_string(),
             share: membership.share(),
-            demand: membership.me().demand.total(),
-            members: membership.view().map(row).collect(),
+            demand: membership.own_record().demand.total(),
+            members: membership.members().map(row).collect(),
             sent: counts.sent,
-            taken: counts.taken,
-            refused: counts.refused,
-            paused: counts.paused,
-            suspected: counts.suspected,
-            declared: counts.declared,
-            refuted: counts.refuted,
+            taken: counts.received,
+            refused: counts.rejected,
+            paused: counts.pauses,
+            suspected: counts.suspicions,
+            declared: counts.declared_dead,
+            refuted: counts.refutations,
         }
     }
 }
