--- a/crates/agreement/src/sim.rs
+++ b/crates/agreement/src/sim.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-pub use violetward_transport::sim::draw;
-use violetward_transport::sim::{Dice, Queue, Weather};
+pub use violetward_transport::sim::splitmix64;
+use violetward_transport::sim::{EventQueue, LinkConditions, SeededRng};
 
 use crate::wire;
 use crate::{DurableState, Effect, Member, MemberTerms, Micros, Outcome, ProposeError, Version};
@@ -64,8 +64,8 @@
     voters: usize,
     lease: Micros,
     drift_ppm: u64,
-    events: Queue<(usize, Event)>,
-    rng: Dice,
+    events: EventQueue<(usize, Event)>,
+    rng: SeededRng,
 }
 
 fn name(n: usize) -> String {
@@ -91,8 +91,8 @@
             voters,
             lease,
             drift_ppm,
-            events: Queue::new(1_000_000_000),
-            rng: Dice(seed),
+            events: EventQueue::new(1_000_000_000),
+            rng: SeededRng(seed),
         };
         for n in 0..count {
             let rate = if n % 2 == 0 { drift_ppm as i64 } else { -(drift_ppm as i64) };
@@ -130,7 +130,7 @@
             fingerprint: FINGERPRINT,
         };
         let check = |content: &[u8]| if content == b"unfit" { Err("unfit".to_owned()) } else { Ok(()) };
-        let incarnation = self.rng.draw();
+        let incarnation = self.rng.next_u64();
         let now = self.clock(n);
         let fitness = self.fitness.clone();
         let member = Member::new(terms, stored.unwrap_or_default(), incarnation, now, Box::new(check));
@@ -204,14 +204,14 @@
         if self.blocked[from][to] {
             return;
         }
-        let copies = if self.loss_per_mille > 0 { 0.05 } else { 0.0 };
-        let weather = Weather {
+        let duplicates = if self.loss_per_mille > 0 { 0.05 } else { 0.0 };
+        let conditions = LinkConditions {
             loss: self.loss_per_mille as f64 / 1e3,
             delay: (MILLISECOND_MICROS, 21 * MILLISECOND_MICROS),
-            copies,
-            spoilt: 0.0,
+            duplicates,
+            corrupted: 0.0,
         };
-        for (delay, bytes) in weather.carry(&mut self.rng, bytes) {
+        for (delay, bytes) in conditions.transmit(&mut self.rng, bytes) {
             self.schedule(self.now + delay, to, Event::Datagram(name(from), bytes));
         }
     }
--- a/crates/agreement/tests/members.rs
+++ b/crates/agreement/tests/members.rs
@@ -1,6 +1,6 @@
 //! Simulated histories of agreement among several gateways: see [`violetward_agreement::sim`].
 
-use violetward_agreement::sim::{draw, Event, Fleet};
+use violetward_agreement::sim::{splitmix64, Event, Fleet};
 use violetward_agreement::wire::PeerMessage;
 use violetward_agreement::{Message, Outcome, ProposeError};
 
@@ -204,28 +204,28 @@
         let mut fleet = fleet(5, 3, 1000 + seed);
         let mut rng = seed;
         for round in 0..60 {
-            let n = draw(&mut rng) as usize % 5;
-            match draw(&mut rng) % 8 {
-                0 => fleet.nodes[n].paused_until = fleet.now + draw(&mut rng) % (4 * LEASE_MICROS),
+            let n = splitmix64(&mut rng) as usize % 5;
+            match splitmix64(&mut rng) % 8 {
+                0 => fleet.nodes[n].paused_until = fleet.now + splitmix64(&mut rng) % (4 * LEASE_MICROS),
                 1 => fleet.nodes[n].member = None,
-                2 => fleet.loss_per_mille = draw(&mut rng) % 400,
+                2 => fleet.loss_per_mille = splitmix64(&mut rng) % 400,
                 3 => {
-                    let m = draw(&mut rng) as usize % 5;
+                    let m = splitmix64(&mut rng) as usize % 5;
                     fleet.blocked[n][m] = true;
                 }
                 5 if n < 3 => drop(fleet.replace(n)),
                 4 => fleet.blocked.iter_mut().flatten().for_each(|cut| *cut = false),
                 _ => {}
             }
-            if draw(&mut rng) % 3 == 0 {
+            if splitmix64(&mut rng) % 3 == 0 {
                 let dead: Vec<usize> = (0..5).filter(|&g| fleet.nodes[g].member.is_none()).collect();
                 dead.into_iter().for_each(|g| fleet.start(g));
             }
-            let proposer = draw(&mut rng) as usize % 3;
+            let proposer = splitmix64(&mut rng) as usize % 3;
             if fleet.nodes[proposer].member.is_some() && fleet.nodes[proposer].paused_until <= fleet.now {
                 fleet.propose(proposer, format!("{seed} {round}").as_bytes()).ok();
             }
-            fleet.run(draw(&mut rng) % 800 * MILLISECOND_MICROS);
+            fleet.run(splitmix64(&mut rng) % 800 * MILLISECOND_MICROS);
         }
         fleet.loss_per_mille = 0;
         fleet.blocked.iter_mut().flatten().for_each(|cut| *cut = false);
--- a/crates/gateway/src/windows.rs
+++ b/crates/gateway/src/windows.rs
@@ -11,8 +11,8 @@
 
 use serde::{Deserialize, Serialize};
 use violetward::{Class, Listed, Settings};
-use violetward_store::file::Files;
-use violetward_store::medium::Folder;
+use violetward_store::file::FileStore;
+use violetward_store::medium::Directory;
 use violetward_store::Store;
 use violetward_windows::cover::{Cover, Engine, Placement};
 use violetward_windows::find::Outlook;
@@ -61,7 +61,7 @@
     held: RefCell<Held>,
     /// Profile of demand over the week.
     profile: RefCell<Profile>,
-    store: Option<Arc<Mutex<Files<Folder>>>>,
+    store: Option<Arc<Mutex<FileStore<Directory>>>>,
     /// The last error of the profile's store, if it persists.
     trouble: RefCell<Option<String>>,
     fleet: RefCell<Fleet>,
@@ -167,7 +167,7 @@
     pub fn start(host: &Rc<Host>, terms: &WindowTerms) -> std::io::Result<Rc<Windows>> {
         let agreement = host.config.agreement.as_ref();
         let drift = agreement.map_or(1_000, |a| a.drift_ppm);
-        let mut store = Files::open(&terms.folder)
+        let mut store = FileStore::open(&terms.folder)
             .map_err(|e| std::io::Error::other(format!("{}: {e}", terms.folder.display())))?;
         let (profile, trouble) = load_profile(&mut store, terms);
         let fleet =
@@ -459,7 +459,7 @@
 
 /// Loads the stored profile. If it is unusable, sets it aside and returns an empty one, which is uncertain of
 /// everything, and the error.
-fn load_profile(store: &mut Files<Folder>, terms: &WindowTerms) -> (Profile, Option<String>) {
+fn load_profile(store: &mut FileStore<Directory>, terms: &WindowTerms) -> (Profile, Option<String>) {
     let read = match store.get(PROFILE_KEY) {
         Ok(None) => return (Profile::new(terms.profile), None),
         Ok(Some(stored)) => Profile::read(&stored.bytes, terms.profile).map_err(|e| e.to_string()),
@@ -507,7 +507,7 @@
     fn a_stored_profile_survives_a_restart_and_a_corrupt_one_is_set_aside() {
         let terms = terms("stored");
         let at = 3_000 * WEEK;
-        let open = || Files::open(&terms.folder).expect("a store");
+        let open = || FileStore::open(&terms.folder).expect("a store");
         {
             let (mut profile, trouble) = load_profile(&mut open(), &terms);
             assert_eq!(trouble, None);
