--- a/src/api.rs
+++ b/src/api.rs
@@ -98,10 +98,10 @@
     pub zones: Option<Vec<ZoneId>>,
     /// The number of threads that a query runs on.
     pub threads: u32,
-    /// It is a load: while it runs it locks its group of tables on its engine.
+    /// Its requests load data: while one runs, it locks its group of tables on its engine.
     pub is_load: bool,
-    /// A query that has been sent makes no progress while a load holds its group of tables on the same
-    /// engine.
+    /// A query that has been sent makes no progress while a request that loads data ([`Class::is_load`])
+    /// locks its group of tables on the same engine.
     pub waits_for_loads: bool,
 }
 
@@ -202,9 +202,10 @@
     pub cold_capacity: f64,
     /// How long after its start an engine is cold.
     pub cold_span: Micros,
-    /// A cold engine crashes if the work sent to it exceeds this multiple of its capacity,
+    /// A cold engine crashes if the work sent to it within [`Settings::overload_span`] exceeds this multiple
+    /// of its capacity for that time.
     pub overload_multiple: f64,
-    /// summed over this time.
+    /// The length of the window over which the work sent to a cold engine is summed.
     pub overload_span: Micros,
     /// How long an order key is blocked after an attempt that may still be running.
     pub key_cooldown: Micros,
@@ -240,7 +241,7 @@
     Up,
     /// Finishing its work; must get no new requests.
     Draining,
-    /// Gone.
+    /// No longer part of the fleet.
     Removed,
 }
 
@@ -268,8 +269,8 @@
 pub struct Pin {
     /// The only engine that can answer the request.
     pub engine: EngineId,
-    /// The request helps to end a transaction that holds locks: it is admitted if it can finish by its
-    /// deadline, whatever the backlog of its class.
+    /// The request uses the capacity that its engine reserves for ending transactions that hold locks: it is
+    /// admitted if it can finish by its deadline, whatever the backlog of its class.
     pub uses_reserve: bool,
     /// The request may be sent to its engine even while that engine drains.
     pub finishing: bool,
@@ -311,7 +312,7 @@
     Ok,
     /// The engine answered with an error; the request may have run.
     Error,
-    /// The engine answered that the request itself is invalid: final, and no sign of a sick engine.
+    /// The engine answered that the request itself is invalid: final, and no sign of a faulty engine.
     Declined,
     /// The engine rejected the request without starting it, for lack of capacity.
     Full,
@@ -387,7 +388,7 @@
     Spills(f64),
     /// It waits in the engine's queue for memory.
     WaitsForMemory,
-    /// It waits for a load that holds its group of tables.
+    /// It waits for a request that loads data into its group of tables ([`Class::is_load`]).
     WaitsForLoad,
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -108,7 +108,7 @@
     /// Decides on one event as [`Gateway::handle`] does.
     fn handle(&mut self, now: Micros, event: Event, out: &mut Vec<Action>);
 
-    /// The engines that get no requests because they seem sick; none if the module does not track that.
+    /// The engines that get no requests because they seem faulty; none if the module does not track that.
     fn quarantined_engines(&self) -> Vec<EngineId> {
         Vec::new()
     }
--- a/src/logic/attempts.rs
+++ b/src/logic/attempts.rs
@@ -28,7 +28,7 @@
         let engine_slowdown = state.slowdown.blended_with(1.0, PRIOR_SAMPLES);
         let slowdown = class_slowdown.max(engine_slowdown).max(1.0);
         self.predicted_work(request, Some(state)) / self.threads(request) * slowdown
-            / self.warm_capacity(state)
+            / self.capacity_fraction(state)
     }
 
     /// When an attempt times out: at the request's deadline, or earlier if another attempt may follow and has
@@ -52,7 +52,7 @@
     /// The priority of a query, by its worth per unit of work relative to the average: light queries go
     /// first.
     fn priority(&self, request: &Request) -> u8 {
-        let density = self.worth_density(request) / self.mean_density();
+        let density = self.worth_density(request) / self.mean_worth_density();
         let exceeded = PRIORITY_DENSITIES.iter().filter(|&&limit| density >= limit).count() as u8;
         1 + if self.settings.priorities { exceeded } else { 0 }
     }
@@ -67,8 +67,8 @@
         if let Some(open) = self.open_requests.get_mut(&answer.id) {
             let not_run = matches!(answer.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
             // No outcome proves that another gateway's attempt was never written to its connection.
-            let proves = not_run && attempt.adopted_at.is_none();
-            if proves && open.first_uncertain.is_some_and(|first| first.0 == answer.attempt) {
+            let proves_not_run = not_run && attempt.adopted_at.is_none();
+            if proves_not_run && open.first_uncertain.is_some_and(|first| first.0 == answer.attempt) {
                 open.first_uncertain = None;
             }
             open.last_failed_on = Some(engine);
@@ -101,7 +101,7 @@
             if !self.settings.may_cancel && answer.outcome == Outcome::Timeout {
                 // The attempt can't be stopped, so it still holds its threads for a while.
                 let until = self.now + attempt.expected_duration as Micros;
-                state.abandoned.push((until, attempt.threads, attempt.memory));
+                state.abandoned.push((until, attempt.threads, attempt.memory_mb));
             }
         }
         // An adopted attempt paused while no gateway fetched its pages: its duration would make engines look
@@ -111,8 +111,8 @@
         }
     }
 
-    /// Ends a request without an answer, the only function that does: refuses it if a retry by the client is
-    /// harmless, otherwise fails it.
+    /// Ends a request without an answer: refuses it if a retry by the client is harmless, otherwise fails it.
+    /// No other function refuses or fails requests.
     pub(super) fn end_unserved(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(open) = self.open_requests.get(&id) else { return };
         let effect = self.class(&open.request).effect;
@@ -143,9 +143,9 @@
         self.advance_key(open.request.key.as_ref(), out);
     }
 
-    /// Handles a progress note. An attempt that is slow for its age (a bad plan, a slow engine, a load in its
-    /// way) is replaced by a new one, and a request that can't finish in time is ended. If its estimate is
-    /// far too low, a query may be restarted until it reaches the limit of attempts.
+    /// Handles a progress note. An attempt that is slow for its age (a bad plan, a slow engine, a wait for a
+    /// request that loads data) is replaced by a new one, and a request that can't finish in time is ended.
+    /// If its estimate is far too low, a query may be restarted until it reaches the limit of attempts.
     pub(super) fn on_note(&mut self, id: RequestId, number: u32, note: Note, out: &mut Vec<Action>) {
         let now = self.now;
         let Some(attempt) = self.in_flight.get_mut(&(id, number)) else { return };
@@ -165,8 +165,9 @@
     fn act_on_remaining_time(&mut self, id: RequestId, number: u32, remaining: f64, out: &mut Vec<Action>) {
         let Some(open) = self.open_requests.get(&id) else { return };
         let slowdown = self.slowdown.blended_with(1.0, FLEET_PRIOR_SAMPLES).max(1.0);
-        let new_attempt = self.predicted_work(&open.request, None) / self.threads(&open.request) * slowdown;
-        let to_deadline = open.request.deadline.saturating_sub(self.now) as f64;
+        let new_attempt_duration =
+            self.predicted_work(&open.request, None) / self.threads(&open.request) * slowdown;
+        let time_to_deadline = open.request.deadline.saturating_sub(self.now) as f64;
         let may_restart = self.class(&open.request).effect == Effect::Repeatable
             && open.request.pin.is_none()
             && open.attempts < self.settings.attempts_cap
@@ -175,10 +176,13 @@
         if !self.settings.may_cancel || attempt.cancelled {
             return;
         }
-        if may_restart && remaining > RESTART_FACTOR * new_attempt && new_attempt < to_deadline {
+        if may_restart
+            && remaining > RESTART_FACTOR * new_attempt_duration
+            && new_attempt_duration < time_to_deadline
+        {
             attempt.cancelled = true;
             out.push(Action::Cancel { id, attempt: number });
-        } else if remaining.is_finite() && remaining * HOPELESS_FACTOR > to_deadline {
+        } else if remaining.is_finite() && remaining * HOPELESS_FACTOR > time_to_deadline {
             self.end_unserved(id, out);
         }
     }
--- a/src/logic/bound.rs
+++ b/src/logic/bound.rs
@@ -1,5 +1,6 @@
-//! Debt and its drain, thread limits and memory grants of engines. The same limits exist for the whole fleet:
-//! with many gateways, a gateway's share of a single engine is too small to be meaningful.
+//! Debt and its drain (see `EngineState::debt`), thread limits and memory grants of engines. The same limits
+//! exist for the whole fleet: with many gateways, a gateway's share of a single engine is too small to be
+//! meaningful.
 
 use super::*;
 
@@ -15,17 +16,19 @@
     /// the last one may exceed the limit. The limit grows with a query's worth density: otherwise one heavy
     /// query would make the gateway refuse all light ones for a long time.
     pub(super) fn fleet_is_full(&self, request: &Request) -> bool {
-        let held = self.held_resources();
+        let (held_threads, held_memory_mb) = self.held_resources();
         let factor = clamp_finite(
-            self.worth_density(request) / self.mean_density(),
+            self.worth_density(request) / self.mean_worth_density(),
             FLEET_LIMIT_FACTORS[0],
             FLEET_LIMIT_FACTORS[1],
         );
-        let memory = self.usable_memory
+        let memory_limit_mb = self.usable_memory_mb
             * FLEET_MEMORY_FRACTION
             * (self.threads_per_core / INITIAL_THREADS_PER_CORE).max(1.0);
-        let short_of_memory = self.settings.grants && memory > 0.0 && held.1 >= memory * factor;
-        held.0 > 0.0 && (short_of_memory || held.0 >= self.usable_cores * self.threads_per_core * factor)
+        let short_of_memory =
+            self.settings.grants && memory_limit_mb > 0.0 && held_memory_mb >= memory_limit_mb * factor;
+        held_threads > 0.0
+            && (short_of_memory || held_threads >= self.usable_cores * self.threads_per_core * factor)
     }
 
     /// How long a request has to wait until the fleet is no longer full, in microseconds.
@@ -56,11 +59,12 @@
     pub(super) fn relative_speed(&self, state: &EngineState) -> f64 {
         let median = self.median_slowdown;
         let speed = clamp_finite(median / state.slowdown.blended_with(median, PRIOR_SAMPLES), 0.05, 1.0);
-        speed * self.warm_capacity(state)
+        speed * self.capacity_fraction(state)
     }
 
-    /// The capacity that an engine certainly has, as a fraction of its capacity when warm.
-    pub(super) fn warm_capacity(&self, state: &EngineState) -> f64 {
+    /// The capacity that an engine is sure to have, as a fraction of its capacity when warm: 1 unless it is
+    /// cold.
+    pub(super) fn capacity_fraction(&self, state: &EngineState) -> f64 {
         let initial = clamp_finite(self.settings.cold_capacity, 0.05, 1.0);
         self.warm_up_progress(state)
             .map_or(1.0, |progress| initial + (1.0 - initial) * COLD_WARM_UP_FRACTION * progress)
@@ -75,8 +79,8 @@
         let cores = usable.map(|state| self.cores(state) * self.relative_speed(state)).sum::<f64>();
         self.usable_cores = cores * self.fleet_share() * self.share_boost();
         let up = self.engines.values().filter(|state| state.entry.listed == Listed::Up);
-        let memory = up.map(|state| self.memory(state)).sum::<f64>();
-        self.usable_memory = memory * self.fleet_share() * self.share_boost();
+        let memory_mb = up.map(|state| self.memory_mb(state)).sum::<f64>();
+        self.usable_memory_mb = memory_mb * self.fleet_share() * self.share_boost();
     }
 
     /// The factor by which this gateway may exceed its share: load reports below the limit show that other
@@ -101,7 +105,7 @@
     }
 
     fn thread_limit(&self, state: &EngineState) -> f64 {
-        self.cores(state) * self.engine_share(state) * state.threads_per_core * self.warm_capacity(state)
+        self.cores(state) * self.engine_share(state) * state.threads_per_core * self.capacity_fraction(state)
     }
 
     /// Reduces the debts of an engine by what has drained since the last call, split by demand among the
@@ -130,7 +134,7 @@
 
     /// Whether a memory grant fits this gateway's share of the engine's memory.
     pub(super) fn has_memory(&self, state: &EngineState, grant: f64) -> bool {
-        let total = self.memory(state);
+        let total = self.memory_mb(state);
         let limit_factor = (state.threads_per_core / INITIAL_THREADS_PER_CORE).max(1.0);
         let share = (self.engine_share(state) * limit_factor).min(1.0);
         let unlimited = total <= 0.0 || state.threads == 0.0 || !self.settings.grants;
@@ -139,7 +143,7 @@
 
     /// The memory to grant to a query: enough for most queries of its class with the same estimate.
     pub(super) fn memory_grant(&self, request: &Request, state: &EngineState) -> f64 {
-        let total = self.memory(state);
+        let total = self.memory_mb(state);
         let cap = clamp_finite(self.settings.grant_cap, 0.01, 1.0);
         let max_grant = if total > 0.0 { total * cap } else { 1e9 };
         let ratio = self.class_stats[request.class.0].log_grant_ratio.exp();
@@ -160,7 +164,7 @@
                 *limit = (*limit * LIMIT_RAISE_FACTOR).min(max_limit);
             } else if slowdown > CUT_LIMIT_ABOVE * best {
                 let factor = CUT_LIMIT_ABOVE * best / slowdown;
-                let factor = factor.clamp(MIN_LIMIT_CUT_FACTOR, LIMIT_CUT_FACTOR);
+                let factor = factor.clamp(MIN_LIMIT_CUT_FACTOR, MAX_LIMIT_CUT_FACTOR);
                 *limit = (*limit * factor).max(MIN_THREADS_PER_CORE);
             }
             *checked_at = now;
--- a/src/logic/guard.rs
+++ b/src/logic/guard.rs
@@ -68,9 +68,10 @@
 
     /// Whether the budget of a cold engine allows a request. A cold engine crashes if all gateways together
     /// send too much, so each one sends at most its share in every window, split among the classes by demand.
-    /// Where the share of a class is less than one of its queries, gateways take turns that add up to the
-    /// share. The share is never more than an even one, whatever is known of the other gateways, so that all
-    /// shares add up to at most one. `if_unused` ignores what has been sent in the current window.
+    /// Where the share of a class is less than one of its queries, gateways take turns at sending one query,
+    /// so often that on average they keep to their shares. The share is never more than an even one, whatever
+    /// is known of the other gateways, so that all shares add up to at most one. `if_unused` ignores what has
+    /// been sent in the current window.
     fn cold_allows(&self, open: &OpenRequest, state: &EngineState, if_unused: bool) -> bool {
         if !self.is_cold(state) || self.settings.overload_multiple <= 0.0 {
             return true;
@@ -78,7 +79,7 @@
         let class = open.request.class.0;
         let rate = self.settings.overload_multiple
             * self.cores(state)
-            * self.warm_capacity(state)
+            * self.capacity_fraction(state)
             * COLD_BUDGET_FRACTION;
         let own_budget =
             rate * self.settings.overload_span as f64 * self.fleet_share().min(self.even_share());
@@ -98,8 +99,8 @@
     }
 
     /// The work that a query counts for on a cold engine: the mean work of its class, increased while few
-    /// samples are known. Turns are taken in proportion to its inverse, so that across a fleet, means of few
-    /// samples would make the turns add up to more than the budget.
+    /// samples are known. A gateway's turns are as frequent as the inverse of this value. The inverse of a
+    /// mean of few samples is too large on average, and the turns of all gateways would exceed the budget.
     pub(super) fn cold_weight(&self, open: &OpenRequest) -> f64 {
         let mean_work = &self.class_stats[open.request.class.0].mean_work;
         let work = mean_work.value().unwrap_or_else(|| self.predicted_work(&open.request, None));
--- a/src/logic/health.rs
+++ b/src/logic/health.rs
@@ -146,7 +146,7 @@
         let accepts_trial = |state: &EngineState| state.quarantine.as_ref().is_some_and(|q| q.accepts_trial);
         let mut candidates = self.engines.iter().filter(|(_, state)| accepts_trial(state));
         let open = self.open_requests.get(&id)?;
-        let light = self.worth_density(&open.request) >= self.mean_density();
+        let light = self.worth_density(&open.request) >= self.mean_worth_density();
         let repeatable = self.class(&open.request).effect == Effect::Repeatable && open.request.pin.is_none();
         // The end of a transaction can't go to another engine and releases locks.
         let ends_transaction = open.request.pin.is_some_and(|p| p.uses_reserve);
--- a/src/logic/place.rs
+++ b/src/logic/place.rs
@@ -44,12 +44,12 @@
         let cross_zone_cost = clamp_finite(CROSS_ZONE_WEIGHT * relative_price, 0.0, 1e3);
         let mut homes = self.usable_engines();
         homes.sort_by_cached_key(|id| mix_bits(open.request.group.0 ^ mix_bits(id.0)));
-        // A load on a home engine would delay all queries of its group that wait for loads. Without load
-        // reports the home engines would be overloaded.
+        // A request that loads data would delay, on a home engine, all queries of its group that wait for it.
+        // Without load reports the home engines would be overloaded.
         let class = self.class(&open.request);
         let no_reports = self.settings.load_reports == LoadReports::None;
-        let no_homes = no_reports || class.is_load || class.waits_for_loads;
-        homes.truncate(if no_homes { 0 } else { HOME_ENGINES });
+        let ignores_homes = no_reports || class.is_load || class.waits_for_loads;
+        homes.truncate(if ignores_homes { 0 } else { HOME_ENGINES });
         let mut best: Option<(bool, f64, u64, EngineId)> = None;
         for (&engine, state) in &self.engines {
             if state.quarantine.is_some()
@@ -59,8 +59,8 @@
                 continue;
             }
             let group = open.request.group;
-            // How likely the group is warm: this gateway has read it here, or others have because of the
-            // home.
+            // How likely the group is warm here: this gateway has read it here, or other gateways have
+            // because this is one of the group's home engines.
             let (read_here, is_home) = (state.warm_groups.contains(&group), homes.contains(&engine));
             let warm_by_own = if read_here { self.fleet_share() } else { 0.0 };
             let warm_by_others = if is_home { 1.0 - self.fleet_share() } else { 0.0 };
@@ -90,14 +90,14 @@
         let class = request.class.0;
         let work = self.predicted_work(request, Some(state));
         let threads = self.threads(request);
-        let run = work / threads / self.relative_speed(state)
+        let run_time = work / threads / self.relative_speed(state)
             * self.slowdown.blended_with(1.0, FLEET_PRIOR_SAMPLES).max(1.0);
         if fleet_wait == 0.0
             && state.threads == 0.0
             && state.queue.is_empty()
             && state.debt.iter().all(|&d| d <= 0.0)
         {
-            return run < request.deadline.saturating_sub(self.now) as f64;
+            return run_time < request.deadline.saturating_sub(self.now) as f64;
         }
         let uses_reserve = request.pin.is_some_and(|p| p.uses_reserve);
         let soft = self.now < open.soft_deadline && !uses_reserve;
@@ -114,10 +114,10 @@
         let fleet_backlog = if fleet_wait > 0.0 { self.fleet_debt() / self.fleet_drain_rate() } else { 0.0 };
         let backlog = fleet_backlog.max(state.total_debt() / rate);
         // A query of little worth for its work is only admitted while the backlog is short.
-        let backlog_factor = (self.worth_density(request) / self.mean_density()).powf(BACKLOG_EXPONENT);
+        let backlog_factor = (self.worth_density(request) / self.mean_worth_density()).powf(BACKLOG_EXPONENT);
         let outranked = wait > 0.0 && backlog_factor < 1.0 && backlog > slack * backlog_factor;
         let fits_debt = state.debt[class] + work <= depth && !outranked;
-        (uses_reserve || fits_debt) && wait + run <= slack
+        (uses_reserve || fits_debt) && wait + run_time <= slack
     }
 
     /// The work before a request in an engine's queue, and half of the work in flight there.
@@ -162,8 +162,9 @@
         if !self.settings.may_probe || self.settings.load_reports != LoadReports::WithProbes {
             return;
         }
-        let idle = self.engines.iter_mut().filter(|(_, state)| state.is_usable() && !state.probe_in_flight);
-        let oldest = idle.min_by_key(|(id, state)| {
+        let candidates =
+            self.engines.iter_mut().filter(|(_, state)| state.is_usable() && !state.probe_in_flight);
+        let oldest = candidates.min_by_key(|(id, state)| {
             let reported_at = state.reported_load.map(|(_, at)| at);
             (reported_at, mix_bits(id.0 ^ mix_bits(self.settings.own_id.0)))
         });
@@ -233,10 +234,10 @@
 
     /// Places requests again that are queued for an engine that they may no longer use.
     pub(super) fn requeue_disallowed(&mut self, out: &mut Vec<Action>) {
-        let ids = |(&engine, state): (&EngineId, &EngineState)| {
+        let queued_on = |(&engine, state): (&EngineId, &EngineState)| {
             state.queue.iter().map(move |&(_, id)| (engine, id)).collect::<Vec<_>>()
         };
-        let queued: Vec<(EngineId, RequestId)> = self.engines.iter().flat_map(ids).collect();
+        let queued: Vec<(EngineId, RequestId)> = self.engines.iter().flat_map(queued_on).collect();
         for (engine, id) in queued {
             if self.check_dispatch(id, engine) == Verdict::NotHere {
                 self.dequeue(id);
@@ -260,10 +261,10 @@
         let next_tick = self.now + IDLE_TICK_US + self.settings.quantum;
         let is_hopeless = |open: &OpenRequest| {
             let request = &open.request;
-            let run = self.predicted_work(request, None) / self.threads(request);
+            let run_time = self.predicted_work(request, None) / self.threads(request);
             let late_counts = self.class(request).late_worth > 0.0;
             let end = if late_counts { request.deadline } else { open.soft_deadline };
-            open.waits() && (request.deadline <= next_tick || self.now as f64 + run > end as f64)
+            open.waits() && (request.deadline <= next_tick || self.now as f64 + run_time > end as f64)
         };
         let hopeless = self.open_requests.iter().filter(|(_, open)| is_hopeless(open));
         let hopeless: Vec<RequestId> = hopeless.map(|(&id, _)| id).collect();
--- a/src/logic/tuned.rs
+++ b/src/logic/tuned.rs
@@ -26,7 +26,8 @@
 pub(super) const REPORTED_LOAD_WEIGHT: f64 = 2.0;
 /// The time constant with which a load report decays towards the mean load.
 pub(super) const REPORT_DECAY_US: f64 = 2e6;
-/// The load assumed of an engine that has no session or no memory left, which its reports may not show.
+/// The load assumed of an engine that rejects requests, lacks memory or fails a probe, which its reports may
+/// not show; also the upper limit of a reported load.
 pub(super) const FULL_LOAD: f64 = 10.0;
 /// The weight of the price of crossing zones in the choice of an engine, relative to the worth at stake.
 pub(super) const CROSS_ZONE_WEIGHT: f64 = 10.0;
@@ -46,7 +47,7 @@
 /// The factor of one raise of the thread limit.
 pub(super) const LIMIT_RAISE_FACTOR: f64 = 1.1;
 /// The bounds of the factor of one cut of the thread limit.
-pub(super) const LIMIT_CUT_FACTOR: f64 = 0.9;
+pub(super) const MAX_LIMIT_CUT_FACTOR: f64 = 0.9;
 pub(super) const MIN_LIMIT_CUT_FACTOR: f64 = 0.6;
 /// The shortest time between two changes of the same thread limit.
 pub(super) const LIMIT_INTERVAL_US: Micros = 150_000;
@@ -90,13 +91,15 @@
 pub(super) const STALL_US: Micros = 4 * IDLE_TICK_US;
 /// The weight of one outcome in an engine's failure rate.
 pub(super) const FAILURE_SAMPLE_WEIGHT: f64 = 0.2;
-/// The same for a failure to connect.
+/// The weight of a failure to connect in an engine's failure rate.
 pub(super) const CONNECT_FAILURE_WEIGHT: f64 = 0.5;
-/// The same for a broken connection to a live process, which is more likely a fault of the network.
+/// The weight of a broken connection to a live process in an engine's failure rate: smaller, because it is
+/// more likely a fault of the network.
 pub(super) const BROKEN_CONNECTION_WEIGHT: f64 = 0.05;
-/// The failure rate above which an engine is quarantined,
+/// The failure rate above which an engine is quarantined while the other engines have no failures.
 pub(super) const QUARANTINE_FAILURE_RATE: f64 = 0.35;
-/// plus this multiple of the other engines' failure rate: a fault that all engines share quarantines none.
+/// That limit grows by this multiple of the other engines' failure rate: a fault that all engines share
+/// quarantines none.
 pub(super) const FLEET_FAILURE_FACTOR: f64 = 2.0;
 /// The number of successful trials in a row that end a quarantine.
 pub(super) const TRIALS_TO_RECOVER: u32 = 3;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,8 @@
 //! The state that the decision module keeps between events, and its bookkeeping. Decisions and their
 //! constants are in `src/logic`.
+//!
+//! Work, latencies and durations are in microseconds, also where they are fractional; work is the time on one
+//! thread. Memory is in megabytes.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -78,7 +81,7 @@
     pub queue: BTreeSet<(Micros, RequestId)>,
     /// Threads and memory of this gateway's attempts in flight on the engine.
     pub threads: f64,
-    pub memory: f64,
+    pub memory_mb: f64,
     /// Attempts that timed out but may still run: until when they count, their threads and memory.
     pub abandoned: Vec<(Micros, f64, f64)>,
     /// The groups of tables that were last read here, latest first.
@@ -91,7 +94,7 @@
     pub probe_in_flight: bool,
     /// It has been silent, and the result of the probe in flight decides whether it is quarantined.
     pub suspected: bool,
-    /// Set while the engine gets no requests because it seems sick.
+    /// Set while the engine gets no requests because it seems faulty.
     pub quarantine: Option<Quarantine>,
     /// Recent sends, which count against its capacity if it turns out to be cold: time, weight and class.
     pub recent_sends: VecDeque<(Micros, f64, usize)>,
@@ -113,7 +116,7 @@
             queued_work: 0.0,
             queue: BTreeSet::new(),
             threads: 0.0,
-            memory: 0.0,
+            memory_mb: 0.0,
             abandoned: Vec::new(),
             warm_groups: VecDeque::new(),
             last_heard_at: now,
@@ -137,7 +140,7 @@
 
     /// Threads and memory held here by attempts in flight and by abandoned ones.
     pub fn held_resources(&self) -> (f64, f64) {
-        self.abandoned.iter().fold((self.threads, self.memory), |sum, a| (sum.0 + a.1, sum.1 + a.2))
+        self.abandoned.iter().fold((self.threads, self.memory_mb), |sum, a| (sum.0 + a.1, sum.1 + a.2))
     }
 
     pub fn charge(&mut self, class: ClassId, work: f64) {
@@ -153,7 +156,7 @@
     /// Records that an attempt starts here. The last `max_warm_groups` groups read here are remembered.
     pub fn attempt_started(&mut self, attempt: &Attempt, max_warm_groups: usize) {
         self.threads += attempt.threads;
-        self.memory += attempt.memory;
+        self.memory_mb += attempt.memory_mb;
         self.warm_groups.retain(|&g| g != attempt.request.group);
         self.warm_groups.push_front(attempt.request.group);
         self.warm_groups.truncate(max_warm_groups);
@@ -164,7 +167,7 @@
         let unfinished = &mut self.unfinished_work[attempt.request.class.0];
         *unfinished = (*unfinished - attempt.charged_work).max(0.0);
         self.threads = (self.threads - attempt.threads).max(0.0);
-        self.memory = (self.memory - attempt.memory).max(0.0);
+        self.memory_mb = (self.memory_mb - attempt.memory_mb).max(0.0);
     }
 
     /// Records that its connections broke: its process may have restarted, even if the list does not say so
@@ -268,7 +271,8 @@
     pub timeout_at: Micros,
     /// The predicted work that it has added to the debt of its engine.
     pub charged_work: f64,
-    pub memory: f64,
+    /// The memory granted to it.
+    pub memory_mb: f64,
     pub threads: f64,
     /// How long it is expected to take, in microseconds.
     pub expected_duration: f64,
@@ -280,7 +284,8 @@
 }
 
 impl Attempt {
-    /// An attempt of `open` on `engine`. `period` is its start and time-out, `holds` its threads and memory.
+    /// An attempt of `open` on `engine`. `period` is its start and time-out, `holds` its threads and granted
+    /// memory.
     pub fn new(
         open: &OpenRequest,
         engine: EngineId,
@@ -295,7 +300,7 @@
             adopted_at: None,
             timeout_at: period.1,
             charged_work: open.charged_work,
-            memory: holds.1,
+            memory_mb: holds.1,
             threads: holds.0,
             expected_duration,
             cancelled: false,
@@ -305,7 +310,7 @@
     }
 
     /// Records a progress note. Returns the remaining time at the pace seen so far, in microseconds; infinity
-    /// while the attempt makes no progress and `None` if it can't be told.
+    /// while the attempt makes no progress and `None` if it can't be estimated.
     pub fn record_note(&mut self, note: Note, now: Micros) -> Option<f64> {
         let done = match note {
             Note::Spills(_) => return None,
@@ -316,7 +321,7 @@
             }
             Note::Progress(done) => clamp_finite(done, 0.0, 1.0),
         };
-        // Time spent waiting for memory says nothing of the pace, so after it the first note is the start.
+        // Time spent waiting for memory does not count: after it, the pace is measured from the first note.
         let start = self.first_progress.or((!self.waits_for_memory).then_some((self.sent_at, 0.0)));
         self.waits_for_memory = false;
         self.first_progress = self.first_progress.or(Some((now, done)));
@@ -357,6 +362,7 @@
 #[derive(PartialEq)]
 pub(crate) enum Verdict {
     Allow,
+    /// Possibly later.
     NotNow,
     /// Not to this engine.
     NotHere,
@@ -382,11 +388,11 @@
     pub(crate) limit_checked_at: Micros,
     /// A request had to wait for the fleet since the limit was last adjusted.
     pub(crate) limit_reached: bool,
-    /// The median slowdown of the engines. This and the next two are refreshed by events, not by ticks.
+    /// The median slowdown of the engines. This and the next two are refreshed by every event except ticks.
     pub(crate) median_slowdown: f64,
     /// Cores and memory of the fleet that this gateway may use.
     pub(crate) usable_cores: f64,
-    pub(crate) usable_memory: f64,
+    pub(crate) usable_memory_mb: f64,
     /// The average of recently reported loads over all engines.
     pub(crate) mean_load: f64,
     /// The fraction of the fleet's capacity that the host has assigned to this gateway.
@@ -426,7 +432,7 @@
             limit_reached: false,
             median_slowdown: 1.0,
             usable_cores: 0.0,
-            usable_memory: 0.0,
+            usable_memory_mb: 0.0,
             mean_load: 0.0,
             assigned_share: None,
             admit_fractions: Default::default(),
@@ -462,7 +468,7 @@
         mix_bits(self.rng_state)
     }
 
-    pub(crate) fn memory(&self, state: &EngineState) -> f64 {
+    pub(crate) fn memory_mb(&self, state: &EngineState) -> f64 {
         self.settings.kinds.get(state.entry.kind.0).map_or(0.0, |k| k.memory_mb)
     }
 
@@ -578,8 +584,9 @@
     /// again.
     pub(crate) fn enqueue_adopted_for_key(&mut self, id: RequestId, key: &OrderKey, in_flight: bool) {
         let key_queue = self.key_queues.entry(key.clone()).or_default();
-        let begun = |id: &&RequestId| self.open_requests.get(id).is_none_or(|o| o.adopted || o.attempts > 0);
-        let position = if in_flight { 0 } else { key_queue.queue.iter().take_while(begun).count() };
+        let stays_ahead =
+            |id: &&RequestId| self.open_requests.get(id).is_none_or(|o| o.adopted || o.attempts > 0);
+        let position = if in_flight { 0 } else { key_queue.queue.iter().take_while(stays_ahead).count() };
         let displaced = key_queue.queue.front().copied().filter(|_| position == 0);
         key_queue.queue.insert(position, id);
         displaced.into_iter().for_each(|displaced| self.dequeue(displaced));
@@ -622,7 +629,7 @@
     }
 
     /// The worth per unit of predicted work, averaged over the recent demand.
-    pub(crate) fn mean_density(&self) -> f64 {
+    pub(crate) fn mean_worth_density(&self) -> f64 {
         let (worth, work) = self
             .class_stats
             .iter()
