--- a/crates/gateway/src/core/protection.rs
+++ b/crates/gateway/src/core/protection.rs
@@ -317,9 +317,10 @@
         let Some(s) = self.statements.get(&id).filter(adopted) else {
             return Event::Request(request);
         };
-        let out = s.current_attempt.and_then(|number| self.attempts.get(&AttemptId(id, number)));
-        let out = out.map(|a| AdoptedAttempt { engine: a.engine, sent: a.sent_at, until: a.deadline });
-        Event::Adopted { request, attempts: s.attempts, out }
+        let in_flight = s.current_attempt.and_then(|number| self.attempts.get(&AttemptId(id, number)));
+        let in_flight =
+            in_flight.map(|a| AdoptedAttempt { engine: a.engine, sent: a.sent_at, until: a.deadline });
+        Event::Adopted { request, attempts: s.attempts, in_flight }
     }
 
     /// Adopts a statement of another gateway under a new number.
--- a/crates/gateway/tests/guarded.rs
+++ b/crates/gateway/tests/guarded.rs
@@ -290,6 +290,9 @@
     let there = taker.core.adopt(taker.now, &record).expect("readable");
     taker.page(there, 0, None);
     let heard = heard.borrow();
-    assert!(heard.iter().any(|e| matches!(e, Event::Adopted { attempts: 0, out: None, .. })), "{heard:?}");
+    assert!(
+        heard.iter().any(|e| matches!(e, Event::Adopted { attempts: 0, in_flight: None, .. })),
+        "{heard:?}"
+    );
     assert!(!heard.iter().any(|e| matches!(e, Event::Request(_))));
 }
--- a/src/api.rs
+++ b/src/api.rs
@@ -428,7 +428,7 @@
         attempts: u32,
         /// The attempt in flight. If its engine is unknown here or removed, the attempt counts as failed, and
         /// the host drops it.
-        out: Option<AdoptedAttempt>,
+        in_flight: Option<AdoptedAttempt>,
     },
     /// The client has disconnected or its deadline has passed: it needs no answer any more.
     Lapsed(RequestId),
--- a/src/logic/mod.rs
+++ b/src/logic/mod.rs
@@ -45,7 +45,7 @@
             Event::AdmitFractions { own, guests, min_retry_after } => {
                 (self.admit_fractions, self.min_retry_after) = ([own, guests], min_retry_after)
             }
-            Event::Adopted { request, attempts, out: adopted } => self.adopt(request, attempts, adopted, out),
+            Event::Adopted { request, attempts, in_flight } => self.adopt(request, attempts, in_flight, out),
             Event::Lapsed(id) => self.close_request(id, out),
             Event::Answer(answer) => self.on_answer(answer, out),
             Event::Note { id, attempt, note } => self.on_note(id, attempt, note, out),
--- a/tests/adopted.rs
+++ b/tests/adopted.rs
@@ -44,10 +44,10 @@
     change: impl FnOnce(&mut Request),
 ) -> Vec<Action> {
     let (sent, until) = (gateway.now - SECOND, gateway.now + 3 * SECOND);
-    let out = engine.map(|engine| AdoptedAttempt { engine: EngineId(engine), sent, until });
+    let in_flight = engine.map(|engine| AdoptedAttempt { engine: EngineId(engine), sent, until });
     let mut request = request(gateway, id);
     change(&mut request);
-    gateway.handle(Event::Adopted { request, attempts, out })
+    gateway.handle(Event::Adopted { request, attempts, in_flight })
 }
 
 /// Ends an attempt, given by its number, 20 s after it was sent.
@@ -239,9 +239,9 @@
     let mut gateway = TestGateway::with_engines(Effect::Repeatable, 3);
     gateway.now += 60 * SECOND;
     let (sent, until) = (gateway.now - 60 * SECOND, gateway.now + 60 * SECOND);
-    let out = AdoptedAttempt { engine: EngineId(1), sent, until };
+    let in_flight = AdoptedAttempt { engine: EngineId(1), sent, until };
     let request = Request { deadline: until, ..request(&gateway, 1) };
-    gateway.handle(Event::Adopted { request, attempts: 1, out: Some(out) });
+    gateway.handle(Event::Adopted { request, attempts: 1, in_flight: Some(in_flight) });
     let quarantined = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Log(_)));
     assert!(!quarantined(&gateway.advance(SECOND / 2)), "this gateway has waited for 0.5 s only");
     assert!(quarantined(&gateway.advance(10 * SECOND)));
@@ -288,9 +288,9 @@
 #[test]
 fn adoptions_with_extreme_or_invalid_values_are_harmless() {
     let mut gateway = TestGateway::with_engines(Effect::Once, 1);
-    let adopt_raw = |gateway: &mut TestGateway, id, class, attempts, out| {
+    let adopt_raw = |gateway: &mut TestGateway, id, class, attempts, in_flight| {
         let request = Request { class: ClassId(class), ..request(gateway, id) };
-        gateway.handle(Event::Adopted { request, attempts, out })
+        gateway.handle(Event::Adopted { request, attempts, in_flight })
     };
     let endless = AdoptedAttempt { engine: EngineId(1), sent: Micros::MAX, until: Micros::MAX };
     assert!(adopt_raw(&mut gateway, 1, 7, 0, None).is_empty(), "the class is unknown");
@@ -303,7 +303,7 @@
     assert!(is_failed(&answer(&mut gateway, 4, u32::MAX - 2, Outcome::Full), 4));
     let mut gateway_of_keyed = TestGateway::with_engines(keyed(KeyScope::All), 1);
     let request = Request { deadline: Micros::MAX, ..request(&gateway_of_keyed, 1) };
-    gateway_of_keyed.handle(Event::Adopted { request, attempts: 1, out: Some(endless) });
+    gateway_of_keyed.handle(Event::Adopted { request, attempts: 1, in_flight: Some(endless) });
     gateway_of_keyed.now += 21 * SECOND;
     let actions = answer(&mut gateway_of_keyed, 1, 0, Outcome::Reset);
     assert!(is_failed(&actions, 1), "its window began at the adoption at the latest");
