--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -11,8 +11,7 @@
 use violetward::{Action, EngineId, Event, Gateway};
 use wire::{Batch, GatewayReply, InputEvent, Output, Reply};
 
-/// One gateway with the addresses of all engines that its lists have named, by the engine ids built from
-/// them.
+/// One gateway, with the addresses of all engines that its lists have contained so far.
 struct Instance {
     gateway: Gateway,
     addresses: BTreeMap<EngineId, String>,
@@ -36,7 +35,7 @@
 #[derive(Default)]
 struct Adapter {
     instances: BTreeMap<u64, Instance>,
-    /// The engine lists of `List` events, by buffer number; all gateways share them.
+    /// The engine lists of `List` events by buffer number, shared by all gateways.
     lists: BTreeMap<u64, Vec<wire::EngineLine>>,
 }
 
@@ -56,7 +55,7 @@
         Ok(reply)
     }
 
-    /// Applies one input event to gateway `number` and appends what the gateway puts out.
+    /// Applies one input event to gateway `number` and appends the gateway's outputs.
     fn handle(
         &mut self,
         now: u64,
--- a/adapter/src/wire.rs
+++ b/adapter/src/wire.rs
@@ -1,5 +1,5 @@
-//! The JSON messages of the wire and their translation to events and from actions of the `violetward`
-//! library.
+//! The JSON messages exchanged with the simulator, and their translation to events and from actions of the
+//! `violetward` library. The simulator defines the names of messages and fields.
 
 use std::collections::BTreeMap;
 
@@ -29,9 +29,13 @@
 #[derive(Clone, Copy, PartialEq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ListKind {
+    /// The lines are the entries that have changed.
     Incr,
+    /// The lines are the whole list.
     Total,
+    /// The lines are a saved copy of the whole list, which may be out of date.
     WarmCopy,
+    /// No list could be had; there are no lines.
     Lost,
 }
 
@@ -39,10 +43,9 @@
 #[derive(Deserialize)]
 #[serde(tag = "cmd", rename_all_fields = "PascalCase")]
 pub enum InputEvent {
-    Configure {
-        init_seed: u64,
-        boot_info: Box<BootInfo>,
-    },
+    /// Creates the gateway, in place of any earlier one with its number.
+    Configure { init_seed: u64, boot_info: Box<BootInfo> },
+    /// Removes the gateway.
     Teardown {},
     /// Stores an engine list under a buffer number, for later `Endpoints` events.
     List {
@@ -59,6 +62,7 @@
         #[serde(default, rename = "Rev")]
         _rev: u64,
     },
+    /// A client's request; see [`vw::Request`].
     Req {
         job: String,
         #[serde(default)]
@@ -76,12 +80,10 @@
         tier_class: usize,
         due_us: u64,
     },
-    Lapsed {
-        job: String,
-    },
-    Streaming {
-        job: String,
-    },
+    /// The client has disconnected or its deadline has passed.
+    Lapsed { job: String },
+    /// A streamed answer has begun.
+    Streaming { job: String },
     /// Progress of a running attempt; `what` is one of the `NOTE_` codes and gives `value` its meaning.
     Note {
         job: String,
@@ -91,18 +93,21 @@
         value: f64,
         what: u32,
     },
+    /// The result of a probe.
     HealthResult {
         node: String,
         reason: String,
         #[serde(default)]
         server_stats: BTreeMap<String, f64>,
     },
+    /// A message from another gateway.
     NoteFrom {
         #[serde(default)]
         neighbour: u64,
         #[serde(default)]
         data: String,
     },
+    /// The end of an attempt.
     Answer {
         job: String,
         #[serde(default)]
@@ -118,13 +123,14 @@
         #[serde(default)]
         server_stats: BTreeMap<String, f64>,
     },
+    /// A timer has expired.
     Elapsed {
         #[serde(default)]
         handle: u64,
     },
 }
 
-/// How an attempt ended.
+/// How an attempt ended; see [`vw::Outcome`].
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
@@ -138,7 +144,7 @@
     Moot,
 }
 
-/// State of an engine in the list.
+/// The state of an engine in the list; see [`vw::Listed`].
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Health {
@@ -147,7 +153,7 @@
     Removed,
 }
 
-/// One engine of a list.
+/// One engine of a list; see [`vw::EngineEntry`].
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct EngineLine {
@@ -183,17 +189,29 @@
 #[derive(Serialize)]
 #[serde(tag = "cmd", rename_all_fields = "PascalCase")]
 pub enum Output {
+    /// Send an attempt to an engine.
     Dispatch { job: String, node: String, until_us: u64 },
+    /// Set the memory grant, in MB, and the priority of a request.
     GrantAndRank { job: String, memory: f64, rank: u8 },
+    /// Refuse a request.
     Bounce { job: String, retry_after_us: u64 },
+    /// Fail a request.
     Abort { job: String },
+    /// Cancel an attempt.
     Cancel { job: String, send_no: u32 },
+    /// Probe an engine.
     SoundOut { node: String },
+    /// Send a message to other gateways.
     Announce { dst: &'static str, data: String },
+    /// Set a timer.
     Arm { handle: u64, span_us: u64 },
+    /// Subscribe to the list of engines.
     Tail { active: bool },
+    /// Request the whole list of engines once.
     Lookup {},
+    /// Write a line to the log.
     NoteDown { reason_text: String },
+    /// The gateway panicked.
     Crash { reason_text: String },
 }
 
@@ -206,7 +224,7 @@
 const WAITS_FOR_MEMORY: u32 = 1;
 const WAITS_FOR_LOAD: u32 = 2;
 
-/// Number of memory values that `Stats` can hold beside the work.
+/// The number of memory values that `Stats` can hold beside the work.
 const STATS_MEMORY_STEPS: u64 = 4096;
 const STATS_MEMORY_STEP_MB: u64 = 4;
 const STATS_WORK_STEP_US: u64 = 1000;
@@ -339,7 +357,7 @@
     }
 }
 
-/// Translates an action; `None` if it concerns an engine that no list has named.
+/// Translates an action; `None` if it names an engine that is in no list so far.
 pub fn output(action: vw::Action, addresses: &BTreeMap<vw::EngineId, String>) -> Option<Output> {
     Some(match action {
         vw::Action::Dispatch { id, engine, until } => {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -15,7 +15,7 @@
 use serde::Deserialize;
 use violetward as vw;
 
-/// Used where the settings give no connect time-out.
+/// The connect time-out if the settings give none.
 const DEFAULT_CONNECT_TIMEOUT_US: vw::Micros = 250_000;
 
 /// The settings as decoded from JSON. Fields are named after their keys; [`BootInfo::settings`] and
@@ -166,7 +166,8 @@
     retry_after: bool,
 }
 
-/// Names of classes, kinds of machine, zones and tenants. The decision module refers to each by its index.
+/// The names of classes, kinds of machine, zones and tenants. The decision module refers to each by its
+/// index.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Names {
     /// Classes of requests.
@@ -182,15 +183,15 @@
 /// Settings of the connections to engines and of answers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ConnectionSettings {
-    /// Concurrent attempts on one connection; at least 1.
+    /// The largest number of concurrent attempts on one connection; at least 1.
     pub streams: usize,
     /// How long a connection may be idle before its engine closes it; 0 if unknown.
     pub idle_timeout: vw::Micros,
-    /// A connection attempt that takes longer has failed.
+    /// How long establishing a connection may take.
     pub connect_timeout: vw::Micros,
-    /// A probe that is not answered within this span has failed.
+    /// How long a probe may take.
     pub probe_timeout: vw::Micros,
-    /// Concurrently open requests at most; 0 if the settings give no limit.
+    /// The largest number of concurrently open requests; 0 for no limit.
     pub open_cap: usize,
     /// How long after the client's deadline a final answer is still accepted.
     pub answer_grace: vw::Micros,
@@ -211,7 +212,7 @@
     vw::EngineId(packed.unwrap_or_else(|_| hashed()))
 }
 
-/// Converts an engine's load report, values by name. Values that it does not contain are unknown.
+/// Converts an engine's load report, which maps names to values. Values that it lacks are unknown.
 pub fn load_from_stats(stats: &BTreeMap<String, f64>) -> vw::Load {
     let get = |name: &str| stats.get(name).copied();
     vw::Load { in_flight: get("concurrent"), cores: get("load_share"), memory: get("x0"), disks: get("x1") }
