--- a/src/logic/health.rs
+++ b/src/logic/health.rs
@@ -33,9 +33,9 @@
         let now = self.now;
         // A declined request is a fault of the client: its engine is healthy, though nothing is learned of
         // its cost.
-        let good = matches!(answer.outcome, Outcome::Ok | Outcome::Declined);
+        let succeeded = matches!(answer.outcome, Outcome::Ok | Outcome::Declined);
         let failures = [Outcome::Error, Outcome::ConnectFailed, Outcome::Reset, Outcome::Broken];
-        let bad = failures.contains(&answer.outcome);
+        let failed = failures.contains(&answer.outcome);
         let fleet_failure_rate = self.failure_rate_elsewhere(attempt.engine);
         let Some(state) = self.engines.get_mut(&attempt.engine) else { return };
         // The process is probably gone. When it is back it is cold, seconds before the list says so, and
@@ -44,23 +44,23 @@
         if matches!(answer.outcome, Outcome::ConnectFailed | Outcome::Reset) {
             state.connection_lost(now);
         }
-        if good || bad {
+        if succeeded || failed {
             let weight = match answer.outcome {
                 Outcome::ConnectFailed => CONNECT_FAILURE_WEIGHT,
                 Outcome::Broken => BROKEN_CONNECTION_WEIGHT,
                 _ => FAILURE_SAMPLE_WEIGHT,
             };
-            state.failure_rate += weight * (if bad { 1.0 } else { 0.0 } - state.failure_rate);
+            state.failure_rate += weight * (if failed { 1.0 } else { 0.0 } - state.failure_rate);
         }
-        if good {
+        if succeeded {
             state.last_heard_at = now;
         }
         match &mut state.quarantine {
             Some(quarantine) if quarantine.trial_request == Some(answer.id) => {
                 quarantine.trial_request = None;
-                self.on_trial_result(attempt.engine, good, out);
+                self.on_trial_result(attempt.engine, succeeded, out);
             }
-            None if bad => {
+            None if failed => {
                 let limit = QUARANTINE_FAILURE_RATE + FLEET_FAILURE_FACTOR * fleet_failure_rate;
                 if state.failure_rate > limit {
                     self.quarantine_engine(attempt.engine, "fails", out);
@@ -71,7 +71,7 @@
     }
 
     /// Stops the use of an engine until trials succeed.
-    fn quarantine_engine(&mut self, engine: EngineId, why: &str, out: &mut Vec<Action>) {
+    fn quarantine_engine(&mut self, engine: EngineId, reason: &str, out: &mut Vec<Action>) {
         let next_trial_at = self.now + FIRST_TRIAL_DELAY_US;
         let Some(state) = self.engines.get_mut(&engine) else { return };
         state.quarantine = Some(Quarantine {
@@ -81,17 +81,20 @@
             trial_request: None,
             accepts_trial: false,
         });
-        out.push(Action::Log(format!("engine {:x} is left alone: {why}", engine.0)));
+        out.push(Action::Log(format!("engine {:x} is left alone: {reason}", engine.0)));
         self.requeue_all(engine, out);
     }
 
     /// Records the result of a trial. Failed trials double the time to the next one.
-    fn on_trial_result(&mut self, engine: EngineId, good: bool, out: &mut Vec<Action>) {
+    fn on_trial_result(&mut self, engine: EngineId, succeeded: bool, out: &mut Vec<Action>) {
         let now = self.now;
         let Some(quarantine) = self.quarantine_mut(engine) else { return };
-        quarantine.successes = if good { quarantine.successes + 1 } else { 0 };
-        quarantine.interval =
-            if good { FIRST_TRIAL_DELAY_US / 2 } else { (quarantine.interval * 2).min(MAX_TRIAL_DELAY_US) };
+        quarantine.successes = if succeeded { quarantine.successes + 1 } else { 0 };
+        quarantine.interval = if succeeded {
+            FIRST_TRIAL_DELAY_US / 2
+        } else {
+            (quarantine.interval * 2).min(MAX_TRIAL_DELAY_US)
+        };
         quarantine.next_trial_at = now + quarantine.interval;
         if quarantine.successes >= TRIALS_TO_RECOVER {
             self.end_quarantine(engine);
@@ -146,12 +149,13 @@
         let accepts_trial = |state: &EngineState| state.quarantine.as_ref().is_some_and(|q| q.accepts_trial);
         let mut candidates = self.engines.iter().filter(|(_, state)| accepts_trial(state));
         let open = self.open_requests.get(&id)?;
-        let light = self.worth_density(&open.request) >= self.mean_worth_density();
-        let repeatable = self.class(&open.request).effect == Effect::Repeatable && open.request.pin.is_none();
+        let is_light = self.worth_density(&open.request) >= self.mean_worth_density();
+        let is_repeatable =
+            self.class(&open.request).effect == Effect::Repeatable && open.request.pin.is_none();
         // The end of a transaction can't go to another engine and releases locks.
         let ends_transaction = open.request.pin.is_some_and(|p| p.uses_reserve);
         let suitable =
-            (light && repeatable || ends_transaction) && open.attempts + 1 < self.settings.attempts_cap;
+            (is_light && is_repeatable || ends_transaction) && open.attempts + 1 < self.settings.attempts_cap;
         let engine =
             candidates.find(|(&engine, _)| suitable && self.check_dispatch(id, engine) == Verdict::Allow);
         engine.map(|(&engine, _)| engine)
--- a/src/logic/place.rs
+++ b/src/logic/place.rs
@@ -100,8 +100,8 @@
             return run_time < request.deadline.saturating_sub(self.now) as f64;
         }
         let uses_reserve = request.pin.is_some_and(|p| p.uses_reserve);
-        let soft = self.now < open.soft_deadline && !uses_reserve;
-        let deadline = if soft { open.soft_deadline } else { request.deadline };
+        let soft_deadline_counts = self.now < open.soft_deadline && !uses_reserve;
+        let deadline = if soft_deadline_counts { open.soft_deadline } else { request.deadline };
         let slack = deadline.saturating_sub(self.now) as f64;
         let rate = self.drain_rate(state);
         let starts_at_once = self.fits_thread_limit(state, threads) && state.queue.is_empty();
@@ -120,7 +120,8 @@
         (uses_reserve || fits_debt) && wait + run_time <= slack
     }
 
-    /// The work before a request in an engine's queue, and half of the work in flight there.
+    /// The work before a request in an engine's queue, and the part of the work in flight there that is
+    /// assumed to be left.
     pub(super) fn work_ahead(&self, open: &OpenRequest, state: &EngineState) -> f64 {
         let before = state.queue.range(..(open.soft_deadline, open.request.id));
         let queued: f64 =
--- a/src/logic/tuned.rs
+++ b/src/logic/tuned.rs
@@ -67,7 +67,8 @@
 /// The number of groups of tables that an engine is assumed to keep warm.
 pub(super) const WARM_GROUPS_PER_ENGINE: usize = 4;
 /// The fraction of unfinished work that stays in the debt until it is answered: an engine that makes no
-/// progress keeps its debt, for whatever reason.
+/// progress keeps its debt, for whatever reason. Also the fraction of the work in flight that is assumed to
+/// be left.
 pub(super) const UNFINISHED_DEBT_FRACTION: f64 = 0.5;
 /// The smallest share of the drain that a class has, however rare its requests are.
 pub(super) const MIN_DEMAND_SHARE: f64 = 0.05;
