--- a/crates/gateway/src/config/membership.rs
+++ b/crates/gateway/src/config/membership.rs
@@ -4,7 +4,7 @@
 
 /// Reads `(membership (listen ADDRESS) (name NAME) (site SITE) (seeds ADDRESS ...) (key NAME "secret") ...)`.
 pub(super) fn peer_terms(checker: &mut Checker, form: &Form<'_>, folder: &Path) -> Option<PeerTerms> {
-    use violetward_membership::wire::NAME as MAX_NAME_BYTES;
+    use violetward_membership::wire::MAX_NAME_BYTES;
     let repeatable = ["key", "via"];
     let mut fields: Vec<Form<'_>> = Vec::new();
     for datum in &form.args {
--- a/crates/store/src/copies.rs
+++ b/crates/store/src/copies.rs
@@ -1,446 +1,472 @@
-//! Values that several others keep. [`Keeper`] is the part of the one whose values they are, [`struct@Copy`] that of each other; both are
-//! free of I/O and clock. [`Copies`] is a [`Store`] made of them where a question can be waited for.
+//! Replicated values. A [`Coordinator`] runs at the owner of the values and a [`Replica`] at each process
+//! that holds them; both are free of I/O and clock. [`ReplicatedStore`] is a blocking [`Store`] on top of a
+//! coordinator.
 //!
-//! A process claims its name with an *epoch* greater than any that a copy has promised; a copy writes the promise down and takes
-//! nothing of a lower one. What is put is acknowledged by a quorum before it is told; what is got is the newest that a quorum
-//! knows, written back under the own epoch if it was not known to be safe. Two quorums share a copy: what was acknowledged is
-//! seen by every later claim, and a claimed quorum takes nothing more from the one before.
+//! A process claims the owner's name with an *epoch* greater than any that a replica has promised. A replica
+//! stores the promise and rejects requests with a lower epoch. A write is acknowledged by a quorum before it
+//! is reported as done. A read returns the newest value that a quorum holds, after writing it back under the
+//! reader's own epoch unless a quorum is known to hold it. Any two quorums have a replica in common, so every
+//! later claim sees the acknowledged writes, and once a quorum has granted a claim, the previous holder can't
+//! complete a write.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::io;
 
-use crate::{fits, Kept, Store, StoreError, NAME, NAMES, VALUE};
+use crate::{validate, Store, StoreError, StoredValue, MAX_NAME_LENGTH, MAX_VALUES, MAX_VALUE_BYTES};
 
-/// Microseconds of a clock that never goes back.
+/// A time in microseconds of a monotonic clock.
 pub type Micros = u64;
 
-/// Characters of the longest name of an owner: as for values, but without `.`.
-pub const OWNER: usize = 24;
-/// Characters of the longest name of a value.
-pub const SHORTER: usize = NAME - OWNER - 3;
-/// Copies there may be of one store.
-pub const MOST: usize = 9;
-/// Octets of the longest value.
-pub const SMALLER: usize = VALUE - 26 - MOST * STAMP;
-const STAMP: usize = 24;
-
-/// Who may write: the greater one wins.
+/// Longest name of an owner, in characters; as for names of values, but without `.`.
+pub const MAX_OWNER_LENGTH: usize = 24;
+/// Longest name of a replicated value, in characters. It shares [`MAX_NAME_LENGTH`] with the owner's name and
+/// `.v.`.
+pub const MAX_REPLICATED_NAME_LENGTH: usize = MAX_NAME_LENGTH - MAX_OWNER_LENGTH - 3;
+/// Most replicas of a store.
+pub const MAX_REPLICAS: usize = 9;
+/// Longest replicated value, in bytes. It shares [`MAX_VALUE_BYTES`] with the header of a [`VersionedValue`].
+pub const MAX_REPLICATED_VALUE_BYTES: usize = MAX_VALUE_BYTES - 2 - (1 + MAX_REPLICAS) * VERSION_BYTES;
+/// Length of an encoded [`Version`].
+const VERSION_BYTES: usize = 24;
+
+/// Orders the claims of an owner's name: the process with the greatest epoch may write.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Epoch {
-    /// Counts claims.
+    /// Increases with each claim.
     pub number: u64,
-    /// Which process: drawn at its start.
-    pub life: u64,
+    /// Random number of the claiming process, which breaks ties.
+    pub incarnation: u64,
 }
 
-/// Which writing of a value: the greater one is the newer.
+/// Orders the writes of a value: the greatest version is the newest.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Stamp {
-    /// By whom.
+pub struct Version {
+    /// The epoch of the writing process.
     pub epoch: Epoch,
-    /// Its count of writes.
+    /// Counts the writes of the value.
     pub writes: u64,
 }
 
-/// What a copy holds under a name.
+/// A value as a replica holds it.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Copied {
-    /// Which writing it is.
-    pub stamp: Stamp,
-    /// What each copy had acknowledged before it.
-    pub known: Vec<Stamp>,
-    /// The value; `None` says that there is none, for good.
+pub struct VersionedValue {
+    /// Orders this value among the writes of its name.
+    pub version: Version,
+    /// The newest version that each replica had acknowledged before this write.
+    pub acknowledged: Vec<Version>,
+    /// `None` records that there is no value.
     pub bytes: Option<Vec<u8>>,
 }
 
-/// What a copy is asked.
+/// What a coordinator asks of a replica.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ask {
-    /// Whether it would grant a claim. It promises nothing yet: one that reaches too few copies must not end the process that
-    /// has the name.
-    Look,
-    /// To take nothing more of lower epochs.
+pub enum Command {
+    /// Asks whether a claim would be granted, without a promise. A process that reaches too few replicas for
+    /// a claim must not displace the current holder.
+    Probe,
+    /// Asks for the promise to reject lower epochs from now on.
     Claim,
-    /// What it holds under a name.
+    /// Asks for the value of a name.
     Read(String),
-    /// To hold this.
-    Write(String, Copied),
+    /// Asks to store a value.
+    Write(String, VersionedValue),
 }
 
-/// A question to a copy. Each may be asked again.
+/// A request to a replica. Repeating one is harmless.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Request {
-    /// Whose values these are.
+    /// The owner of the values.
     pub owner: String,
-    /// Its process.
+    /// The epoch of the owner's process.
     pub epoch: Epoch,
-    /// Which question of this process.
+    /// Identifies the request among those of its process.
     pub number: u64,
-    /// The question.
-    pub ask: Ask,
+    /// What the replica is asked for.
+    pub command: Command,
 }
 
-/// What a copy answers.
+/// A replica's response to a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Answer {
-    /// It has promised, or would.
-    Claimed,
-    /// Another process that was heard of lately has the name.
+pub enum Response {
+    /// The claim is granted, or would be after a [`Command::Probe`].
+    Granted,
+    /// Another process holds the name: the replica heard from it within the lease.
     Held,
-    /// It has promised to take nothing of that epoch, for this one.
-    Newer(Epoch),
-    /// What it holds.
-    Value(Copied),
-    /// It holds it, for good.
+    /// Rejected because the replica has promised this greater epoch.
+    Superseded(Epoch),
+    /// The value it holds.
+    Value(VersionedValue),
+    /// The value, or a newer one, is stored durably.
     Written,
-    /// It cannot: its own store fails.
+    /// The replica's own store failed.
     Failed(String),
 }
 
-/// The copies of others' values that one keeps, in a store of its own.
+/// Holds replicas of the values of other processes, in a store of its own.
 #[derive(Debug)]
-pub struct Copy<S> {
+pub struct Replica<S> {
     store: S,
     lease: Micros,
-    started: Micros,
-    /// Epochs promised, and when each owner was last heard.
+    started_at: Micros,
+    /// Per owner: the promised epoch and when the owner was last heard from.
     owners: BTreeMap<String, (Epoch, Micros)>,
 }
 
-impl<S: Store> Copy<S> {
-    /// Copies in a store. An owner that was heard of within the lease keeps its name.
-    pub fn new(store: S, lease: Micros, now: Micros) -> Copy<S> {
-        Copy { store, lease, started: now, owners: BTreeMap::new() }
+impl<S: Store> Replica<S> {
+    /// Holds replicas in `store`. A process that was heard from within `lease` keeps its name.
+    pub fn new(store: S, lease: Micros, now: Micros) -> Replica<S> {
+        Replica { store, lease, started_at: now, owners: BTreeMap::new() }
     }
 
-    /// Answers a question.
-    pub fn asked(&mut self, now: Micros, request: &Request) -> Answer {
-        self.answer(now, request).unwrap_or_else(|e| Answer::Failed(e.to_string()))
+    /// Handles a request.
+    pub fn handle(&mut self, now: Micros, request: &Request) -> Response {
+        self.try_handle(now, request).unwrap_or_else(|e| Response::Failed(e.to_string()))
     }
 
-    fn answer(&mut self, now: Micros, request: &Request) -> Result<Answer, StoreError> {
-        let Request { owner, epoch, ask, .. } = request;
-        owned(owner)?;
-        let (promised, heard) = match self.owners.get(owner) {
+    fn try_handle(&mut self, now: Micros, request: &Request) -> Result<Response, StoreError> {
+        let Request { owner, epoch, command, .. } = request;
+        validate_owner(owner)?;
+        let (promised, last_heard) = match self.owners.get(owner) {
             Some(&known) => known,
-            // Who was heard before its own start it does not know: then all were, just now.
-            None => (self.promised(owner)?, self.started),
+            // After a restart it is unknown when the owner was last heard from: assumes that it was just
+            // before the start.
+            None => (self.stored_promise(owner)?, self.started_at),
         };
         if *epoch < promised {
-            return Ok(Answer::Newer(promised));
+            return Ok(Response::Superseded(promised));
         }
-        let lives = promised != Epoch::default() && now < heard.saturating_add(self.lease);
-        if matches!(ask, Ask::Look | Ask::Claim) && promised.life != epoch.life && lives {
-            return Ok(Answer::Held);
+        let has_live_holder = promised != Epoch::default() && now < last_heard.saturating_add(self.lease);
+        if matches!(command, Command::Probe | Command::Claim)
+            && promised.incarnation != epoch.incarnation
+            && has_live_holder
+        {
+            return Ok(Response::Held);
         }
-        if *ask == Ask::Look {
-            return Ok(Answer::Claimed);
+        if *command == Command::Probe {
+            return Ok(Response::Granted);
         }
         if *epoch > promised {
-            self.store
-                .put(&format!("{owner}.c"), &[epoch.number, epoch.life].map(u64::to_be_bytes).concat())?;
+            self.store.put(
+                &format!("{owner}.c"),
+                &[epoch.number, epoch.incarnation].map(u64::to_be_bytes).concat(),
+            )?;
         }
-        if !self.owners.contains_key(owner) && self.owners.len() >= NAMES {
-            return Err(StoreError::Unfit("there are too many owners"));
+        if !self.owners.contains_key(owner) && self.owners.len() >= MAX_VALUES {
+            return Err(StoreError::Invalid("there are too many owners"));
         }
         self.owners.insert(owner.clone(), (*epoch, now));
-        match ask {
-            Ask::Look | Ask::Claim => Ok(Answer::Claimed),
-            Ask::Read(name) => Ok(Answer::Value(self.copied(owner, name)?)),
-            Ask::Write(name, new) => {
-                // A question that came late must not undo a later one.
-                if self.copied(owner, name)?.stamp < new.stamp {
-                    self.store.put(&format!("{owner}.v.{name}"), &new.write())?;
+        match command {
+            Command::Probe | Command::Claim => Ok(Response::Granted),
+            Command::Read(name) => Ok(Response::Value(self.stored_value(owner, name)?)),
+            Command::Write(name, new) => {
+                // A delayed request must not overwrite a later write.
+                if self.stored_value(owner, name)?.version < new.version {
+                    self.store.put(&format!("{owner}.v.{name}"), &new.encode())?;
                 }
-                Ok(Answer::Written)
+                Ok(Response::Written)
             }
         }
     }
 
-    fn promised(&mut self, owner: &str) -> Result<Epoch, StoreError> {
-        let Some(kept) = self.store.get(&format!("{owner}.c"))? else { return Ok(Epoch::default()) };
-        let mut rest = &kept.bytes[..];
-        Ok(Epoch { number: number(&mut rest)?, life: number(&mut rest)? })
+    fn stored_promise(&mut self, owner: &str) -> Result<Epoch, StoreError> {
+        let Some(stored) = self.store.get(&format!("{owner}.c"))? else { return Ok(Epoch::default()) };
+        let mut rest = &stored.bytes[..];
+        Ok(Epoch { number: read_u64(&mut rest)?, incarnation: read_u64(&mut rest)? })
     }
 
-    fn copied(&mut self, owner: &str, name: &str) -> Result<Copied, StoreError> {
-        let kept = self.store.get(&format!("{owner}.v.{name}"))?;
-        kept.map_or(Ok(Copied::default()), |kept| Copied::read(&kept.bytes))
+    fn stored_value(&mut self, owner: &str, name: &str) -> Result<VersionedValue, StoreError> {
+        let stored = self.store.get(&format!("{owner}.v.{name}"))?;
+        stored.map_or(Ok(VersionedValue::default()), |stored| VersionedValue::decode(&stored.bytes))
     }
 }
 
-fn owned(owner: &str) -> Result<(), StoreError> {
-    fits(owner, 0)?;
-    if owner.len() > OWNER || owner.contains('.') {
-        return Err(StoreError::Unfit("an owner's name has 24 characters at most, and no ."));
+fn validate_owner(owner: &str) -> Result<(), StoreError> {
+    validate(owner, 0)?;
+    if owner.len() > MAX_OWNER_LENGTH || owner.contains('.') {
+        return Err(StoreError::Invalid("an owner's name has at most 24 characters and no ."));
     }
     Ok(())
 }
 
-fn number(rest: &mut &[u8]) -> Result<u64, StoreError> {
-    let (taken, left) = rest.split_first_chunk().ok_or(StoreError::Spoilt("a copy is cut off"))?;
+fn read_u64(rest: &mut &[u8]) -> Result<u64, StoreError> {
+    let (taken, left) =
+        rest.split_first_chunk().ok_or(StoreError::Corrupt("a replicated value is truncated"))?;
     *rest = left;
     Ok(u64::from_be_bytes(*taken))
 }
 
-impl Stamp {
-    fn write(self, out: &mut Vec<u8>) {
-        out.extend([self.epoch.number, self.epoch.life, self.writes].map(u64::to_be_bytes).concat());
+impl Version {
+    fn encode(self, out: &mut Vec<u8>) {
+        out.extend([self.epoch.number, self.epoch.incarnation, self.writes].map(u64::to_be_bytes).concat());
     }
 
-    fn read(rest: &mut &[u8]) -> Result<Stamp, StoreError> {
-        let epoch = Epoch { number: number(rest)?, life: number(rest)? };
-        Ok(Stamp { epoch, writes: number(rest)? })
+    fn decode(rest: &mut &[u8]) -> Result<Version, StoreError> {
+        let epoch = Epoch { number: read_u64(rest)?, incarnation: read_u64(rest)? };
+        Ok(Version { epoch, writes: read_u64(rest)? })
     }
 }
 
-impl Copied {
-    /// It in octets.
-    pub fn write(&self) -> Vec<u8> {
-        let mut out = vec![self.known.len() as u8, u8::from(self.bytes.is_some())];
-        self.stamp.write(&mut out);
-        self.known.iter().for_each(|stamp| stamp.write(&mut out));
+impl VersionedValue {
+    /// Encodes the value with its version.
+    pub fn encode(&self) -> Vec<u8> {
+        let mut out = vec![self.acknowledged.len() as u8, u8::from(self.bytes.is_some())];
+        self.version.encode(&mut out);
+        self.acknowledged.iter().for_each(|version| version.encode(&mut out));
         out.extend_from_slice(self.bytes.as_deref().unwrap_or_default());
         out
     }
 
-    /// Reads it.
+    /// Decodes a value with its version.
     ///
     /// # Errors
-    /// If it is cut off.
-    pub fn read(bytes: &[u8]) -> Result<Copied, StoreError> {
+    /// If it is truncated, or lists more than [`MAX_REPLICAS`] replicas.
+    pub fn decode(bytes: &[u8]) -> Result<VersionedValue, StoreError> {
         let (&[count, some], mut rest) =
-            bytes.split_first_chunk().ok_or(StoreError::Spoilt("a copy is cut off"))?;
-        if usize::from(count) > MOST {
-            return Err(StoreError::Foreign("it tells of more copies than there may be"));
+            bytes.split_first_chunk().ok_or(StoreError::Corrupt("a replicated value is truncated"))?;
+        if usize::from(count) > MAX_REPLICAS {
+            return Err(StoreError::Foreign("it lists more replicas than the maximum"));
         }
-        let stamp = Stamp::read(&mut rest)?;
-        let known = (0..count).map(|_| Stamp::read(&mut rest)).collect::<Result<_, _>>()?;
-        Ok(Copied { stamp, known, bytes: (some != 0).then(|| rest.to_vec()) })
+        let version = Version::decode(&mut rest)?;
+        let acknowledged = (0..count).map(|_| Version::decode(&mut rest)).collect::<Result<_, _>>()?;
+        Ok(VersionedValue { version, acknowledged, bytes: (some != 0).then(|| rest.to_vec()) })
     }
 }
 
-/// The settings of a [`Keeper`].
+/// The settings of a [`Coordinator`].
 #[derive(Debug, Clone)]
-pub struct Terms {
-    /// Whose values these are.
+pub struct Config {
+    /// The owner of the values.
     pub owner: String,
-    /// How many copies there are, at most [`MOST`]; more than half of them are a quorum.
-    pub copies: usize,
-    /// How long a process that is not heard keeps its name, as the copies count it.
+    /// The number of replicas, at most [`MAX_REPLICAS`]; a quorum is more than half of them.
+    pub replicas: usize,
+    /// How long a process that is not heard from keeps its name, by the replicas' clocks.
     pub lease: Micros,
-    /// Between two askings of one that does not answer.
-    pub again: Micros,
-    /// After which a value is not put or got.
-    pub patience: Micros,
-    /// Values that are put or got at once.
-    pub waiting: usize,
+    /// Time until a request without a response is repeated.
+    pub retry_interval: Micros,
+    /// Time limit of a read or write.
+    pub timeout: Micros,
+    /// Most reads and writes in progress or queued.
+    pub max_pending: usize,
 }
 
-/// Whether this process has the name.
+/// Whether this process holds the owner's name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Standing {
-    /// It asks for it.
-    Claims,
-    /// It has it.
-    Holds,
-    /// Another process has it now; it asks again after a lease.
-    Waits,
-    /// Another process has taken it: for good.
+pub enum ClaimState {
+    /// The claim is in progress.
+    Claiming,
+    /// This process holds the name.
+    Holding,
+    /// Another process holds the name; the claim is repeated after a lease.
+    Waiting,
+    /// Another process has displaced this one, which never claims the name again.
     Lost,
 }
 
-/// What a value's putting or getting led to.
+/// The result of a write or read.
 #[derive(Debug)]
-pub enum Done {
-    /// It is put, with this count.
+pub enum Outcome {
+    /// The value was written, with this count of writes.
     Put(u64),
-    /// This is there.
-    Got(Option<Kept>),
+    /// The value that was read, if there is one.
+    Got(Option<StoredValue>),
 }
 
-/// What is to be done.
+/// What the driver of a [`Coordinator`] must do.
 #[derive(Debug)]
 pub enum Effect {
-    /// Ask a copy, by its number.
-    Ask(usize, Request),
-    /// What was begun under that ticket has ended.
-    Done(u64, Result<Done, StoreError>),
-    /// A copy holds less than it has acknowledged: it was put back to an old state. It counts again when it has taken what is
-    /// newest.
-    Old(usize),
+    /// Send a request to the replica of this index.
+    Send(usize, Request),
+    /// Report that the operation with this ticket has ended.
+    Completed(u64, Result<Outcome, StoreError>),
+    /// Report that a replica holds an older value than it has acknowledged, so its storage was restored to an
+    /// old state. Its responses count again once it has stored the newest value.
+    StaleReplica(usize),
 }
 
 #[derive(Debug)]
 enum Phase {
-    /// For the claim, or for an earlier one of the same name.
-    Waits,
-    Reads(Vec<Option<Copied>>),
-    /// What is written, and who has it.
-    Writes(Copied, Vec<bool>),
+    /// Waits for the claim, or for an earlier operation on the same name.
+    Queued,
+    /// The response of each replica so far.
+    Reading(Vec<Option<VersionedValue>>),
+    /// The value that is written, and which replicas have acknowledged it.
+    Writing(VersionedValue, Vec<bool>),
 }
 
 #[derive(Debug)]
-struct Work {
+struct PendingOperation {
     ticket: u64,
     name: String,
-    /// What is put; `None` if it is got.
-    put: Option<Vec<u8>>,
+    /// The value to write; `None` for a read.
+    new_value: Option<Vec<u8>>,
     phase: Phase,
-    /// The number of its question.
+    /// The number of its current request.
     number: u64,
-    until: Micros,
-    again: Micros,
+    deadline: Micros,
+    retry_at: Micros,
 }
 
-/// What is known of a name.
+/// What the coordinator knows of a name's value.
 #[derive(Debug, Clone, Default)]
-struct Known {
-    /// The greatest count that this process has used; `None` before it has written or read the value.
-    used: Option<u64>,
-    /// What each copy has acknowledged.
-    acked: Vec<Stamp>,
+struct NameState {
+    /// The greatest count of writes that this process has used; `None` before its first read or write of the
+    /// value.
+    last_write_count: Option<u64>,
+    /// The newest version that each replica has acknowledged.
+    acknowledged: Vec<Version>,
 }
 
-/// The part of the one whose values are copied. One process at a time has the name.
+/// Reads and writes the replicated values of one owner. Only one process at a time holds the owner's name.
 #[derive(Debug)]
-pub struct Keeper {
-    terms: Terms,
+pub struct Coordinator {
+    config: Config,
     epoch: Epoch,
-    standing: Standing,
-    /// Whether it only looks so far, and who has granted that or the claim (`true`) or not.
-    looks: bool,
-    claims: Vec<Option<bool>>,
-    /// The number of the claim's question, and when it is asked again.
-    claim: (u64, Micros),
-    numbers: u64,
-    names: BTreeMap<String, Known>,
-    works: VecDeque<Work>,
+    state: ClaimState,
+    /// Whether the current claim only probes.
+    is_probing: bool,
+    /// Per replica: whether it has granted the current probe or claim; `None` before its response.
+    grants: Vec<Option<bool>>,
+    /// The number of the current probe or claim.
+    claim_request: u64,
+    /// When the current probe or claim is repeated, or a new one starts.
+    claim_retry_at: Micros,
+    /// The last number used for a request or a ticket.
+    last_number: u64,
+    names: BTreeMap<String, NameState>,
+    pending: VecDeque<PendingOperation>,
     effects: VecDeque<Effect>,
 }
 
-impl Keeper {
-    /// Begins to claim the owner's name; `life` is drawn anew for each process.
+impl Coordinator {
+    /// Starts to claim the owner's name; `incarnation` is a random number of this process.
     ///
     /// # Errors
-    /// [`StoreError::Unfit`] if the terms cannot be.
-    pub fn new(terms: Terms, life: u64, now: Micros) -> Result<Keeper, StoreError> {
-        owned(&terms.owner)?;
-        if terms.copies == 0 || terms.copies > MOST {
-            return Err(StoreError::Unfit("there are 1 to 9 copies"));
-        }
-        let mut keeper = Keeper {
-            epoch: Epoch { number: 1, life },
-            standing: Standing::Claims,
-            looks: true,
-            claims: vec![None; terms.copies],
-            claim: (0, now),
-            numbers: 0,
+    /// [`StoreError::Invalid`] if the owner's name or the number of replicas is out of range.
+    pub fn new(config: Config, incarnation: u64, now: Micros) -> Result<Coordinator, StoreError> {
+        validate_owner(&config.owner)?;
+        if config.replicas == 0 || config.replicas > MAX_REPLICAS {
+            return Err(StoreError::Invalid("the number of replicas must be from 1 to 9"));
+        }
+        let mut coordinator = Coordinator {
+            epoch: Epoch { number: 1, incarnation },
+            state: ClaimState::Claiming,
+            is_probing: true,
+            grants: vec![None; config.replicas],
+            claim_request: 0,
+            claim_retry_at: now,
+            last_number: 0,
             names: BTreeMap::new(),
-            works: VecDeque::new(),
+            pending: VecDeque::new(),
             effects: VecDeque::new(),
-            terms,
+            config,
         };
-        keeper.begin_claim(now, true);
-        Ok(keeper)
+        coordinator.begin_claim(now, true);
+        Ok(coordinator)
     }
 
-    /// Whether this process has the name.
-    pub fn standing(&self) -> Standing {
-        self.standing
+    /// Whether this process holds the owner's name.
+    pub fn state(&self) -> ClaimState {
+        self.state
     }
 
     fn quorum(&self) -> usize {
-        self.terms.copies / 2 + 1
+        self.config.replicas / 2 + 1
     }
 
-    /// Begins to put a value; gives the ticket under which the end is told.
+    /// Starts to write a value; returns the ticket under which its end is reported.
     ///
     /// # Errors
-    /// Why it is not even begun.
+    /// Why it was not started.
     pub fn put(&mut self, now: Micros, name: &str, bytes: &[u8]) -> Result<u64, StoreError> {
-        if bytes.len() > SMALLER {
-            return Err(StoreError::Unfit("the value is too long"));
+        if bytes.len() > MAX_REPLICATED_VALUE_BYTES {
+            return Err(StoreError::Invalid("the value is too long"));
         }
         self.begin(now, name, Some(bytes.to_vec()))
     }
 
-    /// Begins to get one.
+    /// Starts to read a value; returns the ticket under which its end is reported.
     ///
     /// # Errors
-    /// Why it is not even begun.
+    /// Why it was not started.
     pub fn get(&mut self, now: Micros, name: &str) -> Result<u64, StoreError> {
         self.begin(now, name, None)
     }
 
-    fn begin(&mut self, now: Micros, name: &str, put: Option<Vec<u8>>) -> Result<u64, StoreError> {
-        fits(name, 0)?;
-        if name.len() > SHORTER {
-            return Err(StoreError::Unfit("the name is too long"));
+    fn begin(&mut self, now: Micros, name: &str, new_value: Option<Vec<u8>>) -> Result<u64, StoreError> {
+        validate(name, 0)?;
+        if name.len() > MAX_REPLICATED_NAME_LENGTH {
+            return Err(StoreError::Invalid("the name is too long"));
         }
-        if !self.names.contains_key(name) && self.names.len() >= NAMES {
-            return Err(StoreError::Unfit("there are too many values"));
+        if !self.names.contains_key(name) && self.names.len() >= MAX_VALUES {
+            return Err(StoreError::Invalid("there are too many values"));
         }
-        if self.works.len() >= self.terms.waiting {
-            return Err(StoreError::Unfit("too many values are put or got at once"));
+        if self.pending.len() >= self.config.max_pending {
+            return Err(StoreError::Invalid("too many reads and writes are pending"));
         }
-        if matches!(self.standing, Standing::Lost | Standing::Waits) {
+        if matches!(self.state, ClaimState::Lost | ClaimState::Waiting) {
             return Err(StoreError::Busy);
         }
-        self.numbers += 1;
-        let (ticket, until) = (self.numbers, now.saturating_add(self.terms.patience));
-        let work =
-            Work { ticket, name: name.to_owned(), put, phase: Phase::Waits, number: 0, until, again: until };
-        self.works.push_back(work);
-        self.go_on(now);
+        self.last_number += 1;
+        let (ticket, deadline) = (self.last_number, now.saturating_add(self.config.timeout));
+        let operation = PendingOperation {
+            ticket,
+            name: name.to_owned(),
+            new_value,
+            phase: Phase::Queued,
+            number: 0,
+            deadline,
+            retry_at: deadline,
+        };
+        self.pending.push_back(operation);
+        self.start_queued(now);
         Ok(ticket)
     }
 
-    /// A copy has answered the question of that number.
-    pub fn heard(&mut self, now: Micros, from: usize, number: u64, answer: Answer) {
-        if from >= self.terms.copies || self.standing == Standing::Lost {
+    /// Handles the response of a replica to the request of that number.
+    pub fn on_response(&mut self, now: Micros, from: usize, number: u64, response: Response) {
+        if from >= self.config.replicas || self.state == ClaimState::Lost {
             return;
         }
-        if let Answer::Newer(epoch) = answer {
+        if let Response::Superseded(epoch) = response {
             if epoch > self.epoch {
-                self.outdone(now, epoch);
+                self.on_superseded(now, epoch);
             }
             return;
         }
-        if number == self.claim.0 {
-            return self.heard_claim(now, from, &answer);
+        if number == self.claim_request {
+            return self.on_claim_response(now, from, &response);
         }
-        let Some(at) = self.works.iter().position(|w| w.number == number) else { return };
-        let work = &mut self.works[at];
-        match (&mut work.phase, answer) {
-            (Phase::Reads(answers), Answer::Value(value)) => {
-                answers[from] = Some(value);
-                self.read(now, at);
+        let Some(at) = self.pending.iter().position(|op| op.number == number) else { return };
+        let operation = &mut self.pending[at];
+        match (&mut operation.phase, response) {
+            (Phase::Reading(responses), Response::Value(value)) => {
+                responses[from] = Some(value);
+                self.check_read_quorum(now, at);
             }
-            (Phase::Writes(new, takers), Answer::Written) => {
-                takers[from] = true;
-                let stamp = new.stamp;
-                let known = self.names.entry(work.name.clone()).or_default();
-                known.acked.resize(self.terms.copies, Stamp::default());
-                known.acked[from] = known.acked[from].max(stamp);
-                self.written(now, at);
+            (Phase::Writing(new, acks), Response::Written) => {
+                acks[from] = true;
+                let version = new.version;
+                let state = self.names.entry(operation.name.clone()).or_default();
+                state.acknowledged.resize(self.config.replicas, Version::default());
+                state.acknowledged[from] = state.acknowledged[from].max(version);
+                self.check_write_quorum(now, at);
             }
             _ => {}
         }
     }
 
-    /// Another process has promises of a greater epoch.
-    fn outdone(&mut self, now: Micros, epoch: Epoch) {
-        if self.standing == Standing::Holds {
-            self.standing = Standing::Lost;
-            for work in std::mem::take(&mut self.works) {
-                let why = match work.phase {
-                    Phase::Writes(..) => {
-                        StoreError::Unsure(io::Error::other("another process has taken the name"))
+    /// Handles that a replica has promised a greater epoch to another process.
+    fn on_superseded(&mut self, now: Micros, epoch: Epoch) {
+        if self.state == ClaimState::Holding {
+            self.state = ClaimState::Lost;
+            for operation in std::mem::take(&mut self.pending) {
+                let error = match operation.phase {
+                    Phase::Writing(..) => {
+                        StoreError::Indeterminate(io::Error::other("another process has claimed the name"))
                     }
                     _ => StoreError::Busy,
                 };
-                self.effects.push_back(Effect::Done(work.ticket, Err(why)));
+                self.effects.push_back(Effect::Completed(operation.ticket, Err(error)));
             }
         } else {
             self.epoch.number = epoch.number.saturating_add(1);
@@ -448,270 +474,292 @@
         }
     }
 
-    fn begin_claim(&mut self, now: Micros, looks: bool) {
-        (self.standing, self.looks) = (Standing::Claims, looks);
-        self.claims.fill(None);
-        self.numbers += 1;
-        self.claim = (self.numbers, now);
-        self.ask_claim(now);
+    fn begin_claim(&mut self, now: Micros, is_probing: bool) {
+        (self.state, self.is_probing) = (ClaimState::Claiming, is_probing);
+        self.grants.fill(None);
+        self.last_number += 1;
+        self.claim_request = self.last_number;
+        self.claim_retry_at = now;
+        self.send_claim(now);
     }
 
-    fn ask_claim(&mut self, now: Micros) {
-        // One that has the name says so before a lease ends, whatever else it asks.
-        let holds = self.standing == Standing::Holds;
-        self.claim.1 = now + if holds { self.terms.lease / 3 } else { self.terms.again };
-        for copy in (0..self.terms.copies).filter(|&c| holds || self.claims[c].is_none()) {
-            let ask = if self.looks { Ask::Look } else { Ask::Claim };
-            self.effects.push_back(Effect::Ask(copy, self.request(self.claim.0, ask)));
+    fn send_claim(&mut self, now: Micros) {
+        // The holder repeats its claim three times per lease, so that it keeps the name without other
+        // requests.
+        let is_holder = self.state == ClaimState::Holding;
+        self.claim_retry_at =
+            now + if is_holder { self.config.lease / 3 } else { self.config.retry_interval };
+        for replica in (0..self.config.replicas).filter(|&c| is_holder || self.grants[c].is_none()) {
+            let command = if self.is_probing { Command::Probe } else { Command::Claim };
+            self.effects.push_back(Effect::Send(replica, self.request(self.claim_request, command)));
         }
     }
 
-    fn request(&self, number: u64, ask: Ask) -> Request {
-        Request { owner: self.terms.owner.clone(), epoch: self.epoch, number, ask }
+    fn request(&self, number: u64, command: Command) -> Request {
+        Request { owner: self.config.owner.clone(), epoch: self.epoch, number, command }
     }
 
-    fn heard_claim(&mut self, now: Micros, from: usize, answer: &Answer) {
-        match answer {
-            Answer::Claimed => self.claims[from] = Some(true),
-            Answer::Held => self.claims[from] = Some(false),
+    fn on_claim_response(&mut self, now: Micros, from: usize, response: &Response) {
+        match response {
+            Response::Granted => self.grants[from] = Some(true),
+            Response::Held => self.grants[from] = Some(false),
             _ => return,
         }
-        if self.standing != Standing::Claims {
+        if self.state != ClaimState::Claiming {
             return;
         }
-        let count = |what| self.claims.iter().filter(|c| **c == Some(what)).count();
-        if count(true) >= self.quorum() && self.looks {
+        let count = |what| self.grants.iter().filter(|c| **c == Some(what)).count();
+        if count(true) >= self.quorum() && self.is_probing {
             self.begin_claim(now, false);
         } else if count(true) >= self.quorum() {
-            self.standing = Standing::Holds;
-            self.claim.1 = now + self.terms.lease / 3;
-            self.go_on(now);
-        } else if count(false) > self.terms.copies - self.quorum() {
-            self.standing = Standing::Waits;
-            self.claim.1 = now + self.terms.lease;
-            for work in std::mem::take(&mut self.works) {
-                self.effects.push_back(Effect::Done(work.ticket, Err(StoreError::Busy)));
+            self.state = ClaimState::Holding;
+            self.claim_retry_at = now + self.config.lease / 3;
+            self.start_queued(now);
+        } else if count(false) > self.config.replicas - self.quorum() {
+            self.state = ClaimState::Waiting;
+            self.claim_retry_at = now + self.config.lease;
+            for operation in std::mem::take(&mut self.pending) {
+                self.effects.push_back(Effect::Completed(operation.ticket, Err(StoreError::Busy)));
             }
         }
     }
 
-    /// Begins what waited and need not any more.
-    fn go_on(&mut self, now: Micros) {
-        if self.standing != Standing::Holds {
+    /// Starts the operations that have waited for the claim, or for an earlier operation on the same name.
+    fn start_queued(&mut self, now: Micros) {
+        if self.state != ClaimState::Holding {
             return;
         }
-        for at in 0..self.works.len() {
-            let work = &self.works[at];
-            let first = self.works.iter().position(|w| w.name == work.name) == Some(at);
-            if !first || !matches!(work.phase, Phase::Waits) {
+        for at in 0..self.pending.len() {
+            let operation = &self.pending[at];
+            let is_first = self.pending.iter().position(|op| op.name == operation.name) == Some(at);
+            if !is_first || !matches!(operation.phase, Phase::Queued) {
                 continue;
             }
-            let used = self.names.get(&work.name).and_then(|known| known.used);
-            match (used, &work.put) {
-                (Some(used), Some(_)) => self.write(now, at, used + 1, None),
+            let last_write_count = self.names.get(&operation.name).and_then(|state| state.last_write_count);
+            match (last_write_count, &operation.new_value) {
+                (Some(count), Some(_)) => self.start_write(now, at, count + 1, None),
                 _ => {
-                    self.works[at].phase = Phase::Reads(vec![None; self.terms.copies]);
-                    self.ask(now, at, true);
+                    self.pending[at].phase = Phase::Reading(vec![None; self.config.replicas]);
+                    self.send_requests(now, at, true);
                 }
             }
         }
     }
 
-    /// Asks those that have not answered.
-    fn ask(&mut self, now: Micros, at: usize, anew: bool) {
-        if anew {
-            self.numbers += 1;
-            self.works[at].number = self.numbers;
+    /// Sends the current request to the replicas that have not answered it. Uses a new number if the request
+    /// is new.
+    fn send_requests(&mut self, now: Micros, at: usize, is_new: bool) {
+        if is_new {
+            self.last_number += 1;
+            self.pending[at].number = self.last_number;
         }
-        self.works[at].again = now + self.terms.again;
-        let work = &self.works[at];
-        for copy in 0..self.terms.copies {
-            let ask = match &work.phase {
-                Phase::Reads(answers) if answers[copy].is_none() => Ask::Read(work.name.clone()),
-                Phase::Writes(new, takers) if !takers[copy] => Ask::Write(work.name.clone(), new.clone()),
+        self.pending[at].retry_at = now + self.config.retry_interval;
+        let operation = &self.pending[at];
+        for replica in 0..self.config.replicas {
+            let command = match &operation.phase {
+                Phase::Reading(responses) if responses[replica].is_none() => {
+                    Command::Read(operation.name.clone())
+                }
+                Phase::Writing(new, acks) if !acks[replica] => {
+                    Command::Write(operation.name.clone(), new.clone())
+                }
                 _ => continue,
             };
-            self.effects.push_back(Effect::Ask(copy, self.request(work.number, ask)));
+            self.effects.push_back(Effect::Send(replica, self.request(operation.number, command)));
         }
     }
 
-    fn write(&mut self, now: Micros, at: usize, writes: u64, back: Option<Option<Vec<u8>>>) {
-        let work = &mut self.works[at];
-        let known = self.names.entry(work.name.clone()).or_default();
-        known.used = Some(known.used.unwrap_or(0).max(writes));
-        let bytes = back.unwrap_or_else(|| work.put.clone());
-        let stamp = Stamp { epoch: self.epoch, writes };
-        let takers = vec![false; self.terms.copies];
-        work.phase = Phase::Writes(Copied { stamp, known: known.acked.clone(), bytes }, takers);
-        self.ask(now, at, true);
+    /// Starts to write `written_back`, if given, else the new value of the operation.
+    fn start_write(&mut self, now: Micros, at: usize, writes: u64, written_back: Option<Option<Vec<u8>>>) {
+        let operation = &mut self.pending[at];
+        let state = self.names.entry(operation.name.clone()).or_default();
+        state.last_write_count = Some(state.last_write_count.unwrap_or(0).max(writes));
+        let bytes = written_back.unwrap_or_else(|| operation.new_value.clone());
+        let version = Version { epoch: self.epoch, writes };
+        let acks = vec![false; self.config.replicas];
+        operation.phase =
+            Phase::Writing(VersionedValue { version, acknowledged: state.acknowledged.clone(), bytes }, acks);
+        self.send_requests(now, at, true);
     }
 
-    /// Whether a quorum has told what it holds, and what follows.
-    fn read(&mut self, now: Micros, at: usize) {
+    /// Continues a read, or the write that it precedes, once a quorum has answered.
+    fn check_read_quorum(&mut self, now: Micros, at: usize) {
         let quorum = self.quorum();
-        let work = &self.works[at];
-        let Phase::Reads(answers) = &work.phase else { return };
-        let known = self.names.entry(work.name.clone()).or_default();
-        known.acked.resize(self.terms.copies, Stamp::default());
-        for value in answers.iter().flatten() {
-            for (acked, told) in known.acked.iter_mut().zip(&value.known) {
-                *acked = (*acked).max(*told);
+        let operation = &self.pending[at];
+        let Phase::Reading(responses) = &operation.phase else { return };
+        let state = self.names.entry(operation.name.clone()).or_default();
+        state.acknowledged.resize(self.config.replicas, Version::default());
+        for value in responses.iter().flatten() {
+            for (acknowledged, reported) in state.acknowledged.iter_mut().zip(&value.acknowledged) {
+                *acknowledged = (*acknowledged).max(*reported);
             }
         }
-        // One that holds less than it has acknowledged has forgotten: its word does not count.
-        let good: Vec<&Copied> = answers
+        // A replica that holds less than it has acknowledged has lost data and does not count for the quorum.
+        let current: Vec<&VersionedValue> = responses
             .iter()
-            .zip(&known.acked)
-            .filter_map(|(a, acked)| a.as_ref().filter(|a| a.stamp >= *acked))
+            .zip(&state.acknowledged)
+            .filter_map(|(value, acknowledged)| value.as_ref().filter(|value| value.version >= *acknowledged))
             .collect();
-        if good.len() < quorum {
+        if current.len() < quorum {
             return;
         }
-        let olds: Vec<usize> = (0..answers.len())
-            .filter(|&c| answers[c].as_ref().is_some_and(|a| a.stamp < known.acked[c]))
+        let stale: Vec<usize> = (0..responses.len())
+            .filter(|&c| responses[c].as_ref().is_some_and(|value| value.version < state.acknowledged[c]))
             .collect();
-        self.effects.extend(olds.into_iter().map(Effect::Old));
-        let newest = good.iter().max_by_key(|value| value.stamp).expect("a quorum is one at least");
-        let Stamp { epoch, writes } = newest.stamp;
-        let own = epoch == self.epoch && known.used == Some(writes);
-        let all = good.iter().filter(|value| value.stamp == newest.stamp).count() >= quorum;
-        if work.put.is_some() {
-            let writes = writes.max(known.used.unwrap_or(0)) + 1;
-            return self.write(now, at, writes, None);
-        }
-        if own && all {
-            let got = newest.bytes.clone().map(|bytes| Kept { bytes, writes });
-            return self.end(now, at, Ok(Done::Got(got)));
-        }
-        // What is told once must stay, and what an earlier process, or an earlier try, has left at some must not come up later.
-        let writes = if own { writes } else { writes.max(known.used.map_or(0, |used| used + 1)) };
+        self.effects.extend(stale.into_iter().map(Effect::StaleReplica));
+        let newest =
+            current.iter().max_by_key(|value| value.version).expect("a quorum has at least one replica");
+        let Version { epoch, writes } = newest.version;
+        let is_own_write = epoch == self.epoch && state.last_write_count == Some(writes);
+        let is_at_quorum = current.iter().filter(|value| value.version == newest.version).count() >= quorum;
+        if operation.new_value.is_some() {
+            let writes = writes.max(state.last_write_count.unwrap_or(0)) + 1;
+            return self.start_write(now, at, writes, None);
+        }
+        if is_own_write && is_at_quorum {
+            let value = newest.bytes.clone().map(|bytes| StoredValue { bytes, writes });
+            return self.complete(now, at, Ok(Outcome::Got(value)));
+        }
+        // The value is written back before it is returned, so that later reads return it too. This also keeps
+        // a value that an earlier process, or a failed write, has left on a minority of replicas from
+        // appearing later.
+        let writes = if is_own_write {
+            writes
+        } else {
+            writes.max(state.last_write_count.map_or(0, |count| count + 1))
+        };
         let bytes = newest.bytes.clone();
-        self.write(now, at, writes, Some(bytes));
+        self.start_write(now, at, writes, Some(bytes));
     }
 
-    /// Whether a quorum has it, and what follows.
-    fn written(&mut self, now: Micros, at: usize) {
-        let work = &self.works[at];
-        let Phase::Writes(new, takers) = &work.phase else { return };
-        if takers.iter().filter(|&&taken| taken).count() < self.quorum() {
+    /// Ends a write once a quorum has acknowledged it.
+    fn check_write_quorum(&mut self, now: Micros, at: usize) {
+        let operation = &self.pending[at];
+        let Phase::Writing(new, acks) = &operation.phase else { return };
+        if acks.iter().filter(|&&has_ack| has_ack).count() < self.quorum() {
             return;
         }
-        let writes = new.stamp.writes;
-        let done = match &work.put {
-            Some(_) => Done::Put(writes),
-            None => Done::Got(new.bytes.clone().map(|bytes| Kept { bytes, writes })),
+        let writes = new.version.writes;
+        let outcome = match &operation.new_value {
+            Some(_) => Outcome::Put(writes),
+            None => Outcome::Got(new.bytes.clone().map(|bytes| StoredValue { bytes, writes })),
         };
-        self.end(now, at, Ok(done));
+        self.complete(now, at, Ok(outcome));
     }
 
-    fn end(&mut self, now: Micros, at: usize, result: Result<Done, StoreError>) {
-        let work = self.works.remove(at).expect("it was found");
-        self.effects.push_back(Effect::Done(work.ticket, result));
-        self.go_on(now);
+    fn complete(&mut self, now: Micros, at: usize, result: Result<Outcome, StoreError>) {
+        let operation = self.pending.remove(at).expect("the index is valid");
+        self.effects.push_back(Effect::Completed(operation.ticket, result));
+        self.start_queued(now);
     }
 
-    /// When to wake it next, at the latest.
+    /// When to call [`Coordinator::on_timer`] at the latest.
     pub fn next_wake(&self) -> Option<Micros> {
-        let works = self.works.iter().map(|w| w.until.min(w.again));
-        let claim = (self.standing != Standing::Lost).then_some(self.claim.1);
-        works.chain(claim).min()
+        let pending = self.pending.iter().map(|op| op.deadline.min(op.retry_at));
+        let claim = (self.state != ClaimState::Lost).then_some(self.claim_retry_at);
+        pending.chain(claim).min()
     }
 
-    /// Time has gone by.
-    pub fn wake(&mut self, now: Micros) {
-        if self.standing != Standing::Lost && now >= self.claim.1 {
-            match self.standing {
-                Standing::Waits => self.begin_claim(now, true),
-                _ => self.ask_claim(now),
+    /// Repeats requests that are due and ends operations whose time is over.
+    pub fn on_timer(&mut self, now: Micros) {
+        if self.state != ClaimState::Lost && now >= self.claim_retry_at {
+            match self.state {
+                ClaimState::Waiting => self.begin_claim(now, true),
+                _ => self.send_claim(now),
             }
         }
-        while let Some(at) = self.works.iter().position(|w| now >= w.until) {
-            let late = || io::Error::new(io::ErrorKind::TimedOut, "too few copies answer");
-            let writes = matches!(self.works[at].phase, Phase::Writes(..)) && self.works[at].put.is_some();
-            let why = if writes { StoreError::Unsure(late()) } else { StoreError::Io(late()) };
-            self.end(now, at, Err(why));
-        }
-        for at in 0..self.works.len() {
-            if now >= self.works[at].again && !matches!(self.works[at].phase, Phase::Waits) {
-                self.ask(now, at, false);
+        while let Some(at) = self.pending.iter().position(|op| now >= op.deadline) {
+            let timed_out = || io::Error::new(io::ErrorKind::TimedOut, "too few replicas answered");
+            let is_writing =
+                matches!(self.pending[at].phase, Phase::Writing(..)) && self.pending[at].new_value.is_some();
+            let error =
+                if is_writing { StoreError::Indeterminate(timed_out()) } else { StoreError::Io(timed_out()) };
+            self.complete(now, at, Err(error));
+        }
+        for at in 0..self.pending.len() {
+            if now >= self.pending[at].retry_at && !matches!(self.pending[at].phase, Phase::Queued) {
+                self.send_requests(now, at, false);
             }
         }
     }
 
-    /// What is to be done next.
-    pub fn effect(&mut self) -> Option<Effect> {
+    /// Takes the next effect to carry out.
+    pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 }
 
-/// Copies that can be asked while one waits.
-pub trait Peers {
-    /// The time.
+/// Sends requests to replicas and waits for their responses.
+pub trait Replicas {
+    /// The current time.
     fn now(&self) -> Micros;
 
-    /// Asks one; `None` if it does not answer.
-    fn ask(&mut self, copy: usize, request: &Request) -> Option<Answer>;
+    /// Sends a request and waits for the response; `None` if there is none.
+    fn request(&mut self, replica: usize, request: &Request) -> Option<Response>;
 
-    /// Waits until a time.
-    fn wait(&mut self, until: Micros);
+    /// Blocks until a time.
+    fn wait_until(&mut self, until: Micros);
 
-    /// A copy was put back to an old state.
-    fn old(&mut self, _copy: usize) {}
+    /// Reports that the storage of a replica was restored to an old state.
+    fn on_stale(&mut self, _replica: usize) {}
 }
 
-/// A store whose values several others keep.
+/// A blocking store whose values are replicated.
 #[derive(Debug)]
-pub struct Copies<P> {
-    keeper: Keeper,
-    peers: P,
+pub struct ReplicatedStore<P> {
+    coordinator: Coordinator,
+    replicas: P,
 }
 
-impl<P: Peers> Copies<P> {
-    /// Claims the owner's name at a quorum of copies.
+impl<P: Replicas> ReplicatedStore<P> {
+    /// Claims the owner's name from a quorum of replicas.
     ///
     /// # Errors
-    /// [`StoreError::Busy`] if another process has it; [`StoreError::Io`] if too few answer.
-    pub fn open(terms: Terms, life: u64, peers: P) -> Result<Copies<P>, StoreError> {
-        let until = peers.now() + terms.patience;
-        let mut store = Copies { keeper: Keeper::new(terms, life, peers.now())?, peers };
+    /// [`StoreError::Busy`] if another process holds it; [`StoreError::Io`] if too few replicas answer.
+    pub fn open(config: Config, incarnation: u64, replicas: P) -> Result<ReplicatedStore<P>, StoreError> {
+        let deadline = replicas.now() + config.timeout;
+        let mut store =
+            ReplicatedStore { coordinator: Coordinator::new(config, incarnation, replicas.now())?, replicas };
         loop {
             store.step(0);
-            match store.keeper.standing() {
-                Standing::Holds => return Ok(store),
-                Standing::Claims if store.peers.now() < until => store.wait(),
-                Standing::Claims => {
-                    return Err(io::Error::new(io::ErrorKind::TimedOut, "too few copies answer").into())
+            match store.coordinator.state() {
+                ClaimState::Holding => return Ok(store),
+                ClaimState::Claiming if store.replicas.now() < deadline => store.wait(),
+                ClaimState::Claiming => {
+                    return Err(io::Error::new(io::ErrorKind::TimedOut, "too few replicas answered").into())
                 }
-                Standing::Waits | Standing::Lost => return Err(StoreError::Busy),
+                ClaimState::Waiting | ClaimState::Lost => return Err(StoreError::Busy),
             }
         }
     }
 
+    /// Waits until the next timer and handles it.
     fn wait(&mut self) {
-        let next = self.keeper.next_wake().unwrap_or(0).max(self.peers.now());
-        self.peers.wait(next);
-        self.keeper.wake(self.peers.now());
+        let next = self.coordinator.next_wake().unwrap_or(0).max(self.replicas.now());
+        self.replicas.wait_until(next);
+        self.coordinator.on_timer(self.replicas.now());
     }
 
-    /// Carries out effects; what the ticket led to.
-    fn step(&mut self, ticket: u64) -> Option<Result<Done, StoreError>> {
+    /// Carries out the effects; returns the result of the operation `ticket` if it has ended.
+    fn step(&mut self, ticket: u64) -> Option<Result<Outcome, StoreError>> {
         let mut result = None;
-        while let Some(effect) = self.keeper.effect() {
+        while let Some(effect) = self.coordinator.next_effect() {
             match effect {
-                Effect::Ask(copy, request) => {
-                    if let Some(answer) = self.peers.ask(copy, &request) {
-                        self.keeper.heard(self.peers.now(), copy, request.number, answer);
+                Effect::Send(replica, request) => {
+                    if let Some(response) = self.replicas.request(replica, &request) {
+                        self.coordinator.on_response(self.replicas.now(), replica, request.number, response);
                     }
                 }
-                Effect::Done(of, done) if of == ticket => result = Some(done),
-                Effect::Done(..) => {}
-                Effect::Old(copy) => self.peers.old(copy),
+                Effect::Completed(completed, outcome) if completed == ticket => result = Some(outcome),
+                Effect::Completed(..) => {}
+                Effect::StaleReplica(replica) => self.replicas.on_stale(replica),
             }
         }
         result
     }
 
-    fn end(&mut self, ticket: u64) -> Result<Done, StoreError> {
+    /// Drives the operation `ticket` to its end.
+    fn run(&mut self, ticket: u64) -> Result<Outcome, StoreError> {
         loop {
             if let Some(result) = self.step(ticket) {
                 return result;
@@ -721,20 +769,20 @@
     }
 }
 
-impl<P: Peers> Store for Copies<P> {
-    fn get(&mut self, name: &str) -> Result<Option<Kept>, StoreError> {
-        let ticket = self.keeper.get(self.peers.now(), name)?;
-        match self.end(ticket)? {
-            Done::Got(kept) => Ok(kept),
-            Done::Put(_) => unreachable!("nothing was put"),
+impl<P: Replicas> Store for ReplicatedStore<P> {
+    fn get(&mut self, name: &str) -> Result<Option<StoredValue>, StoreError> {
+        let ticket = self.coordinator.get(self.replicas.now(), name)?;
+        match self.run(ticket)? {
+            Outcome::Got(value) => Ok(value),
+            Outcome::Put(_) => unreachable!("a read was started"),
         }
     }
 
     fn put(&mut self, name: &str, bytes: &[u8]) -> Result<u64, StoreError> {
-        let ticket = self.keeper.put(self.peers.now(), name, bytes)?;
-        match self.end(ticket)? {
-            Done::Put(writes) => Ok(writes),
-            Done::Got(_) => unreachable!("nothing was got"),
+        let ticket = self.coordinator.put(self.replicas.now(), name, bytes)?;
+        match self.run(ticket)? {
+            Outcome::Put(writes) => Ok(writes),
+            Outcome::Got(_) => unreachable!("a write was started"),
         }
     }
 }
