--- a/crates/gateway/tests/guarded.rs
+++ b/crates/gateway/tests/guarded.rs
@@ -313,6 +313,9 @@
     let adopted_id = adopter.core.adopt(adopter.now, &record).expect("a readable record");
     adopter.poll_page(adopted_id, 0, None);
     let events = events.borrow();
-    assert!(events.iter().any(|e| matches!(e, Event::Adopted { attempts: 0, out: None, .. })), "{events:?}");
+    assert!(
+        events.iter().any(|e| matches!(e, Event::Adopted { attempts: 0, in_flight: None, .. })),
+        "{events:?}"
+    );
     assert!(!events.iter().any(|e| matches!(e, Event::Request(_))));
 }
