--- a/crates/gateway/src/terms.rs
+++ b/crates/gateway/src/terms.rs
@@ -39,8 +39,8 @@
     pub settings: Settings,
     /// Names of classes, kinds, tenants and zones, indexed by their numbers.
     pub names: Names,
-    /// Maximum time after an engine is listed as draining or removed during which new work may still go to it
-    /// (rule 3).
+    /// Maximum time after an engine is listed as draining or removed during which new work may still go to
+    /// it. The service promises that drains are kept.
     pub drain_grace: Duration,
 }
 
